--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -234,13 +234,14 @@
 
 relay::small_answer entry::answer_control(std::string_view target) const
 {
-    const auto asked = read_items_target(target);
+    const auto asked = parse_item_query(target);
     if (!asked)
         return {503, "text/plain", "no such question\n"};
     gossip::item_transfer out =
-        asked->life ? this->state.known.items_after(
-                          *asked->life == this->life ? asked->number : 0)
-                    : this->state.known.items_since(asked->number);
+        asked->incarnation
+            ? this->state.known.items_after(
+                  *asked->incarnation == this->life ? asked->position : 0)
+            : this->state.known.items_since(asked->position);
     out.life = this->life;
     return {200, "application/octet-stream", gossip::encode(out)};
 }
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -37,24 +37,24 @@
 
 } // namespace
 
-std::string items_target(const items_question& asked)
+std::string item_query_target(const item_query& asked)
 {
-    const std::string number = std::to_string(asked.number);
-    if (!asked.life)
+    const std::string number = std::to_string(asked.position);
+    if (!asked.incarnation)
         return std::string(since_path) + number;
     return std::string(after_path) + number + std::string(life_part) +
-           std::to_string(asked.life->value);
+           std::to_string(asked.incarnation->value);
 }
 
-std::optional<items_question> read_items_target(std::string_view target)
+std::optional<item_query> parse_item_query(std::string_view target)
 {
     const bool after = target.starts_with(after_path);
     if (!after && !target.starts_with(since_path))
         return std::nullopt;
     target.remove_prefix(after ? after_path.size() : since_path.size());
-    items_question out;
+    item_query out;
     const char* const end = target.data() + target.size();
-    const auto number = std::from_chars(target.data(), end, out.number);
+    const auto number = std::from_chars(target.data(), end, out.position);
     if (number.ec != std::errc())
         return std::nullopt;
     if (!after)
@@ -66,7 +66,7 @@
     base::incarnation life;
     if (std::from_chars(target.data(), end, life.value).ec != std::errc())
         return std::nullopt;
-    out.life = life;
+    out.incarnation = life;
     return out;
 }
 
@@ -328,7 +328,7 @@
 }
 
 void peer_link::ask_for_items(gossip::ip_number of,
-                              const items_question& what,
+                              const item_query& what,
                               base::instant now)
 {
     this->asking = true;
@@ -337,7 +337,7 @@
                                this->own.control.port};
     this->transport.ask(
         to,
-        items_target(what),
+        item_query_target(what),
         ask_bound,
         [this, to](tl::expected<relay::fetched, std::string> got) {
             this->asking = false;
--- a/src/greengagedrum/entry/peer_link.hpp
+++ b/src/greengagedrum/entry/peer_link.hpp
@@ -46,14 +46,14 @@
 
 // What an entry asks a peer for: items above a revision of the store, or, of a
 // life of that peer, what changed after so many changes.
-struct items_question {
-    std::uint64_t number = 0;
-    std::optional<base::incarnation> life;
+struct item_query {
+    std::uint64_t position = 0;
+    std::optional<base::incarnation> incarnation;
 };
 
 // The target under which it is asked, and its reading.
-std::string items_target(const items_question& asked);
-std::optional<items_question> read_items_target(std::string_view target);
+std::string item_query_target(const item_query& asked);
+std::optional<item_query> parse_item_query(std::string_view target);
 
 class peer_link
 {
@@ -136,7 +136,7 @@
     void look_for_silent(base::instant now);
     void ask_peer(base::instant now);
     void ask_for_items(gossip::ip_number of,
-                       const items_question& what,
+                       const item_query& what,
                        base::instant now);
 
     settings own;
