--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -137,21 +137,22 @@
 peer_events entry::told_by_peers()
 {
     peer_events out;
-    out.load_changed = [this] { this->callers->place(); };
-    out.items = [this](const gossip::item_transfer& got) {
+    out.peer_load_changed = [this] { this->callers->place(); };
+    out.items_received = [this](const gossip::item_transfer& got) {
         this->apply(this->state.known.learn(got, this->state.clock()), "peer");
         this->end_pause("peer");
         this->store->known_up_to(this->state.known.as_of());
     };
-    out.delegate = [this] { this->callers->delegate(); };
-    out.place_alone = [this](std::size_t unheard, const handed_limits* known) {
+    out.delegation_started = [this] { this->callers->delegate(); };
+    out.delegation_ended = [this](std::size_t unheard,
+                                  const handed_limits* known) {
         this->callers->place_alone(unheard, known);
     };
-    out.report = [this] { return this->callers->report_to_dispatcher(); };
-    out.replied = [this](const dispatch::dispatcher_reply& what) {
+    out.make_report = [this] { return this->callers->report_to_dispatcher(); };
+    out.reply_received = [this](const dispatch::dispatcher_reply& what) {
         this->callers->replied(what);
     };
-    out.member_reported = [this](base::slot_id member,
+    out.report_received = [this](base::slot_id member,
                                  const gossip::message& told) {
         this->callers->member_reported(
             member, told.life, told.report, told.uses);
@@ -159,10 +160,10 @@
     out.member_lost = [this](base::slot_id member) {
         this->callers->member_lost(member);
     };
-    out.members_unanswered = [this] {
+    out.members_awaiting_reply = [this] {
         return this->callers->book().unanswered(this->state.clock());
     };
-    out.reply = [this](base::slot_id member) {
+    out.make_reply = [this](base::slot_id member) {
         return this->callers->book().reply(member, this->state.clock());
     };
     return out;
--- a/src/greengagedrum/entry/fleet_test/cold_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/cold_fleet.cpp
@@ -61,15 +61,15 @@
 peer_events cold_fleet::events_of(node& of)
 {
     peer_events out;
-    out.load_changed = [] {};
-    out.items = [](const gossip::item_transfer&) {};
-    out.delegate = [&of] { of.state.delegating = true; };
-    out.place_alone = [&of](std::size_t, const handed_limits*) {
+    out.peer_load_changed = [] {};
+    out.items_received = [](const gossip::item_transfer&) {};
+    out.delegation_started = [&of] { of.state.delegating = true; };
+    out.delegation_ended = [&of](std::size_t, const handed_limits*) {
         of.state.delegating = false;
     };
-    out.report = [] { return dispatch::member_report(); };
-    out.replied = [](const dispatch::dispatcher_reply&) {};
-    out.member_reported = [this, &of](base::slot_id member,
+    out.make_report = [] { return dispatch::member_report(); };
+    out.reply_received = [](const dispatch::dispatcher_reply&) {};
+    out.report_received = [this, &of](base::slot_id member,
                                       const gossip::message& told) {
         this->books[of.number].report(
             member, told.life, told.report, told.uses);
@@ -77,10 +77,10 @@
     out.member_lost = [this, &of](base::slot_id member) {
         this->books[of.number].lost(member);
     };
-    out.members_unanswered = [this, &of] {
+    out.members_awaiting_reply = [this, &of] {
         return this->books[of.number].unanswered(this->fleet.time());
     };
-    out.reply = [this, &of](base::slot_id member) {
+    out.make_reply = [this, &of](base::slot_id member) {
         return this->books[of.number].reply(member, this->fleet.time());
     };
     return out;
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -99,24 +99,24 @@
 peer_events limited_fleet::events_of(node& of)
 {
     peer_events out;
-    out.load_changed = [] {};
-    out.items = [](const gossip::item_transfer&) {};
-    out.delegate = [this, &of] {
+    out.peer_load_changed = [] {};
+    out.items_received = [](const gossip::item_transfer&) {};
+    out.delegation_started = [this, &of] {
         of.state.delegating = true;
         const dispatch::request_changes news = this->of(of).book.lost_all();
         for (const dispatch::counted_cost& cost : news.withdrawn)
             of.state.limiter.withdrawn(
                 cost.workspace, cost.amount, this->fleet.time());
     };
-    out.place_alone = [this, &of](std::size_t unheard,
-                                  const handed_limits* known) {
+    out.delegation_ended = [this, &of](std::size_t unheard,
+                                       const handed_limits* known) {
         this->place_alone(of, unheard, known);
     };
-    out.report = [this, &of] { return this->report_of(of); };
-    out.replied = [this, &of](const dispatch::dispatcher_reply& what) {
+    out.make_report = [this, &of] { return this->report_of(of); };
+    out.reply_received = [this, &of](const dispatch::dispatcher_reply& what) {
         this->replied(of, what);
     };
-    out.member_reported = [this, &of](base::slot_id member,
+    out.report_received = [this, &of](base::slot_id member,
                                       const gossip::message& told) {
         this->reported(of, member, told);
     };
@@ -126,10 +126,10 @@
             of.state.limiter.withdrawn(
                 cost.workspace, cost.amount, this->fleet.time());
     };
-    out.members_unanswered = [this, &of] {
+    out.members_awaiting_reply = [this, &of] {
         return this->of(of).book.unanswered(this->fleet.time());
     };
-    out.reply = [this, &of](base::slot_id member) {
+    out.make_reply = [this, &of](base::slot_id member) {
         return this->of(of).book.reply(member, this->fleet.time());
     };
     return out;
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -344,7 +344,7 @@
             if (got && got->status == relay::status_ok) {
                 if (const auto items = gossip::decode_items(got->body)) {
                     this->passed = {items->life, items->changes};
-                    return this->events.items(*items);
+                    return this->events.items_received(*items);
                 }
             }
             this->state.log.write(
--- a/src/greengagedrum/entry/peer_link.hpp
+++ b/src/greengagedrum/entry/peer_link.hpp
@@ -24,24 +24,24 @@
 
 struct peer_events {
     // A peer's load has changed: places may be free.
-    std::function<void()> load_changed;
+    std::function<void()> peer_load_changed;
     // A peer passed items of the store.
-    std::function<void(const gossip::item_transfer&)> items;
+    std::function<void(const gossip::item_transfer&)> items_received;
     // Another entry places this one's requests from now on.
-    std::function<void()> delegate;
+    std::function<void()> delegation_started;
     // None does any more; so many entries may let requests through unheard.
     // `known`: what the one that did knew of limits, if it told lately.
     std::function<void(std::size_t unheard, const handed_limits* known)>
-        place_alone;
+        delegation_ended;
     // What the entry that places is told, and what it replied.
-    std::function<dispatch::member_report()> report;
-    std::function<void(const dispatch::dispatcher_reply&)> replied;
+    std::function<dispatch::member_report()> make_report;
+    std::function<void(const dispatch::dispatcher_reply&)> reply_received;
     // A member's report, with the loads that it sees, and a member's end.
-    std::function<void(base::slot_id, const gossip::message&)> member_reported;
+    std::function<void(base::slot_id, const gossip::message&)> report_received;
     std::function<void(base::slot_id)> member_lost;
     // Members that are to be told something, and what.
-    std::function<std::vector<base::slot_id>()> members_unanswered;
-    std::function<dispatch::dispatcher_reply(base::slot_id)> reply;
+    std::function<std::vector<base::slot_id>()> members_awaiting_reply;
+    std::function<dispatch::dispatcher_reply(base::slot_id)> make_reply;
 };
 
 // What an entry asks a peer for: items above a revision of the store, or, of a
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -84,7 +84,7 @@
     this->state.limiter.peer_told(
         slot, told.life, told.workspace_uses, told.stopping, now);
     if (this->state.scheduler.waiting() > 0)
-        this->events.load_changed();
+        this->events.peer_load_changed();
 }
 
 // Its limits are counted here from now on, and its load is what it shows.
@@ -100,7 +100,7 @@
     }
     this->members[slot] = {told.address, now};
     this->state.limiter.forget_peer(slot);
-    this->events.member_reported(slot, told);
+    this->events.report_received(slot, told);
     this->answer_members();
 }
 
@@ -112,7 +112,7 @@
         return;
     if (this->unanswered_report <= told.reply.report_taken)
         this->unanswered_report = 0;
-    this->events.replied(told.reply);
+    this->events.reply_received(told.reply);
 }
 
 // Of a dispatcher, to an entry next in line; and of one that stops, or that
@@ -236,16 +236,16 @@
         this->farewells = farewells_told;
         this->hand_over_limits(now);
         this->members.clear();
-        return this->events.delegate();
+        return this->events.delegation_started();
     }
     this->placing_since = now;
     const bool handed =
         this->limits && now - this->limits->told_at <= limits_hold;
     const bool planned = handed && this->limits->stopping;
     this->unheard_alone = planned ? 0 : this->order.known_nearby(now);
-    this->events.place_alone(this->order.unheard_data_centres(now) +
-                                 this->unheard_alone,
-                             handed ? &*this->limits : nullptr);
+    this->events.delegation_ended(this->order.unheard_data_centres(now) +
+                                      this->unheard_alone,
+                                  handed ? &*this->limits : nullptr);
     this->limits.reset();
 }
 
--- a/src/greengagedrum/entry/peer_telling.cpp
+++ b/src/greengagedrum/entry/peer_telling.cpp
@@ -103,7 +103,7 @@
         return;
     gossip::message out = this->own_message(gossip::message_kind::report);
     out.uses = this->state.scheduler.own_uses(now);
-    out.report = this->events.report();
+    out.report = this->events.make_report();
     out.suspects = this->suspects_for(this->suspects_to_near, now);
     this->reported_at = now;
     this->unanswered_report = out.sequence;
@@ -120,7 +120,7 @@
         gossip::message out = this->own_message(gossip::message_kind::report);
         if (this->state.delegating && !this->dispatcher) {
             out.uses = this->state.scheduler.own_uses(now);
-            out.report = this->events.report();
+            out.report = this->events.make_report();
         }
         const std::string bytes = gossip::encode(out);
         for (const gossip::ip_number address : to_try) {
@@ -171,7 +171,7 @@
         gossip::message out = this->own_message(gossip::message_kind::reply);
         out.known = known;
         out.suspects = suspects;
-        out.reply = this->events.reply(slot);
+        out.reply = this->events.make_reply(slot);
         if (std::find(next.begin(), next.end(), one.address) != next.end())
             out.workspace_uses = this->state.limiter.window_uses(now);
         this->transport.send(gossip::encode(out), one.address);
@@ -182,10 +182,10 @@
 {
     if (this->state.delegating)
         return;
-    for (const base::slot_id slot : this->events.members_unanswered()) {
+    for (const base::slot_id slot : this->events.members_awaiting_reply()) {
         const auto found = this->members.find(slot);
         gossip::message out = this->own_message(gossip::message_kind::reply);
-        out.reply = this->events.reply(slot);
+        out.reply = this->events.make_reply(slot);
         if (found != this->members.end())
             this->transport.send(gossip::encode(out), found->second.address);
     }
