--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -72,7 +72,7 @@
         std::make_unique<front>(this->context, given.callers, this->state);
     this->callers->uses_changed = [this] {
         if (this->peers)
-            this->peers->tell_soon();
+            this->peers->schedule_gossip();
     };
     this->peer_datagrams =
         std::make_unique<peer_socket>(this->context, given.ip, given.peer_port);
@@ -184,7 +184,7 @@
             this->on_signal(number);
     });
     this->store->start();
-    this->peers->tell_soon();
+    this->peers->schedule_gossip();
     this->schedule_tick();
     this->context.run();
     logs::write(logs::level::info,
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
@@ -115,7 +115,7 @@
                                     this->owner.events(fresh),
                                     std::move(transport));
     fresh.link->store_answered();
-    fresh.link->tell_soon();
+    fresh.link->schedule_gossip();
 }
 
 // ---- Messages ---------------------------------------------------------------
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -194,7 +194,7 @@
 
 // ---- Telling --------------------------------------------------------------
 
-void peer_link::tell_soon()
+void peer_link::schedule_gossip()
 {
     this->schedule.changed();
     if (this->large)
--- a/src/greengagedrum/entry/peer_link.hpp
+++ b/src/greengagedrum/entry/peer_link.hpp
@@ -71,7 +71,7 @@
     void wake();
 
     // Tells soon, but not sooner than the least gap after the last message.
-    void tell_soon();
+    void schedule_gossip();
 
     // This entry stops: others are to place for it and in its place.
     void begin_stop();
--- a/src/greengagedrum/entry/peer_telling.cpp
+++ b/src/greengagedrum/entry/peer_telling.cpp
@@ -46,7 +46,7 @@
 {
     if (this->large && !this->state.delegating)
         this->tell_members(this->state.clock());
-    this->tell_soon();
+    this->schedule_gossip();
 }
 
 // Failure guarded against: a dispatcher stands still for some seconds, and goes
