--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -102,7 +102,7 @@
         this->on_store_failed(why);
     };
     store_told.answered = [this] { this->on_store_answered(); };
-    store_told.may_rest = [this] { return this->peers->store_is_read(); };
+    store_told.may_rest = [this] { return this->peers->peer_reads_store(); };
     this->store = std::make_unique<store_reader>(
         this->context, given.store, std::move(store_told));
     this->store->set_bound(given.bounds.news());
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
@@ -114,7 +114,7 @@
                                     fresh.state,
                                     this->owner.events(fresh),
                                     std::move(transport));
-    fresh.link->store_answered();
+    fresh.link->record_store_answer();
     fresh.link->schedule_gossip();
 }
 
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -89,10 +89,10 @@
       dispatcher_at(state.clock()), placing_since(state.clock())
 {
     state.scheduler.set_slow_start_share(this->share);
-    this->reseed(given);
+    this->apply_settings(given);
 }
 
-void peer_link::reseed(const settings& given)
+void peer_link::apply_settings(const settings& given)
 {
     this->own = given;
     for (const base::ip_endpoint& one : given.seeds)
@@ -180,7 +180,7 @@
 // reads for itself); a store that lost its history tells a reader of a change
 // after later ones, which the newest change's revision does not show (each
 // entry reads for itself well within the bounds all the same).
-bool peer_link::store_is_read() const
+bool peer_link::peer_reads_store() const
 {
     const base::instant now = this->state.clock();
     const base::duration bound =
--- a/src/greengagedrum/entry/peer_link.hpp
+++ b/src/greengagedrum/entry/peer_link.hpp
@@ -82,10 +82,10 @@
 
     // Another entry is to read the store for this one, and what was heard of
     // it lately shows that someone does.
-    bool store_is_read() const;
-    void store_answered() { this->own_read_at = this->state.clock(); }
+    bool peer_reads_store() const;
+    void record_store_answer() { this->own_read_at = this->state.clock(); }
 
-    void reseed(const settings& given);
+    void apply_settings(const settings& given);
 
     std::size_t alive() const;
     std::size_t alive_lately() const;
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -112,7 +112,7 @@
 {
     const base::instant now = this->state.clock();
     this->state.known.store_answered(now);
-    this->peers->store_answered();
+    this->peers->record_store_answer();
     if (this->store_away)
         logs::write(
             logs::level::info,
@@ -209,7 +209,7 @@
     this->own.seeds = changed->seeds;
     this->state.regions = changed->regions;
     this->apply_bounds();
-    this->peers->reseed(*changed);
+    this->peers->apply_settings(*changed);
     logs::write(logs::level::info, "entry", "settings_reloaded");
 }
 
