--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -263,7 +263,7 @@
     set(telemetry::gauge::requests_in_flight,
         static_cast<double>(this->state.scheduler.in_flight()));
     set(telemetry::gauge::peers_linked,
-        static_cast<double>(this->peers->alive()));
+        static_cast<double>(this->peers->live_peers()));
     set(telemetry::gauge::upstreams_live,
         static_cast<double>(this->state.known.upstreams().usable_count()));
     set(telemetry::gauge::data_centres_evacuated,
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -100,12 +100,12 @@
             relay::asio::ip::make_address_v4(one.ip).to_uint());
 }
 
-std::size_t peer_link::alive() const
+std::size_t peer_link::live_peers() const
 {
     return this->table.alive(this->state.clock());
 }
 
-std::size_t peer_link::alive_lately() const
+std::size_t peer_link::recently_live_peers() const
 {
     return this->table.alive_lately(this->state.clock());
 }
--- a/src/greengagedrum/entry/peer_link.hpp
+++ b/src/greengagedrum/entry/peer_link.hpp
@@ -87,8 +87,8 @@
 
     void apply_settings(const settings& given);
 
-    std::size_t alive() const;
-    std::size_t alive_lately() const;
+    std::size_t live_peers() const;
+    std::size_t recently_live_peers() const;
 
 private:
     void tell_due();
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -197,7 +197,8 @@
     if (!this->large) {
         this->dispatcher.reset();
         this->set_role(false, now);
-        this->schedule.set_peers(this->table.alive_near(now), this->alive());
+        this->schedule.set_peers(this->table.alive_near(now),
+                                 this->live_peers());
         return;
     }
     this->order.set_serving(this->is_serving());
