--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -86,7 +86,7 @@
         [this](std::string_view bytes, const std::string& from) {
             this->peers->on_message(bytes, from);
         },
-        [this] { this->peers->wake(); });
+        [this] { this->peers->on_timer(); });
     store_events store_told;
     store_told.news = [this](const routing::item_list& items,
                              std::uint64_t as_of,
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
@@ -99,8 +99,8 @@
         this->sent_bytes[fresh.number] += bytes.size();
         this->send(fresh.address, to, bytes);
     };
-    transport.wake_after = [this, &fresh](base::duration after) {
-        fresh.wakes_at = this->now + after;
+    transport.start_timer = [this, &fresh](base::duration after) {
+        fresh.timer_due_at = this->now + after;
     };
     transport.ask = [](const base::ip_endpoint&,
                        const std::string&,
@@ -162,9 +162,9 @@
 {
     if (one.frozen_until > this->now)
         return;
-    if (one.wakes_at && *one.wakes_at <= this->now) {
-        one.wakes_at.reset();
-        one.link->wake();
+    if (one.timer_due_at && *one.timer_due_at <= this->now) {
+        one.timer_due_at.reset();
+        one.link->on_timer();
     }
     const auto turn = (this->now - this->begun) / step_length;
     constexpr auto turns = tick_gap / step_length;
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
@@ -50,7 +50,7 @@
         gossip::ip_number address = 0;
         shared_state state;
         std::unique_ptr<peer_link> link;
-        std::optional<base::instant> wakes_at;
+        std::optional<base::instant> timer_due_at;
         base::instant stopped_at;
         base::instant frozen_until;
     };
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -208,15 +208,15 @@
 void peer_link::set_timer()
 {
     const auto next = this->schedule.next();
-    if (!next || (this->wakes_at && *this->wakes_at <= *next))
+    if (!next || (this->timer_due_at && *this->timer_due_at <= *next))
         return;
-    this->wakes_at = next;
-    this->transport.wake_after(*next - this->state.clock());
+    this->timer_due_at = next;
+    this->transport.start_timer(*next - this->state.clock());
 }
 
-void peer_link::wake()
+void peer_link::on_timer()
 {
-    this->wakes_at.reset();
+    this->timer_due_at.reset();
     this->tell_due();
     this->set_timer();
 }
--- a/src/greengagedrum/entry/peer_link.hpp
+++ b/src/greengagedrum/entry/peer_link.hpp
@@ -68,7 +68,7 @@
     void on_message(std::string_view bytes, const std::string& from);
 
     // The time that the transport was told has passed.
-    void wake();
+    void on_timer();
 
     // Tells soon, but not sooner than the least gap after the last message.
     void schedule_gossip();
@@ -147,7 +147,7 @@
     gossip::peer_table table;
     std::uint64_t sequence = 0;
     gossip::gossip_schedule schedule;
-    std::optional<base::instant> wakes_at; // by the transport
+    std::optional<base::instant> timer_due_at; // by the transport
     base::instant looked_at;
     base::instant asked_at;
     base::instant own_read_at;  // the store's last answer, to this entry
--- a/src/greengagedrum/entry/peer_socket.cpp
+++ b/src/greengagedrum/entry/peer_socket.cpp
@@ -23,7 +23,9 @@
     out.send = [this](std::string_view told, gossip::ip_number to) {
         this->send(told, to);
     };
-    out.wake_after = [this](base::duration after) { this->wake_after(after); };
+    out.start_timer = [this](base::duration after) {
+        this->start_timer(after);
+    };
     out.ask = [this](const base::ip_endpoint& of,
                      const std::string& target,
                      base::duration bound,
@@ -36,7 +38,7 @@
 void peer_socket::begin(on_datagram told, std::function<void()> due)
 {
     this->arrived = std::move(told);
-    this->wake = std::move(due);
+    this->on_timer = std::move(due);
     this->receive();
 }
 
@@ -65,12 +67,12 @@
         relay::asio::buffer(told.data(), told.size()), receiver, 0, ignored);
 }
 
-void peer_socket::wake_after(base::duration after)
+void peer_socket::start_timer(base::duration after)
 {
     this->timer.expires_after(after);
     this->timer.async_wait([this](relay::error_code fault) {
         if (!fault)
-            this->wake();
+            this->on_timer();
     });
 }
 
--- a/src/greengagedrum/entry/peer_socket.hpp
+++ b/src/greengagedrum/entry/peer_socket.hpp
@@ -26,12 +26,12 @@
     // Valid as long as this object is.
     peer_transport transport();
 
-    void begin(on_datagram arrived, std::function<void()> wake);
+    void begin(on_datagram arrived, std::function<void()> on_timer);
 
 private:
     void receive();
     void send(std::string_view bytes, gossip::ip_number to);
-    void wake_after(base::duration after);
+    void start_timer(base::duration after);
 
     relay::udp::socket socket;
     relay::udp::endpoint sender;
@@ -41,7 +41,7 @@
     std::shared_ptr<relay::http_get> client;
     std::uint16_t port;
     on_datagram arrived;
-    std::function<void()> wake;
+    std::function<void()> on_timer;
 };
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/peer_transport.hpp
+++ b/src/greengagedrum/entry/peer_transport.hpp
@@ -18,8 +18,8 @@
     // One that can't be sent is lost like any other datagram.
     std::function<void(std::string_view bytes, gossip::ip_number to)> send;
 
-    // `wake` of the link is due so soon.
-    std::function<void(base::duration after)> wake_after;
+    // `on_timer` of the link is due so soon.
+    std::function<void(base::duration after)> start_timer;
 
     // Asks a peer's control address; one question at a time.
     std::function<void(const base::ip_endpoint& of,
