--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -82,7 +82,7 @@
                                     this->state,
                                     this->told_by_peers(),
                                     this->peer_datagrams->transport());
-    this->peer_datagrams->begin(
+    this->peer_datagrams->start(
         [this](std::string_view bytes, const std::string& from) {
             this->peers->on_message(bytes, from);
         },
--- a/src/greengagedrum/entry/peer_socket.cpp
+++ b/src/greengagedrum/entry/peer_socket.cpp
@@ -35,7 +35,7 @@
     return out;
 }
 
-void peer_socket::begin(on_datagram told, std::function<void()> due)
+void peer_socket::start(datagram_handler told, std::function<void()> due)
 {
     this->arrived = std::move(told);
     this->on_timer = std::move(due);
--- a/src/greengagedrum/entry/peer_socket.hpp
+++ b/src/greengagedrum/entry/peer_socket.hpp
@@ -16,7 +16,7 @@
 class peer_socket
 {
 public:
-    using on_datagram =
+    using datagram_handler =
         std::function<void(std::string_view bytes, const std::string& from)>;
 
     peer_socket(relay::asio::io_context& context,
@@ -26,7 +26,7 @@
     // Valid as long as this object is.
     peer_transport transport();
 
-    void begin(on_datagram arrived, std::function<void()> on_timer);
+    void start(datagram_handler arrived, std::function<void()> on_timer);
 
 private:
     void receive();
@@ -40,7 +40,7 @@
     relay::asio::steady_timer timer;
     std::shared_ptr<relay::http_get> client;
     std::uint16_t port;
-    on_datagram arrived;
+    datagram_handler arrived;
     std::function<void()> on_timer;
 };
 
