--- a/src/greengagedrum/entry/exchange.cpp
+++ b/src/greengagedrum/entry/exchange.cpp
@@ -41,7 +41,7 @@
 
 exchange::exchange(relay::asio::io_context& context,
                    relay::caller_ptr caller,
-                   request_origin origin,
+                   request_info origin,
                    owner_events events)
     : context(context), caller(std::move(caller)), origin(std::move(origin)),
       events(std::move(events))
--- a/src/greengagedrum/entry/exchange.hpp
+++ b/src/greengagedrum/entry/exchange.hpp
@@ -18,7 +18,7 @@
 {
 
 // What is known of a request beside what decisions need.
-struct request_origin {
+struct request_info {
     base::request_id id;
     platform::request_marks marks;
     std::string workspace; // empty: none
@@ -45,7 +45,7 @@
 
     exchange(relay::asio::io_context& context,
              relay::caller_ptr caller,
-             request_origin origin,
+             request_info origin,
              owner_events events);
 
     void send(std::uint32_t number,
@@ -64,7 +64,7 @@
     // Reads on once the caller has taken what was sent.
     void relieve();
 
-    const request_origin& source() const { return this->origin; }
+    const request_info& info() const { return this->origin; }
     unsigned status() const { return this->answer.status; }
     const relay::caller_ptr& from() const { return this->caller; }
 
@@ -85,7 +85,7 @@
 
     relay::asio::io_context& context;
     relay::caller_ptr caller;
-    request_origin origin;
+    request_info origin;
     owner_events events;
     std::shared_ptr<relay::upstream_call> call;
     std::uint32_t number = 0;
--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -259,7 +259,7 @@
 }
 
 std::shared_ptr<exchange> front::make_exchange(const relay::caller_ptr& from,
-                                               request_origin origin)
+                                               request_info origin)
 {
     exchange::owner_events owner;
     const base::request_id id = origin.id;
@@ -286,7 +286,7 @@
         this->state.clock(),
         "front",
         "caller_left",
-        {{"request", wire->source().marks.attempt},
+        {{"request", wire->info().marks.attempt},
          {"after_ms",
           milliseconds(this->state.clock() - request->second.arrived)}});
     wire->abandon();
--- a/src/greengagedrum/entry/front.hpp
+++ b/src/greengagedrum/entry/front.hpp
@@ -118,7 +118,7 @@
 
     // What was found out about a request before it is decided on.
     struct admitted {
-        request_origin origin;
+        request_info origin;
         traffic::request_facts facts;
         base::workspace_id workspace;
         double cost = 0;
@@ -140,7 +140,7 @@
                 const std::string& attempt,
                 const relay::own_answer& what);
     std::shared_ptr<exchange> make_exchange(const relay::caller_ptr& from,
-                                            request_origin origin);
+                                            request_info origin);
     void told(const traffic::event& what);
     void decide_backlog();
     void reported(base::request_id id, const send_report& what);
