--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -176,7 +176,7 @@
     if (order.verdict.run == base::run_state::not_run)
         this->return_cost(found->second);
     this->finish(order.request, &order.verdict);
-    wire->end(order.verdict);
+    wire->fail(order.verdict);
 }
 
 // One connect for all whose connections to it were lost.
@@ -258,7 +258,7 @@
              {"waiting", this->state.scheduler.waiting()},
              {"retry_after_ms",
               milliseconds(failed->retry_after.value_or(base::duration(0)))}});
-    this->by_caller.erase(wire->from().get());
+    this->by_caller.erase(wire->caller_connection().get());
     this->sent_to.erase(id);
     this->requests.erase(found);
 }
--- a/src/greengagedrum/entry/exchange.cpp
+++ b/src/greengagedrum/entry/exchange.cpp
@@ -190,7 +190,7 @@
         traffic::progressed{this->origin.id, this->number, this->events_seen});
 }
 
-void exchange::relieve()
+void exchange::resume_reading()
 {
     if (!this->held_back || !this->call ||
         this->caller->unsent() > behind_little)
@@ -281,7 +281,7 @@
     this->caller->end_pieces();
 }
 
-void exchange::end(const base::verdict& verdict)
+void exchange::fail(const base::verdict& verdict)
 {
     this->stop_send();
     // An answer that was begun can't be taken back: it must not look whole.
--- a/src/greengagedrum/entry/exchange.hpp
+++ b/src/greengagedrum/entry/exchange.hpp
@@ -55,18 +55,18 @@
 
     // The upstream's answer goes to the caller, or ends there.
     void deliver(bool closing);
-    void end(const base::verdict& verdict);
+    void fail(const base::verdict& verdict);
 
     // The caller has left. What may be repeated is broken off; any other
     // request runs to its end at its upstream, and its answer is dropped.
     void abandon();
 
     // Reads on once the caller has taken what was sent.
-    void relieve();
+    void resume_reading();
 
     const request_info& info() const { return this->origin; }
     unsigned status() const { return this->answer.status; }
-    const relay::caller_ptr& from() const { return this->caller; }
+    const relay::caller_ptr& caller_connection() const { return this->caller; }
 
 private:
     std::string request_text(const routing::published_upstream& to,
--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -326,7 +326,7 @@
     for (const relay::caller_ptr& one : all)
         one->check_time(now, limits);
     for (auto& [id, request] : this->requests)
-        request.wire->relieve();
+        request.wire->resume_reading();
 }
 
 // ---- Stopping -------------------------------------------------------------
