--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -263,7 +263,7 @@
     this->requests.erase(found);
 }
 
-void front::reported(base::request_id id, const send_report& what)
+void front::reported(base::request_id id, const send_outcome& what)
 {
     const auto found = this->requests.find(id);
     if (found == this->requests.end())
@@ -272,15 +272,15 @@
     const base::instant now = this->state.clock();
     this->state.log.write(now,
                           "exchange",
-                          what.why.empty() ? "send_answered" : "send_failed",
+                          what.error.empty() ? "send_answered" : "send_failed",
                           {{"request", request.wire->info().marks.attempt},
                            {"digest", base::to_hex(request.digest)},
-                           {"send", what.send},
+                           {"send", what.send_number},
                            {"upstream", request.upstream},
                            {"ran_ms", milliseconds(now - request.last_sent_at)},
                            {"status", what.status},
-                           {"events", what.events},
-                           {"why", what.why}});
+                           {"events", what.event_count},
+                           {"why", what.error}});
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/exchange.cpp
+++ b/src/greengagedrum/entry/exchange.cpp
@@ -85,7 +85,7 @@
     out.not_connected = [self] {
         self->call.reset();
         self->report("no connection");
-        self->events.told(traffic::not_sent{self->origin.id, self->number});
+        self->events.on_event(traffic::not_sent{self->origin.id, self->number});
     };
     out.head = [self] { self->on_head(); };
     out.body = [self](std::string_view bytes) { self->on_body(bytes); };
@@ -186,7 +186,7 @@
         this->held_back = true;
         this->call->pause(true);
     }
-    this->events.told(
+    this->events.on_event(
         traffic::progressed{this->origin.id, this->number, this->events_seen});
 }
 
@@ -204,7 +204,7 @@
     this->call.reset();
     if (this->streaming) {
         this->report({});
-        this->events.told(
+        this->events.on_event(
             traffic::answered{this->origin.id, this->number, true});
         return;
     }
@@ -224,7 +224,7 @@
     if ((misdirected || marks.not_run) && !of_another) {
         this->report(misdirected ? "another upstream answers there"
                                  : "turned away");
-        this->events.told(
+        this->events.on_event(
             traffic::turned_away{this->origin.id,
                                  this->number,
                                  misdirected ? traffic::turn_away::misdirected
@@ -235,7 +235,7 @@
     if (!fault.empty())
         return this->on_broken(traffic::break_cause::malformed, fault);
     this->report({});
-    this->events.told(
+    this->events.on_event(
         traffic::answered{this->origin.id,
                           this->number,
                           this->answer.status < first_server_error});
@@ -245,12 +245,13 @@
 {
     this->call.reset();
     this->report(why);
-    this->events.told(traffic::broken{this->origin.id, this->number, cause});
+    this->events.on_event(
+        traffic::broken{this->origin.id, this->number, cause});
 }
 
 void exchange::report(std::string why) const
 {
-    this->events.reported(send_report{
+    this->events.on_send_ended(send_outcome{
         this->number, this->answer.status, this->events_seen, std::move(why)});
 }
 
@@ -299,7 +300,7 @@
     if (!leave_running)
         return this->stop_send();
     // Its call holds it until it ends; nobody is told.
-    this->events.told = [](const traffic::event&) {};
+    this->events.on_event = [](const traffic::event&) {};
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/exchange.hpp
+++ b/src/greengagedrum/entry/exchange.hpp
@@ -28,19 +28,19 @@
 };
 
 // How one send ended, for the log.
-struct send_report {
-    std::uint32_t send = 0;
+struct send_outcome {
+    std::uint32_t send_number = 0;
     unsigned status = 0; // 0: no answer
-    std::uint32_t events = 0;
-    std::string why; // empty: a whole answer
+    std::uint32_t event_count = 0;
+    std::string error; // empty: a whole answer
 };
 
 class exchange : public std::enable_shared_from_this<exchange>
 {
 public:
     struct owner_events {
-        std::function<void(const traffic::event&)> told;
-        std::function<void(const send_report&)> reported;
+        std::function<void(const traffic::event&)> on_event;
+        std::function<void(const send_outcome&)> on_send_ended;
     };
 
     exchange(relay::asio::io_context& context,
--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -263,8 +263,8 @@
 {
     exchange::owner_events owner;
     const base::request_id id = origin.id;
-    owner.told = [this](const traffic::event& what) { this->told(what); };
-    owner.reported = [this, id](const send_report& what) {
+    owner.on_event = [this](const traffic::event& what) { this->told(what); };
+    owner.on_send_ended = [this, id](const send_outcome& what) {
         this->reported(id, what);
     };
     return std::make_shared<exchange>(
--- a/src/greengagedrum/entry/front.hpp
+++ b/src/greengagedrum/entry/front.hpp
@@ -143,7 +143,7 @@
                                             request_info origin);
     void told(const traffic::event& what);
     void decide_backlog();
-    void reported(base::request_id id, const send_report& what);
+    void reported(base::request_id id, const send_outcome& what);
     void note_progress(const traffic::event& what);
     void misdirected(base::upstream_id upstream);
     void note_misdirection(const traffic::event& what);
