--- a/src/greengagedrum/entry/fleet_test/cold_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/cold_fleet.cpp
@@ -30,7 +30,7 @@
     virtual_fleet::hooks out;
     out.configure = [this](node& one) { this->configure(one); };
     out.events = [this](node& one) { return this->events_of(one); };
-    out.stepped = [this](node& one) { this->ask(one); };
+    out.after_step = [this](node& one) { this->ask(one); };
     return out;
 }
 
--- a/src/greengagedrum/entry/fleet_test/cold_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/cold_fleet.hpp
@@ -11,7 +11,7 @@
 namespace greengagedrum::entry::fleet_test
 {
 
-struct cold_plan : trouble_plan {
+struct cold_plan : fault_plan {
     std::uint32_t sends = 7; // to a cold upstream in a second
 };
 
--- a/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
@@ -39,12 +39,12 @@
     virtual_fleet::hooks out;
     out.configure = [this](node& one) { this->configure(one); };
     out.events = [this](node& one) { return this->events_of(one); };
-    out.stepped = [this](node& one) {
+    out.after_step = [this](node& one) {
         traffic::actions orders;
         one.state.scheduler.tick(this->fleet.time(), orders);
         this->carry_out(one, orders);
     };
-    out.ends = [this](node& one) {
+    out.before_stop = [this](node& one) {
         for (upstream& each : this->upstreams)
             std::erase_if(each.runs, [&](const run& its) {
                 return its.entry == one.number;
--- a/src/greengagedrum/entry/fleet_test/crashing_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/crashing_fleet.hpp
@@ -16,7 +16,7 @@
 namespace greengagedrum::entry::fleet_test
 {
 
-struct crash_plan : trouble_plan {
+struct crash_plan : fault_plan {
     std::size_t upstreams = 9;
     base::duration crash_gap = std::chrono::milliseconds(700); // between copies
     std::size_t copies = 1; // of the request, at once at different entries
--- a/src/greengagedrum/entry/fleet_test/fleet_trouble.cpp
+++ b/src/greengagedrum/entry/fleet_test/fault_injection.cpp
@@ -34,7 +34,7 @@
 {
     if (!this->nodes[number])
         return;
-    this->owner.ends(*this->nodes[number]);
+    this->owner.before_stop(*this->nodes[number]);
     this->nodes[number].reset();
     this->back_at[number] = this->now + start_takes;
 }
@@ -89,8 +89,9 @@
                                 this->plan.frozen_for * 1e6));
         });
     }
-    if (this->seconds() >= this->plan.most_gone_at) {
-        for (std::size_t number = this->plan.left; number < this->nodes.size();
+    if (this->seconds() >= this->plan.shrinks_at) {
+        for (std::size_t number = this->plan.remaining_entries;
+             number < this->nodes.size();
              ++number) {
             this->end(number);
             this->back_at[number] = base::instant::max();
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -32,8 +32,8 @@
     virtual_fleet::hooks out;
     out.configure = [this](node& one) { this->configure(one); };
     out.events = [this](node& one) { return this->events_of(one); };
-    out.stepped = [this](node& one) { this->count_changes(one); };
-    out.ends = [this](node& one) {
+    out.after_step = [this](node& one) { this->count_changes(one); };
+    out.before_stop = [this](node& one) {
         if (one.state.stopping)
             this->result.unanswered +=
                 static_cast<std::uint32_t>(this->of(one).requests.size());
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
@@ -14,7 +14,7 @@
 namespace greengagedrum::entry::fleet_test
 {
 
-struct fleet_plan : trouble_plan {
+struct fleet_plan : fault_plan {
     double demand = 0.55;  // of the limit's rate
     double requests = 100; // a second, in all
 };
--- a/src/greengagedrum/entry/fleet_test/limited_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet_test.cpp
@@ -125,8 +125,8 @@
     fleet_plan plan;
     plan.entries = 34;
     plan.data_centres = 1;
-    plan.most_gone_at = 5;
-    plan.left = 20;
+    plan.shrinks_at = 5;
+    plan.remaining_entries = 20;
     plan.seconds = 70;
     CHECK(played(plan).kept_for_absent == 0);
 }
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
@@ -31,7 +31,7 @@
 {
 }
 
-virtual_fleet::virtual_fleet(const trouble_plan& plan, hooks owner)
+virtual_fleet::virtual_fleet(const fault_plan& plan, hooks owner)
     : plan(plan), owner(std::move(owner)), begun(1h), now(1h),
       nodes(plan.entries), back_at(plan.entries), sent_bytes(plan.entries)
 {
@@ -170,7 +170,7 @@
     constexpr auto turns = tick_gap / step_length;
     if ((turn + static_cast<std::int64_t>(one.number)) % turns == 0)
         one.link->tick(false);
-    this->owner.stepped(one);
+    this->owner.after_step(one);
 }
 
 void virtual_fleet::step()
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
@@ -17,7 +17,7 @@
 // The address of the entry of number 0; the others follow.
 inline constexpr gossip::ip_number first_address = 0x0a000001; // 10.0.0.1
 
-struct trouble_plan {
+struct fault_plan {
     std::size_t entries = 86;
     std::size_t data_centres = 4;
     double seconds = 30;
@@ -33,8 +33,8 @@
     double cut_from = 1e9;
     double cut_for = 10;
     // All but the first few are gone for good.
-    double most_gone_at = 1e9;
-    std::size_t left = 0;
+    double shrinks_at = 1e9;
+    std::size_t remaining_entries = 0;
     double lost_share = 0; // of all datagrams
     std::uint64_t seed = 1;
 };
@@ -59,12 +59,12 @@
         // A process starts: what it is to know, and what it does for its link.
         std::function<void(node&)> configure;
         std::function<peer_events(node&)> events;
-        std::function<void(node&)> stepped = [](node&) {};
+        std::function<void(node&)> after_step = [](node&) {};
         // It is about to be gone.
-        std::function<void(node&)> ends = [](node&) {};
+        std::function<void(node&)> before_stop = [](node&) {};
     };
 
-    virtual_fleet(const trouble_plan& plan, hooks owner);
+    virtual_fleet(const fault_plan& plan, hooks owner);
     ~virtual_fleet();
     virtual_fleet(const virtual_fleet&) = delete;
     virtual_fleet& operator=(const virtual_fleet&) = delete;
@@ -102,7 +102,7 @@
     void trouble_due();
     void step(node& one);
 
-    trouble_plan plan;
+    fault_plan plan;
     hooks owner;
     base::instant begun;
     base::instant now;
