--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -77,11 +77,11 @@
     this->peer_datagrams =
         std::make_unique<peer_socket>(this->context, given.ip, given.peer_port);
     this->peers =
-        std::make_unique<peer_link>(given,
-                                    this->life,
-                                    this->state,
-                                    this->told_by_peers(),
-                                    this->peer_datagrams->transport());
+        std::make_unique<peer_protocol>(given,
+                                        this->life,
+                                        this->state,
+                                        this->told_by_peers(),
+                                        this->peer_datagrams->transport());
     this->peer_datagrams->start(
         [this](std::string_view bytes, const std::string& from) {
             this->peers->on_message(bytes, from);
--- a/src/greengagedrum/entry/entry.hpp
+++ b/src/greengagedrum/entry/entry.hpp
@@ -6,7 +6,7 @@
 #pragma once
 
 #include <greengagedrum/entry/front.hpp>
-#include <greengagedrum/entry/peer_link.hpp>
+#include <greengagedrum/entry/peer_protocol.hpp>
 #include <greengagedrum/entry/peer_socket.hpp>
 #include <greengagedrum/entry/settings.hpp>
 #include <greengagedrum/entry/store_reader.hpp>
@@ -75,7 +75,7 @@
     boost::asio::signal_set signals;
     std::unique_ptr<front> callers;
     std::unique_ptr<peer_socket> peer_datagrams;
-    std::unique_ptr<peer_link> peers;
+    std::unique_ptr<peer_protocol> peers;
     std::unique_ptr<store_reader> store;
     std::unique_ptr<relay::small_server> readiness;
     std::unique_ptr<relay::small_server> control;
--- a/src/greengagedrum/entry/fleet_test/fault_injection.cpp
+++ b/src/greengagedrum/entry/fleet_test/fault_injection.cpp
@@ -64,7 +64,7 @@
         return;
     stopped->state.stopping = true;
     stopped->stopped_at = this->now;
-    stopped->link->begin_stop();
+    stopped->protocol->begin_stop();
 }
 
 void virtual_fleet::trouble_due()
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -149,7 +149,7 @@
     if (at.state.delegating) {
         this->of(at).requests[this->next_request++] = {
             this->fleet.time(), cost, false};
-        at.link->schedule_gossip();
+        at.protocol->schedule_gossip();
         return;
     }
     if (at.state.limiter.take(busy, cost, 0, this->fleet.time())) {
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
@@ -108,14 +108,14 @@
                        const relay::http_get::answer& tell) {
         tell(tl::unexpected(std::string("not played")));
     };
-    fresh.link =
-        std::make_unique<peer_link>(this->settings_of(number),
-                                    base::incarnation{this->next_life++},
-                                    fresh.state,
-                                    this->owner.events(fresh),
-                                    std::move(transport));
-    fresh.link->record_store_answer();
-    fresh.link->schedule_gossip();
+    fresh.protocol =
+        std::make_unique<peer_protocol>(this->settings_of(number),
+                                        base::incarnation{this->next_life++},
+                                        fresh.state,
+                                        this->owner.events(fresh),
+                                        std::move(transport));
+    fresh.protocol->record_store_answer();
+    fresh.protocol->schedule_gossip();
 }
 
 // ---- Messages ---------------------------------------------------------------
@@ -151,7 +151,7 @@
                 continue;
             node& to = *this->nodes[number];
             if (to.frozen_until <= this->now)
-                to.link->on_message(one.bytes, "");
+                to.protocol->on_message(one.bytes, "");
         }
     }
 }
@@ -164,12 +164,12 @@
         return;
     if (one.timer_due_at && *one.timer_due_at <= this->now) {
         one.timer_due_at.reset();
-        one.link->on_timer();
+        one.protocol->on_timer();
     }
     const auto turn = (this->now - this->begun) / step_length;
     constexpr auto turns = tick_gap / step_length;
     if ((turn + static_cast<std::int64_t>(one.number)) % turns == 0)
-        one.link->tick(false);
+        one.protocol->tick(false);
     this->owner.after_step(one);
 }
 
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include <greengagedrum/dispatch/dispatcher_book.hpp>
-#include <greengagedrum/entry/peer_link.hpp>
+#include <greengagedrum/entry/peer_protocol.hpp>
 
 #include <deque>
 #include <functional>
@@ -49,7 +49,7 @@
         std::size_t number = 0;
         gossip::ip_number address = 0;
         shared_state state;
-        std::unique_ptr<peer_link> link;
+        std::unique_ptr<peer_protocol> protocol;
         std::optional<base::instant> timer_due_at;
         base::instant stopped_at;
         base::instant frozen_until;
--- a/src/greengagedrum/entry/peer_counting.cpp
+++ b/src/greengagedrum/entry/peer_counting.cpp
@@ -1,5 +1,5 @@
 // How many entries place requests, and which of them limits keep a part for.
-#include <greengagedrum/entry/peer_link.hpp>
+#include <greengagedrum/entry/peer_protocol.hpp>
 
 #include <algorithm>
 
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void peer_link::count_entries(base::instant now)
+void peer_protocol::count_entries(base::instant now)
 {
     this->note_awake(now);
     this->share_cold_upstreams(now);
@@ -34,7 +34,7 @@
 // Failure guarded against: an entry that is cut off from all others has no
 // members, places by itself, and would give each workspace its whole limit
 // beside the one that the others give.
-void peer_link::count_among_many(base::instant now)
+void peer_protocol::count_among_many(base::instant now)
 {
     const std::size_t all = this->order.size(now);
     const std::size_t placing = this->order.dispatchers(now) + 1;
@@ -63,7 +63,7 @@
 // Entries of this data centre that may let requests through where they can't be
 // heard. Members come one by one after a change of dispatchers; an entry with
 // none for longer is cut off.
-std::size_t peer_link::unheard_near(base::instant now) const
+std::size_t peer_protocol::unheard_near(base::instant now) const
 {
     const bool gathered = now - this->placing_since >= gather_time;
     if (this->members.empty())
@@ -77,7 +77,7 @@
 
 // Of the entries of this data centre, the part that reports to nobody that this
 // one hears. An entry with no members is counted for by unheard_near().
-double peer_link::unreported_part(base::instant now) const
+double peer_protocol::unreported_part(base::instant now) const
 {
     if (this->state.delegating || this->state.stopping ||
         this->members.empty() || now - this->placing_since < gather_time ||
@@ -93,7 +93,7 @@
 // Failure guarded against: a dispatcher falls silent and another one of its
 // data centre takes over. With a part of each limit kept for the first as for
 // one behind a cut, work within the limits was refused for half a minute.
-void peer_link::forget_replaced(base::instant now)
+void peer_protocol::forget_replaced(base::instant now)
 {
     std::erase_if(this->counting, [&](const auto& one) {
         if (!this->order.is_replaced(one.second, now))
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -1,4 +1,4 @@
-#include <greengagedrum/entry/peer_link.hpp>
+#include <greengagedrum/entry/peer_protocol.hpp>
 #include <greengagedrum/entry/store_reader.hpp>
 
 #include <algorithm>
@@ -70,11 +70,11 @@
     return out;
 }
 
-peer_link::peer_link(const settings& given,
-                     base::incarnation life,
-                     shared_state& state,
-                     peer_events events,
-                     peer_transport transport)
+peer_protocol::peer_protocol(const settings& given,
+                             base::incarnation life,
+                             shared_state& state,
+                             peer_events events,
+                             peer_transport transport)
     : own(given), life(life), state(state), events(std::move(events)),
       transport(std::move(transport)),
       table(relay::asio::ip::make_address_v4(given.ip).to_uint(),
@@ -92,7 +92,7 @@
     this->apply_settings(given);
 }
 
-void peer_link::apply_settings(const settings& given)
+void peer_protocol::apply_settings(const settings& given)
 {
     this->own = given;
     for (const base::ip_endpoint& one : given.seeds)
@@ -100,19 +100,19 @@
             relay::asio::ip::make_address_v4(one.ip).to_uint());
 }
 
-std::size_t peer_link::live_peers() const
+std::size_t peer_protocol::live_peers() const
 {
     return this->table.alive(this->state.clock());
 }
 
-std::size_t peer_link::recently_live_peers() const
+std::size_t peer_protocol::recently_live_peers() const
 {
     return this->table.alive_lately(this->state.clock());
 }
 
 // ---- Hearing --------------------------------------------------------------
 
-void peer_link::on_message(std::string_view bytes, const std::string& from)
+void peer_protocol::on_message(std::string_view bytes, const std::string& from)
 {
     const base::instant now = this->state.clock();
     const auto message = gossip::decode_message(bytes);
@@ -170,7 +170,7 @@
 }
 
 // When the newest answer that any peer had is older, nobody may be reading.
-base::duration peer_link::read_lately() const
+base::duration peer_protocol::read_lately() const
 {
     return store_reader::pause_of(this->own.bounds.news()) + answer_takes;
 }
@@ -180,7 +180,7 @@
 // reads for itself); a store that lost its history tells a reader of a change
 // after later ones, which the newest change's revision does not show (each
 // entry reads for itself well within the bounds all the same).
-bool peer_link::peer_reads_store() const
+bool peer_protocol::peer_reads_store() const
 {
     const base::instant now = this->state.clock();
     const base::duration bound =
@@ -194,7 +194,7 @@
 
 // ---- Telling --------------------------------------------------------------
 
-void peer_link::schedule_gossip()
+void peer_protocol::schedule_gossip()
 {
     this->schedule.changed();
     if (this->large)
@@ -205,7 +205,7 @@
 
 // A message that is owed sooner than the one that the timer is set for moves
 // it.
-void peer_link::set_timer()
+void peer_protocol::set_timer()
 {
     const auto next = this->schedule.next();
     if (!next || (this->timer_due_at && *this->timer_due_at <= *next))
@@ -214,14 +214,14 @@
     this->transport.start_timer(*next - this->state.clock());
 }
 
-void peer_link::on_timer()
+void peer_protocol::on_timer()
 {
     this->timer_due_at.reset();
     this->tell_due();
     this->set_timer();
 }
 
-gossip::message peer_link::own_message(gossip::message_kind kind)
+gossip::message peer_protocol::own_message(gossip::message_kind kind)
 {
     const base::instant now = this->state.clock();
     gossip::message out;
@@ -245,7 +245,7 @@
     return out;
 }
 
-gossip::message peer_link::own_load(gossip::audience who)
+gossip::message peer_protocol::own_load(gossip::audience who)
 {
     const base::instant now = this->state.clock();
     gossip::message out =
@@ -262,7 +262,7 @@
     return out;
 }
 
-void peer_link::tell_due()
+void peer_protocol::tell_due()
 {
     const base::instant now = this->state.clock();
     if (this->large)
@@ -274,7 +274,7 @@
     }
 }
 
-void peer_link::tell(gossip::audience who)
+void peer_protocol::tell(gossip::audience who)
 {
     const base::instant now = this->state.clock();
     this->schedule.told(who, now);
@@ -289,7 +289,7 @@
 
 // ---- Time -----------------------------------------------------------------
 
-void peer_link::tick(bool store_fails)
+void peer_protocol::tick(bool store_fails)
 {
     const base::instant now = this->state.clock();
     this->tell_due();
@@ -312,7 +312,7 @@
         this->ask_peer(now);
 }
 
-void peer_link::ask_peer(base::instant now)
+void peer_protocol::ask_peer(base::instant now)
 {
     if (this->asking || now - this->asked_at < ask_gap)
         return;
@@ -327,9 +327,9 @@
                         now);
 }
 
-void peer_link::ask_for_items(gossip::ip_number of,
-                              const item_query& what,
-                              base::instant now)
+void peer_protocol::ask_for_items(gossip::ip_number of,
+                                  const item_query& what,
+                                  base::instant now)
 {
     this->asking = true;
     this->asked_at = now;
--- a/src/greengagedrum/entry/peer_link.hpp
+++ b/src/greengagedrum/entry/peer_protocol.hpp
@@ -3,7 +3,7 @@
 //
 // Each message is whole, so a lost datagram is made good by the next, and a
 // connection that has gone silent can't be mistaken for a peer that has. Among
-// few entries each tells all others; among many, peer_telling.cpp says who
+// few entries each tells all others; among many, peer_sending.cpp says who
 // tells whom, and peer_roles.cpp what each of them is.
 #pragma once
 
@@ -55,14 +55,14 @@
 std::string item_query_target(const item_query& asked);
 std::optional<item_query> parse_item_query(std::string_view target);
 
-class peer_link
+class peer_protocol
 {
 public:
-    peer_link(const settings& given,
-              base::incarnation life,
-              shared_state& state,
-              peer_events events,
-              peer_transport transport);
+    peer_protocol(const settings& given,
+                  base::incarnation life,
+                  shared_state& state,
+                  peer_events events,
+                  peer_transport transport);
 
     // A datagram arrived; `from` is for the log.
     void on_message(std::string_view bytes, const std::string& from);
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -1,6 +1,6 @@
 // Among many entries: which of them places requests, and what is made of what
 // the others tell.
-#include <greengagedrum/entry/peer_link.hpp>
+#include <greengagedrum/entry/peer_protocol.hpp>
 #include <greengagedrum/entry/standing_log.hpp>
 
 #include <algorithm>
@@ -54,8 +54,8 @@
 
 // ---- Hearing --------------------------------------------------------------
 
-void peer_link::take_suspects(const gossip::message& received,
-                              base::instant now)
+void peer_protocol::take_suspects(const gossip::message& received,
+                                  base::instant now)
 {
     if (received.suspects.empty())
         return;
@@ -65,7 +65,7 @@
         log_standing(this->state, one, received.instance);
 }
 
-void peer_link::take_load(const gossip::message& told, base::instant now)
+void peer_protocol::take_load(const gossip::message& told, base::instant now)
 {
     const base::slot_id slot(told.instance);
     if (this->large &&
@@ -88,7 +88,7 @@
 }
 
 // Its limits are counted here from now on, and its load is what it shows.
-void peer_link::take_report(const gossip::message& told, base::instant now)
+void peer_protocol::take_report(const gossip::message& told, base::instant now)
 {
     if (!this->large)
         return;
@@ -104,7 +104,7 @@
     this->answer_members();
 }
 
-void peer_link::take_reply(const gossip::message& told, base::instant now)
+void peer_protocol::take_reply(const gossip::message& told, base::instant now)
 {
     this->take_limits(told, now);
     this->update_role(now);
@@ -117,7 +117,7 @@
 
 // Of a dispatcher, to an entry next in line; and of one that stops, or that
 // this one has taken over from.
-void peer_link::take_limits(const gossip::message& told, base::instant now)
+void peer_protocol::take_limits(const gossip::message& told, base::instant now)
 {
     const base::slot_id slot(told.instance);
     if (this->limits && this->limits->from == slot)
@@ -134,7 +134,8 @@
     this->limits = {slot, told.life, told.workspace_uses, told.stopping, now};
 }
 
-void peer_link::answer_greeting(const gossip::message& told, base::instant now)
+void peer_protocol::answer_greeting(const gossip::message& told,
+                                    base::instant now)
 {
     base::instant& answered = this->greetings_answered[told.address];
     if (now - answered < answer_gap)
@@ -151,7 +152,7 @@
 
 // Its dispatcher reads the store for a member, which is passed all that
 // changes.
-void peer_link::follow(const gossip::message& told, base::instant now)
+void peer_protocol::follow(const gossip::message& told, base::instant now)
 {
     this->dispatcher_digest = told.digest;
     if (told.digest == this->state.known.digest())
@@ -160,7 +161,8 @@
         this->ask_dispatcher(told, now);
 }
 
-void peer_link::ask_dispatcher(const gossip::message& told, base::instant now)
+void peer_protocol::ask_dispatcher(const gossip::message& told,
+                                   base::instant now)
 {
     const std::uint64_t known =
         this->passed.life == told.life ? this->passed.changes : 0;
@@ -170,7 +172,8 @@
 // Failure guarded against: the store turns the dispatcher away, or it hangs. A
 // few of those next in line read then, and all others once a change may be due.
 // With all of them reading now and then, 295 entries made 6,500 calls in 48 s.
-bool peer_link::dispatcher_reads(base::duration bound, base::instant now) const
+bool peer_protocol::dispatcher_reads(base::duration bound,
+                                     base::instant now) const
 {
     if (!this->dispatcher ||
         this->dispatcher_digest != this->state.known.digest())
@@ -183,12 +186,12 @@
 
 // ---- Roles ----------------------------------------------------------------
 
-bool peer_link::is_serving() const
+bool peer_protocol::is_serving() const
 {
     return this->large && !this->state.delegating && !this->members.empty();
 }
 
-void peer_link::update_role(base::instant now)
+void peer_protocol::update_role(base::instant now)
 {
     const bool was_large =
         std::exchange(this->large, this->order.is_large(now));
@@ -229,7 +232,7 @@
         this->greet({*former}, now);
 }
 
-void peer_link::set_role(bool delegating, base::instant now)
+void peer_protocol::set_role(bool delegating, base::instant now)
 {
     if (delegating == this->state.delegating)
         return;
@@ -253,7 +256,7 @@
 // Failure guarded against: all entries start, or wake, at once before cold
 // upstreams, and each sends them the whole of what they bear, until it has
 // heard of the others.
-void peer_link::note_awake(base::instant now)
+void peer_protocol::note_awake(base::instant now)
 {
     if (now - this->counted_at > stood_still)
         this->awake_since = now;
@@ -263,7 +266,7 @@
 }
 
 // At most two entries of a data centre can place for half of it at a time.
-bool peer_link::places_for_half(base::instant now) const
+bool peer_protocol::places_for_half(base::instant now) const
 {
     if (this->state.delegating)
         return false;
@@ -271,7 +274,7 @@
            this->order.known_nearby(now) + 1;
 }
 
-std::size_t peer_link::members_heard(base::instant now) const
+std::size_t peer_protocol::members_heard(base::instant now) const
 {
     return static_cast<std::size_t>(std::count_if(
         this->members.begin(), this->members.end(), [&](const auto& one) {
@@ -281,7 +284,7 @@
 
 // Of the requests that cold upstreams of the own data centre get. Among many
 // entries they are the dispatcher's, once the one before it has sent its last.
-traffic::slow_start_share peer_link::cold_share(base::instant now) const
+traffic::slow_start_share peer_protocol::cold_share(base::instant now) const
 {
     const base::duration awake = now - this->awake_since;
     const bool others_unheard = this->large ? this->table.has_unheard_seed()
@@ -297,7 +300,7 @@
             static_cast<std::uint32_t>(nearby.entries)};
 }
 
-void peer_link::share_cold_upstreams(base::instant now)
+void peer_protocol::share_cold_upstreams(base::instant now)
 {
     const traffic::slow_start_share next = this->cold_share(now);
     if (next == this->share)
--- a/src/greengagedrum/entry/peer_telling.cpp
+++ b/src/greengagedrum/entry/peer_sending.cpp
@@ -1,5 +1,5 @@
 // Among many entries: who tells whom, and when.
-#include <greengagedrum/entry/peer_link.hpp>
+#include <greengagedrum/entry/peer_protocol.hpp>
 
 #include <algorithm>
 
@@ -28,7 +28,7 @@
 // What is not new is told by turns, so that an entry that has just started, or
 // was cut off, learns of it within a second.
 std::vector<quarantine::suspect_report>
-peer_link::suspects_for(base::instant& sent_all_at, base::instant now)
+peer_protocol::suspects_for(base::instant& sent_all_at, base::instant now)
 {
     quarantine::suspect_table& suspects =
         this->state.scheduler.crash_suspects();
@@ -42,7 +42,7 @@
 
 // Its members leave at the first sign of it, so those next in line are told of
 // limits by that very message.
-void peer_link::begin_stop()
+void peer_protocol::begin_stop()
 {
     if (this->large && !this->state.delegating)
         this->tell_members(this->state.clock());
@@ -52,7 +52,7 @@
 // Failure guarded against: a dispatcher stands still for some seconds, and goes
 // on in place of the one that had followed it. What that one let through
 // meanwhile was told to other data centres only, and was given out once more.
-void peer_link::hand_over_limits(base::instant now)
+void peer_protocol::hand_over_limits(base::instant now)
 {
     if (!this->dispatcher)
         return;
@@ -62,7 +62,7 @@
     this->transport.send(gossip::encode(out), *this->dispatcher);
 }
 
-void peer_link::tell_among_many(base::instant now)
+void peer_protocol::tell_among_many(base::instant now)
 {
     using gossip::audience;
     const bool beats = now - this->beat_at >= beat;
@@ -91,13 +91,13 @@
 
 // Failure guarded against: a report is lost, and with it a request that asks,
 // or the end of one, whose place then stands idle until the next beat.
-bool peer_link::is_report_overdue(base::instant now) const
+bool peer_protocol::is_report_overdue(base::instant now) const
 {
     return this->unanswered_report > 0 &&
            now - this->reported_at >= dispatch::repeat_gap;
 }
 
-void peer_link::tell_dispatcher(base::instant now)
+void peer_protocol::tell_dispatcher(base::instant now)
 {
     if (!this->dispatcher)
         return;
@@ -113,7 +113,7 @@
 
 // Those that would place in place of the present one are asked with a whole
 // report, so that the first of them to answer can begin.
-void peer_link::look_for_silent(base::instant now)
+void peer_protocol::look_for_silent(base::instant now)
 {
     const std::vector<gossip::ip_number> to_try = this->order.to_try(now);
     if (!to_try.empty()) {
@@ -132,7 +132,7 @@
         this->greet_silent(now);
 }
 
-void peer_link::greet_silent(base::instant now)
+void peer_protocol::greet_silent(base::instant now)
 {
     this->greeted_at = now;
     std::vector<gossip::ip_number> to_greet = this->table.silent_seeds(now);
@@ -148,8 +148,8 @@
         this->greet(to_greet, now);
 }
 
-void peer_link::greet(const std::vector<gossip::ip_number>& to_greet,
-                      base::instant now)
+void peer_protocol::greet(const std::vector<gossip::ip_number>& to_greet,
+                          base::instant now)
 {
     gossip::message out = this->own_message(gossip::message_kind::greeting);
     out.known =
@@ -159,7 +159,7 @@
         this->transport.send(bytes, address);
 }
 
-void peer_link::tell_members(base::instant now)
+void peer_protocol::tell_members(base::instant now)
 {
     const std::vector<gossip::known_entry> known =
         this->order.to_name(base::data_centre_id(this->own.data_centre), now);
@@ -178,7 +178,7 @@
     }
 }
 
-void peer_link::answer_members()
+void peer_protocol::answer_members()
 {
     if (this->state.delegating)
         return;
@@ -191,7 +191,7 @@
     }
 }
 
-void peer_link::tell_far(base::instant now)
+void peer_protocol::tell_far(base::instant now)
 {
     this->schedule.told(gossip::audience::others, now);
     if (this->state.delegating)
--- a/src/greengagedrum/entry/peer_socket.hpp
+++ b/src/greengagedrum/entry/peer_socket.hpp
@@ -1,4 +1,4 @@
-// The sockets of peer_link: datagrams on the peers' port, and a client for
+// The sockets of peer_protocol: datagrams on the peers' port, and a client for
 // items that a peer passes on.
 #pragma once
 
--- a/src/greengagedrum/entry/peer_transport.hpp
+++ b/src/greengagedrum/entry/peer_transport.hpp
@@ -1,5 +1,5 @@
-// How an entry reaches the others. The decisions of peer_link know nothing of
-// sockets, so that whole fleets can be played in virtual time.
+// How an entry reaches the others. The decisions of peer_protocol know nothing
+// of sockets, so that whole fleets can be played in virtual time.
 #pragma once
 
 #include <greengagedrum/base/ip_address.hpp>
