--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -131,7 +131,7 @@
     this->state.log.write(now,
                           "scheduler",
                           "request_sent",
-                          {{"request", wire->source().marks.attempt},
+                          {{"request", wire->info().marks.attempt},
                            {"send", order.send},
                            {"upstream", to->name},
                            {"waited_ms", milliseconds(order.why.waited)},
@@ -176,7 +176,7 @@
     if (order.verdict.run == base::run_state::not_run)
         this->return_cost(found->second);
     this->finish(order.request, &order.verdict);
-    wire->end(order.verdict);
+    wire->fail(order.verdict);
 }
 
 // One connect for all whose connections to it were lost.
@@ -238,7 +238,7 @@
             now,
             "front",
             "request_answered",
-            {{"request", wire->source().marks.attempt},
+            {{"request", wire->info().marks.attempt},
              {"status", wire->status()},
              {"total_ms", milliseconds(total)},
              {"first_ms", milliseconds(first - request.arrived)},
@@ -251,19 +251,19 @@
             now,
             "scheduler",
             "request_ended",
-            {{"request", wire->source().marks.attempt},
+            {{"request", wire->info().marks.attempt},
              {"verdict", base::to_string(failed->run)},
              {"why", base::to_string(failed->why)},
              {"total_ms", milliseconds(total)},
              {"waiting", this->state.scheduler.waiting()},
              {"retry_after_ms",
               milliseconds(failed->retry_after.value_or(base::duration(0)))}});
-    this->by_caller.erase(wire->from().get());
+    this->by_caller.erase(wire->caller_connection().get());
     this->sent_to.erase(id);
     this->requests.erase(found);
 }
 
-void front::reported(base::request_id id, const send_report& what)
+void front::reported(base::request_id id, const send_outcome& what)
 {
     const auto found = this->requests.find(id);
     if (found == this->requests.end())
@@ -272,15 +272,15 @@
     const base::instant now = this->state.clock();
     this->state.log.write(now,
                           "exchange",
-                          what.why.empty() ? "send_answered" : "send_failed",
-                          {{"request", request.wire->source().marks.attempt},
+                          what.error.empty() ? "send_answered" : "send_failed",
+                          {{"request", request.wire->info().marks.attempt},
                            {"digest", base::to_hex(request.digest)},
-                           {"send", what.send},
+                           {"send", what.send_number},
                            {"upstream", request.upstream},
                            {"ran_ms", milliseconds(now - request.last_sent_at)},
                            {"status", what.status},
-                           {"events", what.events},
-                           {"why", what.why}});
+                           {"events", what.event_count},
+                           {"why", what.error}});
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -72,21 +72,21 @@
         std::make_unique<front>(this->context, given.callers, this->state);
     this->callers->uses_changed = [this] {
         if (this->peers)
-            this->peers->tell_soon();
+            this->peers->schedule_gossip();
     };
     this->peer_datagrams =
         std::make_unique<peer_socket>(this->context, given.ip, given.peer_port);
     this->peers =
-        std::make_unique<peer_link>(given,
-                                    this->life,
-                                    this->state,
-                                    this->told_by_peers(),
-                                    this->peer_datagrams->transport());
-    this->peer_datagrams->begin(
+        std::make_unique<peer_protocol>(given,
+                                        this->life,
+                                        this->state,
+                                        this->told_by_peers(),
+                                        this->peer_datagrams->transport());
+    this->peer_datagrams->start(
         [this](std::string_view bytes, const std::string& from) {
             this->peers->on_message(bytes, from);
         },
-        [this] { this->peers->wake(); });
+        [this] { this->peers->on_timer(); });
     store_events store_told;
     store_told.news = [this](const routing::item_list& items,
                              std::uint64_t as_of,
@@ -102,7 +102,7 @@
         this->on_store_failed(why);
     };
     store_told.answered = [this] { this->on_store_answered(); };
-    store_told.may_rest = [this] { return this->peers->store_is_read(); };
+    store_told.may_rest = [this] { return this->peers->peer_reads_store(); };
     this->store = std::make_unique<store_reader>(
         this->context, given.store, std::move(store_told));
     this->store->set_bound(given.bounds.news());
@@ -137,21 +137,22 @@
 peer_events entry::told_by_peers()
 {
     peer_events out;
-    out.load_changed = [this] { this->callers->place(); };
-    out.items = [this](const gossip::item_transfer& got) {
+    out.peer_load_changed = [this] { this->callers->place(); };
+    out.items_received = [this](const gossip::item_transfer& got) {
         this->apply(this->state.known.learn(got, this->state.clock()), "peer");
         this->end_pause("peer");
         this->store->known_up_to(this->state.known.as_of());
     };
-    out.delegate = [this] { this->callers->delegate(); };
-    out.place_alone = [this](std::size_t unheard, const handed_limits* known) {
+    out.delegation_started = [this] { this->callers->delegate(); };
+    out.delegation_ended = [this](std::size_t unheard,
+                                  const handed_limits* known) {
         this->callers->place_alone(unheard, known);
     };
-    out.report = [this] { return this->callers->report_to_dispatcher(); };
-    out.replied = [this](const dispatch::dispatcher_reply& what) {
+    out.make_report = [this] { return this->callers->report_to_dispatcher(); };
+    out.reply_received = [this](const dispatch::dispatcher_reply& what) {
         this->callers->replied(what);
     };
-    out.member_reported = [this](base::slot_id member,
+    out.report_received = [this](base::slot_id member,
                                  const gossip::message& told) {
         this->callers->member_reported(
             member, told.life, told.report, told.uses);
@@ -159,10 +160,10 @@
     out.member_lost = [this](base::slot_id member) {
         this->callers->member_lost(member);
     };
-    out.members_unanswered = [this] {
+    out.members_awaiting_reply = [this] {
         return this->callers->book().unanswered(this->state.clock());
     };
-    out.reply = [this](base::slot_id member) {
+    out.make_reply = [this](base::slot_id member) {
         return this->callers->book().reply(member, this->state.clock());
     };
     return out;
@@ -183,7 +184,7 @@
             this->on_signal(number);
     });
     this->store->start();
-    this->peers->tell_soon();
+    this->peers->schedule_gossip();
     this->schedule_tick();
     this->context.run();
     logs::write(logs::level::info,
@@ -234,13 +235,14 @@
 
 relay::small_answer entry::answer_control(std::string_view target) const
 {
-    const auto asked = read_items_target(target);
+    const auto asked = parse_item_query(target);
     if (!asked)
         return {503, "text/plain", "no such question\n"};
     gossip::item_transfer out =
-        asked->life ? this->state.known.items_after(
-                          *asked->life == this->life ? asked->number : 0)
-                    : this->state.known.items_since(asked->number);
+        asked->incarnation
+            ? this->state.known.items_after(
+                  *asked->incarnation == this->life ? asked->position : 0)
+            : this->state.known.items_since(asked->position);
     out.life = this->life;
     return {200, "application/octet-stream", gossip::encode(out)};
 }
@@ -261,7 +263,7 @@
     set(telemetry::gauge::requests_in_flight,
         static_cast<double>(this->state.scheduler.in_flight()));
     set(telemetry::gauge::peers_linked,
-        static_cast<double>(this->peers->alive()));
+        static_cast<double>(this->peers->live_peers()));
     set(telemetry::gauge::upstreams_live,
         static_cast<double>(this->state.known.upstreams().usable_count()));
     set(telemetry::gauge::data_centres_evacuated,
--- a/src/greengagedrum/entry/exchange.hpp
+++ b/src/greengagedrum/entry/exchange.hpp
@@ -18,7 +18,7 @@
 {
 
 // What is known of a request beside what decisions need.
-struct request_origin {
+struct request_info {
     base::request_id id;
     platform::request_marks marks;
     std::string workspace; // empty: none
@@ -28,24 +28,24 @@
 };
 
 // How one send ended, for the log.
-struct send_report {
-    std::uint32_t send = 0;
+struct send_outcome {
+    std::uint32_t send_number = 0;
     unsigned status = 0; // 0: no answer
-    std::uint32_t events = 0;
-    std::string why; // empty: a whole answer
+    std::uint32_t event_count = 0;
+    std::string error; // empty: a whole answer
 };
 
 class exchange : public std::enable_shared_from_this<exchange>
 {
 public:
     struct owner_events {
-        std::function<void(const traffic::event&)> told;
-        std::function<void(const send_report&)> reported;
+        std::function<void(const traffic::event&)> on_event;
+        std::function<void(const send_outcome&)> on_send_ended;
     };
 
     exchange(relay::asio::io_context& context,
              relay::caller_ptr caller,
-             request_origin origin,
+             request_info origin,
              owner_events events);
 
     void send(std::uint32_t number,
@@ -55,18 +55,18 @@
 
     // The upstream's answer goes to the caller, or ends there.
     void deliver(bool closing);
-    void end(const base::verdict& verdict);
+    void fail(const base::verdict& verdict);
 
     // The caller has left. What may be repeated is broken off; any other
     // request runs to its end at its upstream, and its answer is dropped.
     void abandon();
 
     // Reads on once the caller has taken what was sent.
-    void relieve();
+    void resume_reading();
 
-    const request_origin& source() const { return this->origin; }
+    const request_info& info() const { return this->origin; }
     unsigned status() const { return this->answer.status; }
-    const relay::caller_ptr& from() const { return this->caller; }
+    const relay::caller_ptr& caller_connection() const { return this->caller; }
 
 private:
     std::string request_text(const routing::published_upstream& to,
@@ -85,7 +85,7 @@
 
     relay::asio::io_context& context;
     relay::caller_ptr caller;
-    request_origin origin;
+    request_info origin;
     owner_events events;
     std::shared_ptr<relay::upstream_call> call;
     std::uint32_t number = 0;
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
@@ -31,7 +31,7 @@
 {
 }
 
-virtual_fleet::virtual_fleet(const trouble_plan& plan, hooks owner)
+virtual_fleet::virtual_fleet(const fault_plan& plan, hooks owner)
     : plan(plan), owner(std::move(owner)), begun(1h), now(1h),
       nodes(plan.entries), back_at(plan.entries), sent_bytes(plan.entries)
 {
@@ -99,8 +99,8 @@
         this->sent_bytes[fresh.number] += bytes.size();
         this->send(fresh.address, to, bytes);
     };
-    transport.wake_after = [this, &fresh](base::duration after) {
-        fresh.wakes_at = this->now + after;
+    transport.start_timer = [this, &fresh](base::duration after) {
+        fresh.timer_due_at = this->now + after;
     };
     transport.ask = [](const base::ip_endpoint&,
                        const std::string&,
@@ -108,14 +108,14 @@
                        const relay::http_get::answer& tell) {
         tell(tl::unexpected(std::string("not played")));
     };
-    fresh.link =
-        std::make_unique<peer_link>(this->settings_of(number),
-                                    base::incarnation{this->next_life++},
-                                    fresh.state,
-                                    this->owner.events(fresh),
-                                    std::move(transport));
-    fresh.link->store_answered();
-    fresh.link->tell_soon();
+    fresh.protocol =
+        std::make_unique<peer_protocol>(this->settings_of(number),
+                                        base::incarnation{this->next_life++},
+                                        fresh.state,
+                                        this->owner.events(fresh),
+                                        std::move(transport));
+    fresh.protocol->record_store_answer();
+    fresh.protocol->schedule_gossip();
 }
 
 // ---- Messages ---------------------------------------------------------------
@@ -151,7 +151,7 @@
                 continue;
             node& to = *this->nodes[number];
             if (to.frozen_until <= this->now)
-                to.link->on_message(one.bytes, "");
+                to.protocol->on_message(one.bytes, "");
         }
     }
 }
@@ -162,15 +162,15 @@
 {
     if (one.frozen_until > this->now)
         return;
-    if (one.wakes_at && *one.wakes_at <= this->now) {
-        one.wakes_at.reset();
-        one.link->wake();
+    if (one.timer_due_at && *one.timer_due_at <= this->now) {
+        one.timer_due_at.reset();
+        one.protocol->on_timer();
     }
     const auto turn = (this->now - this->begun) / step_length;
     constexpr auto turns = tick_gap / step_length;
     if ((turn + static_cast<std::int64_t>(one.number)) % turns == 0)
-        one.link->tick(false);
-    this->owner.stepped(one);
+        one.protocol->tick(false);
+    this->owner.after_step(one);
 }
 
 void virtual_fleet::step()
--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -259,12 +259,12 @@
 }
 
 std::shared_ptr<exchange> front::make_exchange(const relay::caller_ptr& from,
-                                               request_origin origin)
+                                               request_info origin)
 {
     exchange::owner_events owner;
     const base::request_id id = origin.id;
-    owner.told = [this](const traffic::event& what) { this->told(what); };
-    owner.reported = [this, id](const send_report& what) {
+    owner.on_event = [this](const traffic::event& what) { this->told(what); };
+    owner.on_send_ended = [this, id](const send_outcome& what) {
         this->reported(id, what);
     };
     return std::make_shared<exchange>(
@@ -286,7 +286,7 @@
         this->state.clock(),
         "front",
         "caller_left",
-        {{"request", wire->source().marks.attempt},
+        {{"request", wire->info().marks.attempt},
          {"after_ms",
           milliseconds(this->state.clock() - request->second.arrived)}});
     wire->abandon();
@@ -326,7 +326,7 @@
     for (const relay::caller_ptr& one : all)
         one->check_time(now, limits);
     for (auto& [id, request] : this->requests)
-        request.wire->relieve();
+        request.wire->resume_reading();
 }
 
 // ---- Stopping -------------------------------------------------------------
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -1,4 +1,4 @@
-#include <greengagedrum/entry/peer_link.hpp>
+#include <greengagedrum/entry/peer_protocol.hpp>
 #include <greengagedrum/entry/store_reader.hpp>
 
 #include <algorithm>
@@ -37,24 +37,24 @@
 
 } // namespace
 
-std::string items_target(const items_question& asked)
+std::string item_query_target(const item_query& asked)
 {
-    const std::string number = std::to_string(asked.number);
-    if (!asked.life)
+    const std::string number = std::to_string(asked.position);
+    if (!asked.incarnation)
         return std::string(since_path) + number;
     return std::string(after_path) + number + std::string(life_part) +
-           std::to_string(asked.life->value);
+           std::to_string(asked.incarnation->value);
 }
 
-std::optional<items_question> read_items_target(std::string_view target)
+std::optional<item_query> parse_item_query(std::string_view target)
 {
     const bool after = target.starts_with(after_path);
     if (!after && !target.starts_with(since_path))
         return std::nullopt;
     target.remove_prefix(after ? after_path.size() : since_path.size());
-    items_question out;
+    item_query out;
     const char* const end = target.data() + target.size();
-    const auto number = std::from_chars(target.data(), end, out.number);
+    const auto number = std::from_chars(target.data(), end, out.position);
     if (number.ec != std::errc())
         return std::nullopt;
     if (!after)
@@ -66,15 +66,15 @@
     base::incarnation life;
     if (std::from_chars(target.data(), end, life.value).ec != std::errc())
         return std::nullopt;
-    out.life = life;
+    out.incarnation = life;
     return out;
 }
 
-peer_link::peer_link(const settings& given,
-                     base::incarnation life,
-                     shared_state& state,
-                     peer_events events,
-                     peer_transport transport)
+peer_protocol::peer_protocol(const settings& given,
+                             base::incarnation life,
+                             shared_state& state,
+                             peer_events events,
+                             peer_transport transport)
     : own(given), life(life), state(state), events(std::move(events)),
       transport(std::move(transport)),
       table(relay::asio::ip::make_address_v4(given.ip).to_uint(),
@@ -89,10 +89,10 @@
       dispatcher_at(state.clock()), placing_since(state.clock())
 {
     state.scheduler.set_slow_start_share(this->share);
-    this->reseed(given);
+    this->apply_settings(given);
 }
 
-void peer_link::reseed(const settings& given)
+void peer_protocol::apply_settings(const settings& given)
 {
     this->own = given;
     for (const base::ip_endpoint& one : given.seeds)
@@ -100,19 +100,19 @@
             relay::asio::ip::make_address_v4(one.ip).to_uint());
 }
 
-std::size_t peer_link::alive() const
+std::size_t peer_protocol::live_peers() const
 {
     return this->table.alive(this->state.clock());
 }
 
-std::size_t peer_link::alive_lately() const
+std::size_t peer_protocol::recently_live_peers() const
 {
     return this->table.alive_lately(this->state.clock());
 }
 
 // ---- Hearing --------------------------------------------------------------
 
-void peer_link::on_message(std::string_view bytes, const std::string& from)
+void peer_protocol::on_message(std::string_view bytes, const std::string& from)
 {
     const base::instant now = this->state.clock();
     const auto message = gossip::decode_message(bytes);
@@ -170,7 +170,7 @@
 }
 
 // When the newest answer that any peer had is older, nobody may be reading.
-base::duration peer_link::read_lately() const
+base::duration peer_protocol::read_lately() const
 {
     return store_reader::pause_of(this->own.bounds.news()) + answer_takes;
 }
@@ -180,7 +180,7 @@
 // reads for itself); a store that lost its history tells a reader of a change
 // after later ones, which the newest change's revision does not show (each
 // entry reads for itself well within the bounds all the same).
-bool peer_link::store_is_read() const
+bool peer_protocol::peer_reads_store() const
 {
     const base::instant now = this->state.clock();
     const base::duration bound =
@@ -194,7 +194,7 @@
 
 // ---- Telling --------------------------------------------------------------
 
-void peer_link::tell_soon()
+void peer_protocol::schedule_gossip()
 {
     this->schedule.changed();
     if (this->large)
@@ -205,23 +205,23 @@
 
 // A message that is owed sooner than the one that the timer is set for moves
 // it.
-void peer_link::set_timer()
+void peer_protocol::set_timer()
 {
     const auto next = this->schedule.next();
-    if (!next || (this->wakes_at && *this->wakes_at <= *next))
+    if (!next || (this->timer_due_at && *this->timer_due_at <= *next))
         return;
-    this->wakes_at = next;
-    this->transport.wake_after(*next - this->state.clock());
+    this->timer_due_at = next;
+    this->transport.start_timer(*next - this->state.clock());
 }
 
-void peer_link::wake()
+void peer_protocol::on_timer()
 {
-    this->wakes_at.reset();
+    this->timer_due_at.reset();
     this->tell_due();
     this->set_timer();
 }
 
-gossip::message peer_link::own_message(gossip::message_kind kind)
+gossip::message peer_protocol::own_message(gossip::message_kind kind)
 {
     const base::instant now = this->state.clock();
     gossip::message out;
@@ -245,7 +245,7 @@
     return out;
 }
 
-gossip::message peer_link::own_load(gossip::audience who)
+gossip::message peer_protocol::own_load(gossip::audience who)
 {
     const base::instant now = this->state.clock();
     gossip::message out =
@@ -262,7 +262,7 @@
     return out;
 }
 
-void peer_link::tell_due()
+void peer_protocol::tell_due()
 {
     const base::instant now = this->state.clock();
     if (this->large)
@@ -274,7 +274,7 @@
     }
 }
 
-void peer_link::tell(gossip::audience who)
+void peer_protocol::tell(gossip::audience who)
 {
     const base::instant now = this->state.clock();
     this->schedule.told(who, now);
@@ -289,7 +289,7 @@
 
 // ---- Time -----------------------------------------------------------------
 
-void peer_link::tick(bool store_fails)
+void peer_protocol::tick(bool store_fails)
 {
     const base::instant now = this->state.clock();
     this->tell_due();
@@ -312,7 +312,7 @@
         this->ask_peer(now);
 }
 
-void peer_link::ask_peer(base::instant now)
+void peer_protocol::ask_peer(base::instant now)
 {
     if (this->asking || now - this->asked_at < ask_gap)
         return;
@@ -327,9 +327,9 @@
                         now);
 }
 
-void peer_link::ask_for_items(gossip::ip_number of,
-                              const items_question& what,
-                              base::instant now)
+void peer_protocol::ask_for_items(gossip::ip_number of,
+                                  const item_query& what,
+                                  base::instant now)
 {
     this->asking = true;
     this->asked_at = now;
@@ -337,14 +337,14 @@
                                this->own.control.port};
     this->transport.ask(
         to,
-        items_target(what),
+        item_query_target(what),
         ask_bound,
         [this, to](tl::expected<relay::fetched, std::string> got) {
             this->asking = false;
             if (got && got->status == relay::status_ok) {
                 if (const auto items = gossip::decode_items(got->body)) {
                     this->passed = {items->life, items->changes};
-                    return this->events.items(*items);
+                    return this->events.items_received(*items);
                 }
             }
             this->state.log.write(
--- a/src/greengagedrum/entry/peer_link.hpp
+++ b/src/greengagedrum/entry/peer_protocol.hpp
@@ -3,7 +3,7 @@
 //
 // Each message is whole, so a lost datagram is made good by the next, and a
 // connection that has gone silent can't be mistaken for a peer that has. Among
-// few entries each tells all others; among many, peer_telling.cpp says who
+// few entries each tells all others; among many, peer_sending.cpp says who
 // tells whom, and peer_roles.cpp what each of them is.
 #pragma once
 
@@ -24,54 +24,54 @@
 
 struct peer_events {
     // A peer's load has changed: places may be free.
-    std::function<void()> load_changed;
+    std::function<void()> peer_load_changed;
     // A peer passed items of the store.
-    std::function<void(const gossip::item_transfer&)> items;
+    std::function<void(const gossip::item_transfer&)> items_received;
     // Another entry places this one's requests from now on.
-    std::function<void()> delegate;
+    std::function<void()> delegation_started;
     // None does any more; so many entries may let requests through unheard.
     // `known`: what the one that did knew of limits, if it told lately.
     std::function<void(std::size_t unheard, const handed_limits* known)>
-        place_alone;
+        delegation_ended;
     // What the entry that places is told, and what it replied.
-    std::function<dispatch::member_report()> report;
-    std::function<void(const dispatch::dispatcher_reply&)> replied;
+    std::function<dispatch::member_report()> make_report;
+    std::function<void(const dispatch::dispatcher_reply&)> reply_received;
     // A member's report, with the loads that it sees, and a member's end.
-    std::function<void(base::slot_id, const gossip::message&)> member_reported;
+    std::function<void(base::slot_id, const gossip::message&)> report_received;
     std::function<void(base::slot_id)> member_lost;
     // Members that are to be told something, and what.
-    std::function<std::vector<base::slot_id>()> members_unanswered;
-    std::function<dispatch::dispatcher_reply(base::slot_id)> reply;
+    std::function<std::vector<base::slot_id>()> members_awaiting_reply;
+    std::function<dispatch::dispatcher_reply(base::slot_id)> make_reply;
 };
 
 // What an entry asks a peer for: items above a revision of the store, or, of a
 // life of that peer, what changed after so many changes.
-struct items_question {
-    std::uint64_t number = 0;
-    std::optional<base::incarnation> life;
+struct item_query {
+    std::uint64_t position = 0;
+    std::optional<base::incarnation> incarnation;
 };
 
 // The target under which it is asked, and its reading.
-std::string items_target(const items_question& asked);
-std::optional<items_question> read_items_target(std::string_view target);
+std::string item_query_target(const item_query& asked);
+std::optional<item_query> parse_item_query(std::string_view target);
 
-class peer_link
+class peer_protocol
 {
 public:
-    peer_link(const settings& given,
-              base::incarnation life,
-              shared_state& state,
-              peer_events events,
-              peer_transport transport);
+    peer_protocol(const settings& given,
+                  base::incarnation life,
+                  shared_state& state,
+                  peer_events events,
+                  peer_transport transport);
 
     // A datagram arrived; `from` is for the log.
     void on_message(std::string_view bytes, const std::string& from);
 
     // The time that the transport was told has passed.
-    void wake();
+    void on_timer();
 
     // Tells soon, but not sooner than the least gap after the last message.
-    void tell_soon();
+    void schedule_gossip();
 
     // This entry stops: others are to place for it and in its place.
     void begin_stop();
@@ -82,13 +82,13 @@
 
     // Another entry is to read the store for this one, and what was heard of
     // it lately shows that someone does.
-    bool store_is_read() const;
-    void store_answered() { this->own_read_at = this->state.clock(); }
+    bool peer_reads_store() const;
+    void record_store_answer() { this->own_read_at = this->state.clock(); }
 
-    void reseed(const settings& given);
+    void apply_settings(const settings& given);
 
-    std::size_t alive() const;
-    std::size_t alive_lately() const;
+    std::size_t live_peers() const;
+    std::size_t recently_live_peers() const;
 
 private:
     void tell_due();
@@ -136,7 +136,7 @@
     void look_for_silent(base::instant now);
     void ask_peer(base::instant now);
     void ask_for_items(gossip::ip_number of,
-                       const items_question& what,
+                       const item_query& what,
                        base::instant now);
 
     settings own;
@@ -147,7 +147,7 @@
     gossip::peer_table table;
     std::uint64_t sequence = 0;
     gossip::gossip_schedule schedule;
-    std::optional<base::instant> wakes_at; // by the transport
+    std::optional<base::instant> timer_due_at; // by the transport
     base::instant looked_at;
     base::instant asked_at;
     base::instant own_read_at;  // the store's last answer, to this entry
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -1,6 +1,6 @@
 // Among many entries: which of them places requests, and what is made of what
 // the others tell.
-#include <greengagedrum/entry/peer_link.hpp>
+#include <greengagedrum/entry/peer_protocol.hpp>
 #include <greengagedrum/entry/standing_log.hpp>
 
 #include <algorithm>
@@ -54,8 +54,8 @@
 
 // ---- Hearing --------------------------------------------------------------
 
-void peer_link::take_suspects(const gossip::message& received,
-                              base::instant now)
+void peer_protocol::take_suspects(const gossip::message& received,
+                                  base::instant now)
 {
     if (received.suspects.empty())
         return;
@@ -65,7 +65,7 @@
         log_standing(this->state, one, received.instance);
 }
 
-void peer_link::take_load(const gossip::message& told, base::instant now)
+void peer_protocol::take_load(const gossip::message& told, base::instant now)
 {
     const base::slot_id slot(told.instance);
     if (this->large &&
@@ -84,11 +84,11 @@
     this->state.limiter.peer_told(
         slot, told.life, told.workspace_uses, told.stopping, now);
     if (this->state.scheduler.waiting() > 0)
-        this->events.load_changed();
+        this->events.peer_load_changed();
 }
 
 // Its limits are counted here from now on, and its load is what it shows.
-void peer_link::take_report(const gossip::message& told, base::instant now)
+void peer_protocol::take_report(const gossip::message& told, base::instant now)
 {
     if (!this->large)
         return;
@@ -100,11 +100,11 @@
     }
     this->members[slot] = {told.address, now};
     this->state.limiter.forget_peer(slot);
-    this->events.member_reported(slot, told);
+    this->events.report_received(slot, told);
     this->answer_members();
 }
 
-void peer_link::take_reply(const gossip::message& told, base::instant now)
+void peer_protocol::take_reply(const gossip::message& told, base::instant now)
 {
     this->take_limits(told, now);
     this->update_role(now);
@@ -112,12 +112,12 @@
         return;
     if (this->unanswered_report <= told.reply.report_taken)
         this->unanswered_report = 0;
-    this->events.replied(told.reply);
+    this->events.reply_received(told.reply);
 }
 
 // Of a dispatcher, to an entry next in line; and of one that stops, or that
 // this one has taken over from.
-void peer_link::take_limits(const gossip::message& told, base::instant now)
+void peer_protocol::take_limits(const gossip::message& told, base::instant now)
 {
     const base::slot_id slot(told.instance);
     if (this->limits && this->limits->from == slot)
@@ -134,7 +134,8 @@
     this->limits = {slot, told.life, told.workspace_uses, told.stopping, now};
 }
 
-void peer_link::answer_greeting(const gossip::message& told, base::instant now)
+void peer_protocol::answer_greeting(const gossip::message& told,
+                                    base::instant now)
 {
     base::instant& answered = this->greetings_answered[told.address];
     if (now - answered < answer_gap)
@@ -151,7 +152,7 @@
 
 // Its dispatcher reads the store for a member, which is passed all that
 // changes.
-void peer_link::follow(const gossip::message& told, base::instant now)
+void peer_protocol::follow(const gossip::message& told, base::instant now)
 {
     this->dispatcher_digest = told.digest;
     if (told.digest == this->state.known.digest())
@@ -160,7 +161,8 @@
         this->ask_dispatcher(told, now);
 }
 
-void peer_link::ask_dispatcher(const gossip::message& told, base::instant now)
+void peer_protocol::ask_dispatcher(const gossip::message& told,
+                                   base::instant now)
 {
     const std::uint64_t known =
         this->passed.life == told.life ? this->passed.changes : 0;
@@ -170,7 +172,8 @@
 // Failure guarded against: the store turns the dispatcher away, or it hangs. A
 // few of those next in line read then, and all others once a change may be due.
 // With all of them reading now and then, 295 entries made 6,500 calls in 48 s.
-bool peer_link::dispatcher_reads(base::duration bound, base::instant now) const
+bool peer_protocol::dispatcher_reads(base::duration bound,
+                                     base::instant now) const
 {
     if (!this->dispatcher ||
         this->dispatcher_digest != this->state.known.digest())
@@ -183,12 +186,12 @@
 
 // ---- Roles ----------------------------------------------------------------
 
-bool peer_link::is_serving() const
+bool peer_protocol::is_serving() const
 {
     return this->large && !this->state.delegating && !this->members.empty();
 }
 
-void peer_link::update_role(base::instant now)
+void peer_protocol::update_role(base::instant now)
 {
     const bool was_large =
         std::exchange(this->large, this->order.is_large(now));
@@ -197,7 +200,8 @@
     if (!this->large) {
         this->dispatcher.reset();
         this->set_role(false, now);
-        this->schedule.set_peers(this->table.alive_near(now), this->alive());
+        this->schedule.set_peers(this->table.alive_near(now),
+                                 this->live_peers());
         return;
     }
     this->order.set_serving(this->is_serving());
@@ -228,7 +232,7 @@
         this->greet({*former}, now);
 }
 
-void peer_link::set_role(bool delegating, base::instant now)
+void peer_protocol::set_role(bool delegating, base::instant now)
 {
     if (delegating == this->state.delegating)
         return;
@@ -236,23 +240,23 @@
         this->farewells = farewells_told;
         this->hand_over_limits(now);
         this->members.clear();
-        return this->events.delegate();
+        return this->events.delegation_started();
     }
     this->placing_since = now;
     const bool handed =
         this->limits && now - this->limits->told_at <= limits_hold;
     const bool planned = handed && this->limits->stopping;
     this->unheard_alone = planned ? 0 : this->order.known_nearby(now);
-    this->events.place_alone(this->order.unheard_data_centres(now) +
-                                 this->unheard_alone,
-                             handed ? &*this->limits : nullptr);
+    this->events.delegation_ended(this->order.unheard_data_centres(now) +
+                                      this->unheard_alone,
+                                  handed ? &*this->limits : nullptr);
     this->limits.reset();
 }
 
 // Failure guarded against: all entries start, or wake, at once before cold
 // upstreams, and each sends them the whole of what they bear, until it has
 // heard of the others.
-void peer_link::note_awake(base::instant now)
+void peer_protocol::note_awake(base::instant now)
 {
     if (now - this->counted_at > stood_still)
         this->awake_since = now;
@@ -262,7 +266,7 @@
 }
 
 // At most two entries of a data centre can place for half of it at a time.
-bool peer_link::places_for_half(base::instant now) const
+bool peer_protocol::places_for_half(base::instant now) const
 {
     if (this->state.delegating)
         return false;
@@ -270,7 +274,7 @@
            this->order.known_nearby(now) + 1;
 }
 
-std::size_t peer_link::members_heard(base::instant now) const
+std::size_t peer_protocol::members_heard(base::instant now) const
 {
     return static_cast<std::size_t>(std::count_if(
         this->members.begin(), this->members.end(), [&](const auto& one) {
@@ -280,7 +284,7 @@
 
 // Of the requests that cold upstreams of the own data centre get. Among many
 // entries they are the dispatcher's, once the one before it has sent its last.
-traffic::slow_start_share peer_link::cold_share(base::instant now) const
+traffic::slow_start_share peer_protocol::cold_share(base::instant now) const
 {
     const base::duration awake = now - this->awake_since;
     const bool others_unheard = this->large ? this->table.has_unheard_seed()
@@ -296,7 +300,7 @@
             static_cast<std::uint32_t>(nearby.entries)};
 }
 
-void peer_link::share_cold_upstreams(base::instant now)
+void peer_protocol::share_cold_upstreams(base::instant now)
 {
     const traffic::slow_start_share next = this->cold_share(now);
     if (next == this->share)
--- a/src/greengagedrum/entry/peer_socket.hpp
+++ b/src/greengagedrum/entry/peer_socket.hpp
@@ -1,4 +1,4 @@
-// The sockets of peer_link: datagrams on the peers' port, and a client for
+// The sockets of peer_protocol: datagrams on the peers' port, and a client for
 // items that a peer passes on.
 #pragma once
 
@@ -16,7 +16,7 @@
 class peer_socket
 {
 public:
-    using on_datagram =
+    using datagram_handler =
         std::function<void(std::string_view bytes, const std::string& from)>;
 
     peer_socket(relay::asio::io_context& context,
@@ -26,12 +26,12 @@
     // Valid as long as this object is.
     peer_transport transport();
 
-    void begin(on_datagram arrived, std::function<void()> wake);
+    void start(datagram_handler arrived, std::function<void()> on_timer);
 
 private:
     void receive();
     void send(std::string_view bytes, gossip::ip_number to);
-    void wake_after(base::duration after);
+    void start_timer(base::duration after);
 
     relay::udp::socket socket;
     relay::udp::endpoint sender;
@@ -40,8 +40,8 @@
     relay::asio::steady_timer timer;
     std::shared_ptr<relay::http_get> client;
     std::uint16_t port;
-    on_datagram arrived;
-    std::function<void()> wake;
+    datagram_handler arrived;
+    std::function<void()> on_timer;
 };
 
 } // namespace greengagedrum::entry
