--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -68,8 +68,8 @@
     this->store_answered_at = this->state.clock();
     this->ticked_at = this->state.clock();
     this->suspended = suspended_time();
-    this->callers =
-        std::make_unique<front>(this->context, given.callers, this->state);
+    this->callers = std::make_unique<request_handler>(
+        this->context, given.callers, this->state);
     this->callers->uses_changed = [this] {
         if (this->peers)
             this->peers->tell_soon();
--- a/src/greengagedrum/entry/entry.hpp
+++ b/src/greengagedrum/entry/entry.hpp
@@ -5,9 +5,9 @@
 // cost a wake-up for each event.
 #pragma once
 
-#include <greengagedrum/entry/front.hpp>
 #include <greengagedrum/entry/peer_link.hpp>
 #include <greengagedrum/entry/peer_socket.hpp>
+#include <greengagedrum/entry/request_handler.hpp>
 #include <greengagedrum/entry/settings.hpp>
 #include <greengagedrum/entry/store_reader.hpp>
 #include <greengagedrum/relay/small_server.hpp>
@@ -73,7 +73,7 @@
     base::incarnation life;
     relay::asio::steady_timer timer;
     boost::asio::signal_set signals;
-    std::unique_ptr<front> callers;
+    std::unique_ptr<request_handler> callers;
     std::unique_ptr<peer_socket> peer_datagrams;
     std::unique_ptr<peer_link> peers;
     std::unique_ptr<store_reader> store;
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -1,13 +1,13 @@
 // How requests count against the limits of their workspaces.
-#include <greengagedrum/entry/front.hpp>
 #include <greengagedrum/entry/milliseconds.hpp>
+#include <greengagedrum/entry/request_handler.hpp>
 
 namespace greengagedrum::entry
 {
 
 // Requests that wait were to be counted by the entry that placed them. All are
 // counted before the first is ended, for then others may be sent.
-void front::count_waiting()
+void request_handler::count_waiting()
 {
     std::vector<std::pair<base::request_id, base::duration>> beyond;
     for (auto& [id, request] : this->requests) {
@@ -28,14 +28,15 @@
         this->refuse_waiting(id, retry_after);
 }
 
-void front::refuse_waiting(base::request_id id, base::duration retry_after)
+void request_handler::refuse_waiting(base::request_id id,
+                                     base::duration retry_after)
 {
     this->told(traffic::caller_left{id});
     this->carry_out_one(traffic::end_request{
         id, base::not_run(base::reason::limit_reached, retry_after)});
 }
 
-void front::return_cost(const accepted& request)
+void request_handler::return_cost(const accepted& request)
 {
     if (!request.counted)
         return;
@@ -49,10 +50,10 @@
 
 // The entry that counts says what it went by; where it placed for another one,
 // that one's log bears the request's own id and only the verdict.
-void front::note_over_limit(base::workspace_id workspace,
-                            double cost,
-                            std::uint32_t priority,
-                            base::duration retry_after)
+void request_handler::note_over_limit(base::workspace_id workspace,
+                                      double cost,
+                                      std::uint32_t priority,
+                                      base::duration retry_after)
 {
     const base::instant now = this->state.clock();
     const quota::limit_view seen = this->state.limiter.view(workspace, now);
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -1,14 +1,14 @@
 // Requests that are placed for other entries, and own ones that another entry
 // places.
-#include <greengagedrum/entry/front.hpp>
 #include <greengagedrum/entry/milliseconds.hpp>
+#include <greengagedrum/entry/request_handler.hpp>
 
 namespace greengagedrum::entry
 {
 
 // ---- Own requests, placed by another entry --------------------------------
 
-dispatch::member_report front::report_to_dispatcher() const
+dispatch::member_report request_handler::report_to_dispatcher() const
 {
     const base::instant now = this->state.clock();
     dispatch::member_report out;
@@ -37,7 +37,7 @@
     return out;
 }
 
-void front::replied(const dispatch::dispatcher_reply& what)
+void request_handler::replied(const dispatch::dispatcher_reply& what)
 {
     this->journal.taken(what.news_taken);
     for (const dispatch::granted_place& one : what.granted)
@@ -54,7 +54,7 @@
                                     base::not_run(one.why, one.retry_after)});
 }
 
-void front::delegate()
+void request_handler::delegate()
 {
     this->state.delegating = true;
     this->state.scheduler.delegate(true);
@@ -67,7 +67,8 @@
 // Failure guarded against: a dispatcher dies, and each of its members has the
 // whole of every limit until it has counted the others: of three requests of
 // 200 tokens that waited, all three went out on a part of 285.
-void front::place_alone(std::size_t unheard, const handed_limits* known)
+void request_handler::place_alone(std::size_t unheard,
+                                  const handed_limits* known)
 {
     const base::instant now = this->state.clock();
     if (known != nullptr)
@@ -84,10 +85,11 @@
 
 // ---- Members' requests ----------------------------------------------------
 
-void front::member_reported(base::slot_id member,
-                            base::incarnation life,
-                            const dispatch::member_report& told,
-                            std::span<const traffic::upstream_use> uses)
+void request_handler::member_reported(
+    base::slot_id member,
+    base::incarnation life,
+    const dispatch::member_report& told,
+    std::span<const traffic::upstream_use> uses)
 {
     const dispatch::request_changes news =
         this->members.report(member, life, told, uses);
@@ -96,12 +98,12 @@
     this->take(news);
 }
 
-void front::member_lost(base::slot_id member)
+void request_handler::member_lost(base::slot_id member)
 {
     this->take(this->members.lost(member));
 }
 
-void front::take(const dispatch::request_changes& news)
+void request_handler::take(const dispatch::request_changes& news)
 {
     const base::instant now = this->state.clock();
     for (const dispatch::counted_cost& cost : news.withdrawn)
@@ -112,8 +114,8 @@
         this->arrived_at_member(id, wanted);
 }
 
-void front::arrived_at_member(base::request_id id,
-                              const dispatch::slot_request& wanted)
+void request_handler::arrived_at_member(base::request_id id,
+                                        const dispatch::slot_request& wanted)
 {
     const auto over = wanted.counted
                           ? std::nullopt
@@ -135,7 +137,8 @@
 }
 
 // As the configuration in force here says: members ask by route and workspace.
-routing::homes front::homes_of(const traffic::request_facts& facts) const
+routing::homes
+request_handler::homes_of(const traffic::request_facts& facts) const
 {
     const routing::route_table_ptr& table = this->state.known.routes();
     const routing::route* route =
@@ -146,7 +149,7 @@
         *route, table->find_workspace(facts.workspace), this->state.regions);
 }
 
-void front::grant(const traffic::send_request& order)
+void request_handler::grant(const traffic::send_request& order)
 {
     const base::instant now = this->state.clock();
     if (this->state.known.upstreams().find(order.upstream) == nullptr) {
@@ -159,7 +162,7 @@
         this->state.limiter.sent(cost->workspace, cost->amount, now);
 }
 
-void front::decline(const traffic::end_request& order)
+void request_handler::decline(const traffic::end_request& order)
 {
     const auto cost = this->members.declined(order.request, order.verdict);
     if (cost)
--- a/src/greengagedrum/entry/peer_link.hpp
+++ b/src/greengagedrum/entry/peer_link.hpp
@@ -7,8 +7,8 @@
 // tells whom, and peer_roles.cpp what each of them is.
 #pragma once
 
-#include <greengagedrum/entry/front.hpp>
 #include <greengagedrum/entry/peer_transport.hpp>
+#include <greengagedrum/entry/request_handler.hpp>
 #include <greengagedrum/entry/settings.hpp>
 #include <greengagedrum/gossip/gossip_schedule.hpp>
 #include <greengagedrum/gossip/peer_table.hpp>
--- a/src/greengagedrum/entry/quarantine_page.hpp
+++ b/src/greengagedrum/entry/quarantine_page.hpp
@@ -4,7 +4,7 @@
 //   POST /quarantine/release/DIGEST  DIGEST: as the log and the list show it
 #pragma once
 
-#include <greengagedrum/entry/front.hpp>
+#include <greengagedrum/entry/request_handler.hpp>
 #include <greengagedrum/relay/small_server.hpp>
 
 namespace greengagedrum::entry
--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -1,5 +1,5 @@
-#include <greengagedrum/entry/front.hpp>
 #include <greengagedrum/entry/milliseconds.hpp>
+#include <greengagedrum/entry/request_handler.hpp>
 #include <greengagedrum/placement/seconds.hpp>
 #include <greengagedrum/relay/small_server.hpp>
 
@@ -39,9 +39,9 @@
 
 } // namespace
 
-front::front(relay::asio::io_context& context,
-             const base::ip_endpoint& address,
-             shared_state& state)
+request_handler::request_handler(relay::asio::io_context& context,
+                                 const base::ip_endpoint& address,
+                                 shared_state& state)
     : context(context), acceptor(relay::listen_on(context, address)),
       state(state), dice(std::random_device{}())
 {
@@ -65,7 +65,7 @@
     this->accept();
 }
 
-void front::accept()
+void request_handler::accept()
 {
     this->acceptor.async_accept(
         [this](relay::error_code fault, relay::tcp::socket socket) {
@@ -83,7 +83,7 @@
         });
 }
 
-relay::caller_bounds front::bounds() const
+relay::caller_bounds request_handler::bounds() const
 {
     relay::caller_bounds out;
     out.read = {default_head_bytes, default_body_bytes};
@@ -102,7 +102,7 @@
     return out;
 }
 
-base::ip_endpoint front::address() const
+base::ip_endpoint request_handler::address() const
 {
     const relay::tcp::endpoint own = this->acceptor.local_endpoint();
     return {own.address().to_string(), own.port()};
@@ -110,9 +110,8 @@
 
 // ---- Requests -------------------------------------------------------------
 
-std::optional<relay::own_answer> front::admit(const relay::request_head& head,
-                                              base::duration waited,
-                                              admitted& out)
+std::optional<relay::own_answer> request_handler::admit(
+    const relay::request_head& head, base::duration waited, admitted& out)
 {
     using relay::own_answer;
     if (auto fault = platform::read_request_marks(head, out.origin.marks))
@@ -138,10 +137,10 @@
     return std::nullopt;
 }
 
-void front::fill_facts(const routing::route& route,
-                       const routing::workspace* owner,
-                       base::duration waited,
-                       admitted& out)
+void request_handler::fill_facts(const routing::route& route,
+                                 const routing::workspace* owner,
+                                 base::duration waited,
+                                 admitted& out)
 {
     const platform::request_marks& marks = out.origin.marks;
     const double draw =
@@ -182,7 +181,8 @@
     out.cost = owner->limit.in_tokens ? tokens : 1;
 }
 
-void front::on_request(const relay::caller_ptr& from, base::duration waited)
+void request_handler::on_request(const relay::caller_ptr& from,
+                                 base::duration waited)
 {
     const base::instant now = this->state.clock();
     if (this->state.stopping)
@@ -241,9 +241,9 @@
         this->uses_changed();
 }
 
-void front::refuse(const relay::caller_ptr& from,
-                   const std::string& attempt,
-                   const relay::own_answer& what)
+void request_handler::refuse(const relay::caller_ptr& from,
+                             const std::string& attempt,
+                             const relay::own_answer& what)
 {
     this->state.log.write(
         this->state.clock(),
@@ -258,8 +258,9 @@
     from->answer(what);
 }
 
-std::shared_ptr<exchange> front::make_exchange(const relay::caller_ptr& from,
-                                               request_origin origin)
+std::shared_ptr<exchange>
+request_handler::make_exchange(const relay::caller_ptr& from,
+                               request_origin origin)
 {
     exchange::owner_events owner;
     const base::request_id id = origin.id;
@@ -271,7 +272,7 @@
         this->context, from, std::move(origin), std::move(owner));
 }
 
-void front::on_left(const relay::caller_ptr& from)
+void request_handler::on_left(const relay::caller_ptr& from)
 {
     const auto found = this->by_caller.find(from.get());
     if (found == this->by_caller.end())
@@ -299,7 +300,7 @@
         this->uses_changed();
 }
 
-void front::place()
+void request_handler::place()
 {
     if (this->working)
         return;
@@ -311,7 +312,7 @@
     this->working = false;
 }
 
-void front::tick()
+void request_handler::tick()
 {
     this->working = true;
     traffic::actions orders;
@@ -331,13 +332,13 @@
 
 // ---- Stopping -------------------------------------------------------------
 
-void front::begin_stop()
+void request_handler::begin_stop()
 {
     for (const relay::caller_ptr& one : this->callers)
         one->set_closing();
 }
 
-void front::stop_accepting()
+void request_handler::stop_accepting()
 {
     relay::error_code ignored; // closed either way
     this->acceptor.close(ignored);
--- a/src/greengagedrum/entry/front.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -45,12 +45,12 @@
     base::instant told_at;
 };
 
-class front
+class request_handler
 {
 public:
-    front(relay::asio::io_context& context,
-          const base::ip_endpoint& address,
-          shared_state& state);
+    request_handler(relay::asio::io_context& context,
+                    const base::ip_endpoint& address,
+                    shared_state& state);
 
     // Something was learnt, or time has passed.
     void tick();
--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -1,6 +1,6 @@
 // How facts about requests reach the scheduler, and its orders the sockets.
-#include <greengagedrum/entry/front.hpp>
 #include <greengagedrum/entry/milliseconds.hpp>
+#include <greengagedrum/entry/request_handler.hpp>
 #include <greengagedrum/entry/standing_log.hpp>
 #include <greengagedrum/relay/connect_check.hpp>
 
@@ -21,7 +21,7 @@
 
 // Carrying out a decision may tell the next fact at once; it is decided on
 // after all orders of the first were carried out.
-void front::told(const traffic::event& what)
+void request_handler::told(const traffic::event& what)
 {
     this->backlog.push_back(what);
     if (this->working)
@@ -31,7 +31,7 @@
     this->working = false;
 }
 
-void front::decide_backlog()
+void request_handler::decide_backlog()
 {
     while (!this->backlog.empty()) {
         const traffic::event next = this->backlog.front();
@@ -46,7 +46,7 @@
     }
 }
 
-void front::note_progress(const traffic::event& what)
+void request_handler::note_progress(const traffic::event& what)
 {
     const auto* progress = std::get_if<traffic::progressed>(&what);
     if (progress == nullptr)
@@ -64,14 +64,14 @@
     request.last_event_at = now;
 }
 
-bool front::accepted::in_time(base::instant first) const
+bool request_handler::accepted::in_time(base::instant first) const
 {
     const bool steady = this->gap_objective.count() == 0 ||
                         this->longest_gap <= this->gap_objective;
     return steady && first - this->arrived <= this->objective;
 }
 
-void front::note_misdirection(const traffic::event& what)
+void request_handler::note_misdirection(const traffic::event& what)
 {
     const auto* away = std::get_if<traffic::turned_away>(&what);
     if (away == nullptr || away->why != traffic::turn_away::misdirected)
@@ -81,12 +81,12 @@
         this->misdirected(found->second);
 }
 
-void front::misdirected(base::upstream_id upstream)
+void request_handler::misdirected(base::upstream_id upstream)
 {
     this->upstreams_changed(this->state.known.misdirected(upstream));
 }
 
-void front::upstreams_changed(const cluster_changes& changes)
+void request_handler::upstreams_changed(const cluster_changes& changes)
 {
     const base::instant now = this->state.clock();
     for (const departed_upstream& one : changes.left)
@@ -98,7 +98,7 @@
     }
 }
 
-void front::carry_out(const traffic::actions& orders)
+void request_handler::carry_out(const traffic::actions& orders)
 {
     for (const traffic::action& one : orders)
         std::visit([this](const auto& order) { this->carry_out_one(order); },
@@ -107,7 +107,7 @@
         this->uses_changed();
 }
 
-void front::carry_out_one(const traffic::send_request& order)
+void request_handler::carry_out_one(const traffic::send_request& order)
 {
     if (dispatch::dispatcher_book::is_members(order.request))
         return this->grant(order);
@@ -146,7 +146,7 @@
     wire->send(order.send, *to, order.end_at - now);
 }
 
-void front::carry_out_one(const traffic::stop_send& order)
+void request_handler::carry_out_one(const traffic::stop_send& order)
 {
     const auto found = this->requests.find(order.request);
     if (found == this->requests.end())
@@ -155,7 +155,7 @@
     this->reported(order.request, {order.send, 0, 0, "stopped here"});
 }
 
-void front::carry_out_one(const traffic::deliver_answer& order)
+void request_handler::carry_out_one(const traffic::deliver_answer& order)
 {
     const auto found = this->requests.find(order.request);
     if (found == this->requests.end())
@@ -165,7 +165,7 @@
     wire->deliver(this->state.stopping);
 }
 
-void front::carry_out_one(const traffic::end_request& order)
+void request_handler::carry_out_one(const traffic::end_request& order)
 {
     if (dispatch::dispatcher_book::is_members(order.request))
         return this->decline(order);
@@ -180,7 +180,7 @@
 }
 
 // One connect for all whose connections to it were lost.
-void front::carry_out_one(const traffic::check_upstream& order)
+void request_handler::carry_out_one(const traffic::check_upstream& order)
 {
     const routing::published_upstream* to =
         this->state.known.upstreams().find_alive(order.upstream);
@@ -196,7 +196,7 @@
     check->start(to->address, check_after);
 }
 
-void front::carry_out_one(const traffic::trust_changed& change)
+void request_handler::carry_out_one(const traffic::trust_changed& change)
 {
     const routing::published_upstream* of =
         this->state.known.upstreams().find_alive(change.upstream);
@@ -209,12 +209,12 @@
          {"bad_share", change.bad_share}});
 }
 
-void front::carry_out_one(const quarantine::standing_change& change)
+void request_handler::carry_out_one(const quarantine::standing_change& change)
 {
     log_standing(this->state, change, "own");
 }
 
-void front::finish(base::request_id id, const base::verdict* failed)
+void request_handler::finish(base::request_id id, const base::verdict* failed)
 {
     const auto found = this->requests.find(id);
     const accepted& request = found->second;
@@ -263,7 +263,7 @@
     this->requests.erase(found);
 }
 
-void front::reported(base::request_id id, const send_report& what)
+void request_handler::reported(base::request_id id, const send_report& what)
 {
     const auto found = this->requests.find(id);
     if (found == this->requests.end())
--- a/src/greengagedrum/entry/standing_log.hpp
+++ b/src/greengagedrum/entry/standing_log.hpp
@@ -1,7 +1,7 @@
 // The log lines of requests that crash upstreams.
 #pragma once
 
-#include <greengagedrum/entry/front.hpp>
+#include <greengagedrum/entry/request_handler.hpp>
 
 #include <string>
 #include <string_view>
