--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -68,9 +68,9 @@
     this->store_answered_at = this->state.clock();
     this->ticked_at = this->state.clock();
     this->suspended = suspended_time();
-    this->callers = std::make_unique<request_handler>(
+    this->handler = std::make_unique<request_handler>(
         this->context, given.callers, this->state);
-    this->callers->uses_changed = [this] {
+    this->handler->uses_changed = [this] {
         if (this->peers)
             this->peers->tell_soon();
     };
@@ -137,33 +137,33 @@
 peer_events entry::told_by_peers()
 {
     peer_events out;
-    out.load_changed = [this] { this->callers->place(); };
+    out.load_changed = [this] { this->handler->place(); };
     out.items = [this](const gossip::item_transfer& got) {
         this->apply(this->state.known.learn(got, this->state.clock()), "peer");
         this->end_pause("peer");
         this->store->known_up_to(this->state.known.as_of());
     };
-    out.delegate = [this] { this->callers->delegate(); };
+    out.delegate = [this] { this->handler->delegate(); };
     out.place_alone = [this](std::size_t unheard, const handed_limits* known) {
-        this->callers->place_alone(unheard, known);
+        this->handler->place_alone(unheard, known);
     };
-    out.report = [this] { return this->callers->report_to_dispatcher(); };
+    out.report = [this] { return this->handler->report_to_dispatcher(); };
     out.replied = [this](const dispatch::dispatcher_reply& what) {
-        this->callers->replied(what);
+        this->handler->replied(what);
     };
     out.member_reported = [this](base::slot_id member,
                                  const gossip::message& told) {
-        this->callers->member_reported(
+        this->handler->member_reported(
             member, told.life, told.report, told.uses);
     };
     out.member_lost = [this](base::slot_id member) {
-        this->callers->member_lost(member);
+        this->handler->member_lost(member);
     };
     out.members_unanswered = [this] {
-        return this->callers->book().unanswered(this->state.clock());
+        return this->handler->book().unanswered(this->state.clock());
     };
     out.reply = [this](base::slot_id member) {
-        return this->callers->book().reply(member, this->state.clock());
+        return this->handler->book().reply(member, this->state.clock());
     };
     return out;
 }
@@ -189,7 +189,7 @@
     logs::write(logs::level::info,
                 "entry",
                 "stopped",
-                {{"unfinished", this->callers->in_flight()}});
+                {{"unfinished", this->handler->in_flight()}});
 }
 
 void entry::apply_bounds()
--- a/src/greengagedrum/entry/entry.hpp
+++ b/src/greengagedrum/entry/entry.hpp
@@ -38,7 +38,7 @@
 
     base::ip_endpoint caller_address() const
     {
-        return this->callers->address();
+        return this->handler->address();
     }
 
 private:
@@ -73,7 +73,7 @@
     base::incarnation life;
     relay::asio::steady_timer timer;
     boost::asio::signal_set signals;
-    std::unique_ptr<request_handler> callers;
+    std::unique_ptr<request_handler> handler;
     std::unique_ptr<peer_socket> peer_datagrams;
     std::unique_ptr<peer_link> peers;
     std::unique_ptr<store_reader> store;
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -92,9 +92,9 @@
                               {{"upstream", one.name},
                                {"as_of", this->state.known.as_of()},
                                {"source", source}});
-    this->callers->upstreams_changed(changes);
+    this->handler->upstreams_changed(changes);
     if (!changes.joined.empty())
-        this->callers->tick();
+        this->handler->tick();
 }
 
 void entry::on_store_failed(const std::string& why)
@@ -130,7 +130,7 @@
 void entry::schedule_tick()
 {
     const bool waiting = this->state.scheduler.waiting() > 0;
-    const bool busy = this->callers->in_flight() > 0;
+    const bool busy = this->handler->in_flight() > 0;
     this->timer.expires_after(waiting ? waiting_tick
                               : busy  ? busy_tick
                                       : idle_tick);
@@ -148,7 +148,7 @@
     this->notice_pause(now);
     this->ticked_at = now;
     this->apply(this->state.known.expire(now), "lapse");
-    this->callers->tick();
+    this->handler->tick();
     this->peers->tick(this->store->failing());
     if (now - this->swept_at >= sweep_period) {
         this->swept_at = now;
@@ -197,7 +197,7 @@
     this->paused_at.reset();
     this->state.scheduler.hold(false);
     logs::write(logs::level::info, "entry", "pause_over", {{"why", why}});
-    this->callers->tick();
+    this->handler->tick();
 }
 
 void entry::check_settings()
@@ -239,13 +239,13 @@
 {
     this->stop_begun_at = this->state.clock();
     this->state.stopping = true;
-    this->callers->begin_stop();
+    this->handler->begin_stop();
     this->peers->begin_stop();
     logs::write(
         logs::level::info,
         "entry",
         "stopping",
-        {{"signal", number}, {"in_flight", this->callers->in_flight()}});
+        {{"signal", number}, {"in_flight", this->handler->in_flight()}});
 }
 
 void entry::check_stop()
@@ -254,10 +254,10 @@
     const base::duration passed = now - *this->stop_begun_at;
     if (passed >= accept_after_stop && this->accepting) {
         this->accepting = false;
-        this->callers->stop_accepting();
+        this->handler->stop_accepting();
     }
-    const bool done = !this->accepting && this->callers->in_flight() == 0 &&
-                      this->callers->callers_open() == 0;
+    const bool done = !this->accepting && this->handler->in_flight() == 0 &&
+                      this->handler->callers_open() == 0;
     if (done || passed >= this->own.bounds.stop - stop_margin)
         this->context.stop();
 }
