--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -95,7 +95,7 @@
     };
     store_told.part = [this](const routing::item_list& items) {
         this->apply(
-            this->state.known.learn(items, 0, false, this->state.clock()),
+            this->state.cluster.learn(items, 0, false, this->state.clock()),
             "store");
     };
     store_told.failed = [this](const std::string& why) {
@@ -139,9 +139,10 @@
     peer_events out;
     out.load_changed = [this] { this->handler->place(); };
     out.items = [this](const gossip::item_transfer& got) {
-        this->apply(this->state.known.learn(got, this->state.clock()), "peer");
+        this->apply(this->state.cluster.learn(got, this->state.clock()),
+                    "peer");
         this->end_pause("peer");
-        this->store->known_up_to(this->state.known.as_of());
+        this->store->known_up_to(this->state.cluster.as_of());
     };
     out.delegate = [this] { this->handler->delegate(); };
     out.place_alone = [this](std::size_t unheard, const handed_limits* known) {
@@ -205,7 +206,7 @@
 
 void entry::apply_slow_start()
 {
-    const routing::route_table_ptr& routes = this->state.known.routes();
+    const routing::route_table_ptr& routes = this->state.cluster.routes();
     if (!routes)
         return;
     const traffic::slow_start_tolerance tolerance{
@@ -222,7 +223,7 @@
 
 bool entry::ready() const
 {
-    return !this->state.stopping && this->state.known.routes() != nullptr;
+    return !this->state.stopping && this->state.cluster.routes() != nullptr;
 }
 
 relay::small_answer entry::answer_readiness() const
@@ -238,9 +239,9 @@
     if (!asked)
         return {503, "text/plain", "no such question\n"};
     gossip::item_transfer out =
-        asked->life ? this->state.known.items_after(
+        asked->life ? this->state.cluster.items_after(
                           *asked->life == this->life ? asked->number : 0)
-                    : this->state.known.items_since(asked->number);
+                    : this->state.cluster.items_since(asked->number);
     out.life = this->life;
     return {200, "application/octet-stream", gossip::encode(out)};
 }
@@ -255,7 +256,7 @@
     set(telemetry::gauge::config_age_seconds,
         placement::seconds_of(now - this->store_answered_at));
     set(telemetry::gauge::config_revision,
-        static_cast<double>(this->state.known.configuration_revision()));
+        static_cast<double>(this->state.cluster.configuration_revision()));
     set(telemetry::gauge::requests_waiting,
         static_cast<double>(this->state.scheduler.waiting()));
     set(telemetry::gauge::requests_in_flight,
@@ -263,9 +264,10 @@
     set(telemetry::gauge::peers_linked,
         static_cast<double>(this->peers->alive()));
     set(telemetry::gauge::upstreams_live,
-        static_cast<double>(this->state.known.upstreams().usable_count()));
+        static_cast<double>(this->state.cluster.upstreams().usable_count()));
     set(telemetry::gauge::data_centres_evacuated,
-        static_cast<double>(this->state.known.upstreams().evacuated().size()));
+        static_cast<double>(
+            this->state.cluster.upstreams().evacuated().size()));
     set(telemetry::gauge::requests_quarantined,
         static_cast<double>(
             this->state.scheduler.crash_suspects().barred(now).size()));
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -60,7 +60,7 @@
     const double kept = this->state.limiter.kept_for_more_urgent(
         workspace, cost, priority, now);
     const routing::workspace* of =
-        this->state.known.routes()->find_workspace(workspace);
+        this->state.cluster.routes()->find_workspace(workspace);
     this->state.log.write(now,
                           "limits",
                           "limit_reached",
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -140,7 +140,7 @@
 routing::homes
 request_handler::homes_of(const traffic::request_facts& facts) const
 {
-    const routing::route_table_ptr& table = this->state.known.routes();
+    const routing::route_table_ptr& table = this->state.cluster.routes();
     const routing::route* route =
         table ? table->find_route(facts.kind) : nullptr;
     if (route == nullptr)
@@ -152,7 +152,7 @@
 void request_handler::grant(const traffic::send_request& order)
 {
     const base::instant now = this->state.clock();
-    if (this->state.known.upstreams().find(order.upstream) == nullptr) {
+    if (this->state.cluster.upstreams().find(order.upstream) == nullptr) {
         // It left within this very turn.
         if (const auto cost = this->members.forget(order.request))
             this->state.limiter.withdrawn(cost->workspace, cost->amount, now);
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -164,8 +164,8 @@
     if (this->large && this->dispatcher == message->address)
         return this->follow(*message, now);
     if (message->configuration_revision >
-            this->state.known.configuration_revision() ||
-        message->change_revision > this->state.known.changed_at())
+            this->state.cluster.configuration_revision() ||
+        message->change_revision > this->state.cluster.changed_at())
         this->ask_peer(now);
 }
 
@@ -236,11 +236,11 @@
     out.strength = strength_of(this->own);
     out.lived_for = now - this->began;
     out.stopping = this->state.stopping;
-    out.configuration_revision = this->state.known.configuration_revision();
-    out.store_revision = this->state.known.as_of();
-    out.change_revision = this->state.known.changed_at();
-    out.changes = this->state.known.changes();
-    out.digest = this->state.known.digest();
+    out.configuration_revision = this->state.cluster.configuration_revision();
+    out.store_revision = this->state.cluster.as_of();
+    out.change_revision = this->state.cluster.changed_at();
+    out.changes = this->state.cluster.changes();
+    out.digest = this->state.cluster.digest();
     out.store_age = now - this->own_read_at;
     return out;
 }
@@ -307,7 +307,7 @@
     this->state.limiter.assume_silent_peers(now);
     const auto newest = this->table.newest_source(now, this->turn);
     const bool changed =
-        newest && newest->change_revision > this->state.known.changed_at();
+        newest && newest->change_revision > this->state.cluster.changed_at();
     if (store_fails || changed)
         this->ask_peer(now);
 }
@@ -317,12 +317,13 @@
     if (this->asking || now - this->asked_at < ask_gap)
         return;
     const auto source = this->table.newest_source(now, ++this->turn);
-    if (!source || (source->store_revision <= this->state.known.as_of() &&
-                    source->change_revision <= this->state.known.changed_at()))
+    if (!source ||
+        (source->store_revision <= this->state.cluster.as_of() &&
+         source->change_revision <= this->state.cluster.changed_at()))
         return;
     this->ask_for_items(source->address,
-                        {std::min(this->state.known.changed_at(),
-                                  this->state.known.configuration_revision()),
+                        {std::min(this->state.cluster.changed_at(),
+                                  this->state.cluster.configuration_revision()),
                          std::nullopt},
                         now);
 }
--- a/src/greengagedrum/entry/request_handler.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -87,10 +87,10 @@
 {
     relay::caller_bounds out;
     out.read = {default_head_bytes, default_body_bytes};
-    if (!this->state.known.routes())
+    if (!this->state.cluster.routes())
         return out;
     const routing::caller_limits& limits =
-        this->state.known.routes()->source().limits;
+        this->state.cluster.routes()->source().limits;
     if (limits.head_bytes > 0)
         out.read.head_bytes = limits.head_bytes;
     if (limits.body_bytes > 0)
@@ -118,7 +118,7 @@
         return own_answer{400, std::move(*fault), {}};
     if (out.origin.marks.attempt.empty())
         return own_answer{400, "no request id", {}};
-    const routing::route_table_ptr& table = this->state.known.routes();
+    const routing::route_table_ptr& table = this->state.cluster.routes();
     if (!table)
         return own_answer{503, "not_configured", until_configured};
     const auto host = relay::find_header(head.headers, "Host").value_or("");
@@ -152,7 +152,7 @@
     facts.kind = route.id;
     facts.rule = route.rule;
     facts.stream = route.stream;
-    facts.priority = this->state.known.routes()->urgency(route, owner);
+    facts.priority = this->state.cluster.routes()->urgency(route, owner);
     facts.sends_max = route.sends_max;
     facts.homes = routing::homes_of(route, owner, this->state.regions);
     facts.objective = route.objective;
@@ -212,7 +212,7 @@
          {"priority", request.facts.priority},
          {"prompt_tokens", request.facts.prompt_tokens},
          {"time_left_ms", milliseconds(request.facts.time_left)},
-         {"config_version", this->state.known.configuration_version()},
+         {"config_version", this->state.cluster.configuration_version()},
          {"cost", request.cost},
          {"limit_level",
           this->state.limiter.view(request.workspace, now).level}});
@@ -252,7 +252,7 @@
         {{"request", attempt},
          {"status", what.status},
          {"why", what.reason},
-         {"config_version", this->state.known.configuration_version()},
+         {"config_version", this->state.cluster.configuration_version()},
          {"retry_after_ms",
           milliseconds(what.retry_after.value_or(base::duration(0)))}});
     from->answer(what);
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -24,7 +24,7 @@
 // What the parts of an entry share; they all run on its one loop.
 struct shared_state {
     std::function<base::instant()> clock;
-    cluster_state known;
+    cluster_state cluster;
     quota::usage_limiter limiter;
     traffic::scheduler scheduler;
     decision_log log;
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -83,7 +83,7 @@
 
 void request_handler::misdirected(base::upstream_id upstream)
 {
-    this->upstreams_changed(this->state.known.misdirected(upstream));
+    this->upstreams_changed(this->state.cluster.misdirected(upstream));
 }
 
 void request_handler::upstreams_changed(const cluster_changes& changes)
@@ -93,7 +93,7 @@
         this->state.scheduler.upstream_left(one.id);
     // The same news may have taken away what it brought.
     for (const routing::published_upstream& one : changes.joined) {
-        if (this->state.known.upstreams().find(one.id) != nullptr)
+        if (this->state.cluster.upstreams().find(one.id) != nullptr)
             this->state.scheduler.upstream_joined(one, now);
     }
 }
@@ -114,7 +114,7 @@
     accepted& request = this->requests.at(order.request);
     const base::instant now = this->state.clock();
     const routing::published_upstream* to =
-        this->state.known.upstreams().find(order.upstream);
+        this->state.cluster.upstreams().find(order.upstream);
     if (to == nullptr) {
         // It left within this very turn.
         return this->told(traffic::not_sent{order.request, order.send});
@@ -142,7 +142,7 @@
                            {"expected_ms", milliseconds(order.why.first_event)},
                            {"gap_ms", milliseconds(order.why.gap)},
                            {"suits", order.why.suits},
-                           {"store_revision", this->state.known.as_of()}});
+                           {"store_revision", this->state.cluster.as_of()}});
     wire->send(order.send, *to, order.end_at - now);
 }
 
@@ -183,7 +183,7 @@
 void request_handler::carry_out_one(const traffic::check_upstream& order)
 {
     const routing::published_upstream* to =
-        this->state.known.upstreams().find_alive(order.upstream);
+        this->state.cluster.upstreams().find_alive(order.upstream);
     if (to == nullptr)
         return this->told(traffic::upstream_checked{order.upstream, false});
     if (!this->checked.insert(order.upstream).second)
@@ -199,7 +199,7 @@
 void request_handler::carry_out_one(const traffic::trust_changed& change)
 {
     const routing::published_upstream* of =
-        this->state.known.upstreams().find_alive(change.upstream);
+        this->state.cluster.upstreams().find_alive(change.upstream);
     this->state.log.write(
         this->state.clock(),
         "scheduler",
--- a/src/greengagedrum/entry/standing_log.cpp
+++ b/src/greengagedrum/entry/standing_log.cpp
@@ -29,9 +29,9 @@
 
 std::string workspace_name(const shared_state& state, base::workspace_id id)
 {
-    if (!state.known.routes())
+    if (!state.cluster.routes())
         return {};
-    const auto& all = state.known.routes()->source().workspaces;
+    const auto& all = state.cluster.routes()->source().workspaces;
     const auto found = std::find_if(
         all.begin(), all.end(), [&](const auto& one) { return one.id == id; });
     return found == all.end() ? std::string() : found->name;
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -40,7 +40,7 @@
                     const char* source)
 {
     this->apply(
-        this->state.known.learn(items, as_of, whole, this->state.clock()),
+        this->state.cluster.learn(items, as_of, whole, this->state.clock()),
         source);
     this->end_pause(source);
 }
@@ -57,7 +57,7 @@
                                {"source", source}});
     if (changes.configuration) {
         const routing::configuration& config =
-            this->state.known.routes()->source();
+            this->state.cluster.routes()->source();
         this->state.limiter.set_limits(config, now);
         this->apply_slow_start();
         logs::write(logs::level::info,
@@ -90,7 +90,7 @@
                               "cluster_state",
                               "upstream_left",
                               {{"upstream", one.name},
-                               {"as_of", this->state.known.as_of()},
+                               {"as_of", this->state.cluster.as_of()},
                                {"source", source}});
     this->handler->upstreams_changed(changes);
     if (!changes.joined.empty())
@@ -100,7 +100,7 @@
 void entry::on_store_failed(const std::string& why)
 {
     const base::instant now = this->state.clock();
-    this->state.known.store_failed(now);
+    this->state.cluster.store_failed(now);
     if (this->store_away)
         return;
     this->store_away = true;
@@ -111,7 +111,7 @@
 void entry::on_store_answered()
 {
     const base::instant now = this->state.clock();
-    this->state.known.store_answered(now);
+    this->state.cluster.store_answered(now);
     this->peers->store_answered();
     if (this->store_away)
         logs::write(
@@ -147,7 +147,7 @@
     const base::instant now = this->state.clock();
     this->notice_pause(now);
     this->ticked_at = now;
-    this->apply(this->state.known.expire(now), "lapse");
+    this->apply(this->state.cluster.expire(now), "lapse");
     this->handler->tick();
     this->peers->tick(this->store->failing());
     if (now - this->swept_at >= sweep_period) {
