--- a/fuzz/store_items.cpp
+++ b/fuzz/store_items.cpp
@@ -40,14 +40,14 @@
             "warmupRemainingMs": 0, "sequence": 1, "born": 1000})";
     const base::instant now(std::chrono::hours(1));
     entry::cluster_state known;
-    known.learn(
+    known.apply(
         {{"servers/a", sound, 1, false}, {"servers/b", sound, 2, false}},
         2,
         true,
         now);
     const auto read = platform::read_upstream({"servers/b", text, 3, false});
     const auto changes =
-        known.learn({{"servers/b", text, 3, false}}, 3, false, now);
+        known.apply({{"servers/b", text, 3, false}}, 3, false, now);
     const auto usable = known.upstreams().usable_count();
     require(usable >= 1, "the other upstream holds");
     require(read || usable == 1, "what can't be read names no upstream");
@@ -55,7 +55,7 @@
     for (const auto& item : known.items_since(0).items)
         require(read || item.key != "servers/b" || item.value.empty(),
                 "nor is it kept");
-    known.learn({{"servers/b", sound, 4, false}}, 4, false, now);
+    known.apply({{"servers/b", sound, 4, false}}, 4, false, now);
     require(read || known.upstreams().usable_count() == 2,
             "its upstream's next report brings it back");
 }
@@ -68,7 +68,7 @@
     const std::string text(fuzz::text_of(data, size));
     if (const auto page = platform::read_store_answer(text)) {
         entry::cluster_state known;
-        known.learn(page->items,
+        known.apply(page->items,
                     page->as_of,
                     true,
                     base::instant(std::chrono::hours(1)));
--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -44,7 +44,7 @@
 
 } // namespace
 
-cluster_changes cluster_state::learn(const routing::item_list& news,
+cluster_changes cluster_state::apply(const routing::item_list& news,
                                      std::uint64_t as_of,
                                      bool whole,
                                      base::instant now)
@@ -76,11 +76,11 @@
     return out;
 }
 
-cluster_changes cluster_state::learn(const gossip::item_transfer& passed,
+cluster_changes cluster_state::apply(const gossip::item_transfer& passed,
                                      base::instant now)
 {
     cluster_changes out =
-        this->learn(passed.items, passed.store_revision, passed.whole, now);
+        this->apply(passed.items, passed.store_revision, passed.whole, now);
     this->change = std::max(this->change, passed.change_revision);
     return out;
 }
--- a/src/greengagedrum/entry/cluster_state.hpp
+++ b/src/greengagedrum/entry/cluster_state.hpp
@@ -46,13 +46,13 @@
 public:
     // `whole`: all items that there are as of that revision; what is known and
     // not among them was removed.
-    cluster_changes learn(const routing::item_list& items,
+    cluster_changes apply(const routing::item_list& items,
                           std::uint64_t as_of,
                           bool whole,
                           base::instant now);
 
     // What a peer passed of all that changed since changed_at().
-    cluster_changes learn(const gossip::item_transfer& passed,
+    cluster_changes apply(const gossip::item_transfer& passed,
                           base::instant now);
 
     // The store gave an answer, or none.
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -95,7 +95,7 @@
     };
     store_told.part = [this](const routing::item_list& items) {
         this->apply(
-            this->state.cluster.learn(items, 0, false, this->state.clock()),
+            this->state.cluster.apply(items, 0, false, this->state.clock()),
             "store");
     };
     store_told.failed = [this](const std::string& why) {
@@ -139,7 +139,7 @@
     peer_events out;
     out.load_changed = [this] { this->handler->place(); };
     out.items = [this](const gossip::item_transfer& got) {
-        this->apply(this->state.cluster.learn(got, this->state.clock()),
+        this->apply(this->state.cluster.apply(got, this->state.clock()),
                     "peer");
         this->end_pause("peer");
         this->store->known_up_to(this->state.cluster.as_of());
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -71,11 +71,11 @@
 
     cluster_changes whole(const routing::item_list& items, std::uint64_t as_of)
     {
-        return this->known.learn(items, as_of, true, this->now);
+        return this->known.apply(items, as_of, true, this->now);
     }
     cluster_changes news(const routing::item_list& items, std::uint64_t as_of)
     {
-        return this->known.learn(items, as_of, false, this->now);
+        return this->known.apply(items, as_of, false, this->now);
     }
 };
 
@@ -166,12 +166,12 @@
 {
     this->whole({upstream_item("i-1", 4)}, 4);
     cluster_state behind;
-    behind.learn(this->known.items_since(0), this->now);
+    behind.apply(this->known.items_since(0), this->now);
     CHECK(behind.digest() == this->known.digest());
     this->news({evacuation_item(6)}, 6);
     CHECK(behind.digest() != this->known.digest());
     CHECK(behind.changed_at() < this->known.changed_at());
-    CHECK(behind.learn(this->known.items_since(4), this->now).left.size() == 1);
+    CHECK(behind.apply(this->known.items_since(4), this->now).left.size() == 1);
     CHECK(behind.digest() == this->known.digest());
 }
 
@@ -324,7 +324,7 @@
     CHECK(all.items.size() == 2); // no removed ones
 
     cluster_state other;
-    other.learn(all.items, all.store_revision, all.whole, this->now);
+    other.apply(all.items, all.store_revision, all.whole, this->now);
     CHECK(other.configuration_version() == 3);
     CHECK(other.upstreams().usable_count() == 1);
 }
@@ -339,13 +339,13 @@
     this->news({upstream_item("i-1", 20)}, 20); // a report, no change
     CHECK(this->known.changed_at() == 5);
     cluster_state follower;
-    follower.learn(this->known.items_since(0), this->now);
+    follower.apply(this->known.items_since(0), this->now);
     CHECK(follower.as_of() == 20);
 
     this->whole({config_item(4, 15), upstream_item("i-1", 24)}, 25);
     CHECK(this->known.configuration_revision() >
           follower.configuration_revision()); // so it asks
-    follower.learn(this->known.items_since(follower.configuration_revision()),
+    follower.apply(this->known.items_since(follower.configuration_revision()),
                    this->now);
     CHECK(follower.configuration_version() == 4);
 }
@@ -372,8 +372,8 @@
                   "same_cluster_states_have_the_same_digest")
 {
     cluster_state other;
-    other.learn({upstream_item("i-2", 9)}, 9, false, this->now);
-    other.learn({upstream_item("i-3", 10)}, 10, false, this->now);
+    other.apply({upstream_item("i-2", 9)}, 9, false, this->now);
+    other.apply({upstream_item("i-3", 10)}, 10, false, this->now);
     this->news({upstream_item("i-1", 5)}, 5);
     this->news({upstream_item("i-2", 3)}, 5);
     this->news({upstream_item("i-3", 6)}, 6);
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -40,7 +40,7 @@
                     const char* source)
 {
     this->apply(
-        this->state.cluster.learn(items, as_of, whole, this->state.clock()),
+        this->state.cluster.apply(items, as_of, whole, this->state.clock()),
         source);
     this->end_pause(source);
 }
