--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -81,7 +81,7 @@
 {
     cluster_changes out =
         this->apply(passed.items, passed.store_revision, passed.whole, now);
-    this->change = std::max(this->change, passed.change_revision);
+    this->last_change = std::max(this->last_change, passed.change_revision);
     return out;
 }
 
@@ -150,7 +150,7 @@
     this->table = std::make_shared<const routing::route_table>(
         std::make_shared<const routing::configuration>(*read));
     out.configuration = true;
-    this->change = std::max(this->change, item.revision);
+    this->last_change = std::max(this->last_change, item.revision);
     this->note_change(item.key);
     this->note_meaning(item.key, item.revision);
     return true;
@@ -183,7 +183,7 @@
     }
     if (was != evacuated)
         out.evacuations.push_back({data_centre, evacuated, item.revision});
-    this->change = std::max(this->change, item.revision);
+    this->last_change = std::max(this->last_change, item.revision);
     this->note_change(item.key);
     this->note_meaning(item.key, evacuated ? item.revision : 0);
 }
@@ -212,7 +212,7 @@
     }
     this->note_meaning(item.key, meaning);
     if (item.removed || change != routing::upstream_change::none) {
-        this->change = std::max(this->change, item.revision);
+        this->last_change = std::max(this->last_change, item.revision);
         this->note_change(item.key);
     }
     this->note_upstream(name, change, before, out);
@@ -231,8 +231,8 @@
 
 void cluster_state::note_change(const std::string& key)
 {
-    this->change_count += 1;
-    this->changed_as[key] = this->change_count;
+    this->applied_changes += 1;
+    this->changed_as[key] = this->applied_changes;
 }
 
 // Where upstreams tell when they were born, one that doesn't is none.
@@ -343,7 +343,7 @@
 {
     gossip::item_transfer out;
     out.store_revision = this->revision;
-    out.change_revision = this->change;
+    out.change_revision = this->last_change;
     out.whole = since == 0;
     for (const auto& [key, item] : this->items) {
         if (item.revision > since && !(out.whole && item.removed))
@@ -358,8 +358,8 @@
 {
     gossip::item_transfer out;
     out.store_revision = this->revision;
-    out.change_revision = this->change;
-    out.changes = this->change_count;
+    out.change_revision = this->last_change;
+    out.changes = this->applied_changes;
     out.whole = changes == 0;
     for (const auto& [key, item] : this->items) {
         const auto found = this->changed_as.find(key);
--- a/src/greengagedrum/entry/cluster_state.hpp
+++ b/src/greengagedrum/entry/cluster_state.hpp
@@ -51,7 +51,7 @@
                           bool whole,
                           base::instant now);
 
-    // What a peer passed of all that changed since changed_at().
+    // What a peer passed of all that changed since last_change_revision().
     cluster_changes apply(const gossip::item_transfer& passed,
                           base::instant now);
 
@@ -71,15 +71,15 @@
         return this->directory;
     }
 
-    std::uint64_t as_of() const { return this->revision; }
+    std::uint64_t store_revision() const { return this->revision; }
     // Of the newest item that changed anything. A store that lost its history
     // for a while may tell of a change after revisions beyond it.
-    std::uint64_t changed_at() const { return this->change; }
+    std::uint64_t last_change_revision() const { return this->last_change; }
     std::uint64_t configuration_revision() const;
     std::int64_t configuration_version() const;
 
     // How often something of it has changed.
-    std::uint64_t changes() const { return this->change_count; }
+    std::uint64_t change_count() const { return this->applied_changes; }
     // Of what the items say, without the load that upstreams report.
     std::uint64_t digest() const { return this->digest_of_all; }
 
@@ -118,8 +118,8 @@
     routing::route_table_ptr table;
     routing::upstream_directory directory;
     std::uint64_t revision = 0;
-    std::uint64_t change = 0;
-    std::uint64_t change_count = 0;
+    std::uint64_t last_change = 0;
+    std::uint64_t applied_changes = 0;
     // Of each item that changed anything: the count at that time.
     std::unordered_map<std::string, std::uint64_t> changed_as;
     std::uint64_t digest_of_all = 0;
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -142,7 +142,7 @@
         this->apply(this->state.cluster.apply(got, this->state.clock()),
                     "peer");
         this->end_pause("peer");
-        this->store->known_up_to(this->state.cluster.as_of());
+        this->store->known_up_to(this->state.cluster.store_revision());
     };
     out.delegate = [this] { this->handler->delegate(); };
     out.place_alone = [this](std::size_t unheard, const handed_limits* known) {
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -165,7 +165,7 @@
         return this->follow(*message, now);
     if (message->configuration_revision >
             this->state.cluster.configuration_revision() ||
-        message->change_revision > this->state.cluster.changed_at())
+        message->change_revision > this->state.cluster.last_change_revision())
         this->ask_peer(now);
 }
 
@@ -237,9 +237,9 @@
     out.lived_for = now - this->began;
     out.stopping = this->state.stopping;
     out.configuration_revision = this->state.cluster.configuration_revision();
-    out.store_revision = this->state.cluster.as_of();
-    out.change_revision = this->state.cluster.changed_at();
-    out.changes = this->state.cluster.changes();
+    out.store_revision = this->state.cluster.store_revision();
+    out.change_revision = this->state.cluster.last_change_revision();
+    out.changes = this->state.cluster.change_count();
     out.digest = this->state.cluster.digest();
     out.store_age = now - this->own_read_at;
     return out;
@@ -307,7 +307,8 @@
     this->state.limiter.assume_silent_peers(now);
     const auto newest = this->table.newest_source(now, this->turn);
     const bool changed =
-        newest && newest->change_revision > this->state.cluster.changed_at();
+        newest &&
+        newest->change_revision > this->state.cluster.last_change_revision();
     if (store_fails || changed)
         this->ask_peer(now);
 }
@@ -318,11 +319,11 @@
         return;
     const auto source = this->table.newest_source(now, ++this->turn);
     if (!source ||
-        (source->store_revision <= this->state.cluster.as_of() &&
-         source->change_revision <= this->state.cluster.changed_at()))
+        (source->store_revision <= this->state.cluster.store_revision() &&
+         source->change_revision <= this->state.cluster.last_change_revision()))
         return;
     this->ask_for_items(source->address,
-                        {std::min(this->state.cluster.changed_at(),
+                        {std::min(this->state.cluster.last_change_revision(),
                                   this->state.cluster.configuration_revision()),
                          std::nullopt},
                         now);
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -128,21 +128,22 @@
             this->state.limiter.sent(request.workspace, request.cost, now);
     }
     const std::shared_ptr<exchange> wire = request.wire;
-    this->state.log.write(now,
-                          "scheduler",
-                          "request_sent",
-                          {{"request", wire->source().marks.attempt},
-                           {"send", order.send},
-                           {"upstream", to->name},
-                           {"waited_ms", milliseconds(order.why.waited)},
-                           {"own", order.why.own},
-                           {"others", order.why.others},
-                           {"places", order.why.places},
-                           {"told_age_ms", milliseconds(order.why.told_age)},
-                           {"expected_ms", milliseconds(order.why.first_event)},
-                           {"gap_ms", milliseconds(order.why.gap)},
-                           {"suits", order.why.suits},
-                           {"store_revision", this->state.cluster.as_of()}});
+    this->state.log.write(
+        now,
+        "scheduler",
+        "request_sent",
+        {{"request", wire->source().marks.attempt},
+         {"send", order.send},
+         {"upstream", to->name},
+         {"waited_ms", milliseconds(order.why.waited)},
+         {"own", order.why.own},
+         {"others", order.why.others},
+         {"places", order.why.places},
+         {"told_age_ms", milliseconds(order.why.told_age)},
+         {"expected_ms", milliseconds(order.why.first_event)},
+         {"gap_ms", milliseconds(order.why.gap)},
+         {"suits", order.why.suits},
+         {"store_revision", this->state.cluster.store_revision()}});
     wire->send(order.send, *to, order.end_at - now);
 }
 
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -124,7 +124,7 @@
     CHECK(this->news({cold_item("i-1", 1300, 8)}, 8).joined.size() == 1);
     CHECK(this->news({upstream_item("i-1", 10)}, 10).joined.size() == 1);
     CHECK(this->known.digest() == warm);
-    CHECK(this->known.changed_at() == 10);
+    CHECK(this->known.last_change_revision() == 10);
     CHECK(this->news({upstream_item("i-1", 12)}, 12).joined.empty());
 }
 
@@ -170,7 +170,7 @@
     CHECK(behind.digest() == this->known.digest());
     this->news({evacuation_item(6)}, 6);
     CHECK(behind.digest() != this->known.digest());
-    CHECK(behind.changed_at() < this->known.changed_at());
+    CHECK(behind.last_change_revision() < this->known.last_change_revision());
     CHECK(behind.apply(this->known.items_since(4), this->now).left.size() == 1);
     CHECK(behind.digest() == this->known.digest());
 }
@@ -198,7 +198,7 @@
     CHECK(this->news({config_item(5, 14)}, 14).configuration);
     CHECK_FALSE(this->whole({config_item(3, 10)}, 12).configuration);
     CHECK(this->known.configuration_version() == 5);
-    CHECK(this->known.as_of() == 14);
+    CHECK(this->known.store_revision() == 14);
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
@@ -337,10 +337,10 @@
 {
     this->whole({config_item(3, 5), upstream_item("i-1", 4)}, 6);
     this->news({upstream_item("i-1", 20)}, 20); // a report, no change
-    CHECK(this->known.changed_at() == 5);
+    CHECK(this->known.last_change_revision() == 5);
     cluster_state follower;
     follower.apply(this->known.items_since(0), this->now);
-    CHECK(follower.as_of() == 20);
+    CHECK(follower.store_revision() == 20);
 
     this->whole({config_item(4, 15), upstream_item("i-1", 24)}, 25);
     CHECK(this->known.configuration_revision() >
@@ -356,13 +356,14 @@
 TEST_CASE_FIXTURE(cluster_state_fixture, "change_told_late_is_passed_on")
 {
     this->news({upstream_item("i-1", 20)}, 20);
-    const std::uint64_t passed = this->known.changes();
+    const std::uint64_t passed = this->known.change_count();
     this->news({upstream_item("i-2", 9)}, 20);
-    CHECK(this->known.items_since(this->known.changed_at()).items.empty());
+    CHECK(this->known.items_since(this->known.last_change_revision())
+              .items.empty());
     const auto after = this->known.items_after(passed);
     REQUIRE(after.items.size() == 1);
     CHECK(after.items[0].key == "servers/i-2");
-    CHECK(this->known.items_after(this->known.changes()).items.empty());
+    CHECK(this->known.items_after(this->known.change_count()).items.empty());
     CHECK(this->known.items_after(0).whole);
 }
 
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -90,7 +90,7 @@
                               "cluster_state",
                               "upstream_left",
                               {{"upstream", one.name},
-                               {"as_of", this->state.cluster.as_of()},
+                               {"as_of", this->state.cluster.store_revision()},
                                {"source", source}});
     this->handler->upstreams_changed(changes);
     if (!changes.joined.empty())
