--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -339,7 +339,8 @@
     return this->table ? this->table->source().version : 0;
 }
 
-gossip::item_transfer cluster_state::items_since(std::uint64_t since) const
+gossip::item_transfer
+cluster_state::items_after_revision(std::uint64_t since) const
 {
     gossip::item_transfer out;
     out.store_revision = this->revision;
@@ -354,7 +355,8 @@
 
 // A store that lost its history may tell of a change late, under a revision
 // below that of others: by their own order none is missed.
-gossip::item_transfer cluster_state::items_after(std::uint64_t changes) const
+gossip::item_transfer
+cluster_state::items_after_change(std::uint64_t changes) const
 {
     gossip::item_transfer out;
     out.store_revision = this->revision;
--- a/src/greengagedrum/entry/cluster_state.hpp
+++ b/src/greengagedrum/entry/cluster_state.hpp
@@ -84,9 +84,9 @@
     std::uint64_t digest() const { return this->digest_of_all; }
 
     // For a peer that knows all up to `since`.
-    gossip::item_transfer items_since(std::uint64_t since) const;
+    gossip::item_transfer items_after_revision(std::uint64_t since) const;
     // For one that was passed what was believed after so many changes.
-    gossip::item_transfer items_after(std::uint64_t changes) const;
+    gossip::item_transfer items_after_change(std::uint64_t changes) const;
 
 private:
     void take(const routing::published_item& item,
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -239,9 +239,9 @@
     if (!asked)
         return {503, "text/plain", "no such question\n"};
     gossip::item_transfer out =
-        asked->life ? this->state.cluster.items_after(
+        asked->life ? this->state.cluster.items_after_change(
                           *asked->life == this->life ? asked->number : 0)
-                    : this->state.cluster.items_since(asked->number);
+                    : this->state.cluster.items_after_revision(asked->number);
     out.life = this->life;
     return {200, "application/octet-stream", gossip::encode(out)};
 }
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -166,12 +166,13 @@
 {
     this->whole({upstream_item("i-1", 4)}, 4);
     cluster_state behind;
-    behind.apply(this->known.items_since(0), this->now);
+    behind.apply(this->known.items_after_revision(0), this->now);
     CHECK(behind.digest() == this->known.digest());
     this->news({evacuation_item(6)}, 6);
     CHECK(behind.digest() != this->known.digest());
     CHECK(behind.last_change_revision() < this->known.last_change_revision());
-    CHECK(behind.apply(this->known.items_since(4), this->now).left.size() == 1);
+    CHECK(behind.apply(this->known.items_after_revision(4), this->now)
+              .left.size() == 1);
     CHECK(behind.digest() == this->known.digest());
 }
 
@@ -183,7 +184,7 @@
     for (std::uint64_t number = 10; number < 5000; ++number)
         this->news({{"servers/x-" + std::to_string(number), "", number, true}},
                    number);
-    const auto passed = this->known.items_since(0);
+    const auto passed = this->known.items_after_revision(0);
     CHECK(std::any_of(
         passed.items.begin(), passed.items.end(), [](const auto& one) {
             return one.key == "op/evacuate/hall" && !one.removed;
@@ -241,7 +242,7 @@
     CHECK(this->known.upstreams().usable_count() == 1);
     // Nor does an entry carry them about.
     std::size_t bytes = 0;
-    for (const auto& one : this->known.items_since(0).items)
+    for (const auto& one : this->known.items_after_revision(0).items)
         bytes += one.value.size();
     CHECK(bytes < 1'000);
     // Its next report brings it back.
@@ -271,7 +272,7 @@
         const std::string key = "servers/x-" + std::to_string(one);
         this->news({{key, "", one, one % 2 == 0}}, one);
     }
-    CHECK(this->known.items_since(1).items.size() < 5'000);
+    CHECK(this->known.items_after_revision(1).items.size() < 5'000);
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
@@ -315,11 +316,11 @@
 {
     this->whole({config_item(3, 2), upstream_item("i-1", 4)}, 6);
     this->news({{"servers/i-1", "", 9, true}, upstream_item("i-2", 8)}, 9);
-    const auto some = this->known.items_since(6);
+    const auto some = this->known.items_after_revision(6);
     CHECK_FALSE(some.whole);
     CHECK(some.store_revision == 9);
     CHECK(some.items.size() == 2);
-    const auto all = this->known.items_since(0);
+    const auto all = this->known.items_after_revision(0);
     CHECK(all.whole);
     CHECK(all.items.size() == 2); // no removed ones
 
@@ -339,14 +340,15 @@
     this->news({upstream_item("i-1", 20)}, 20); // a report, no change
     CHECK(this->known.last_change_revision() == 5);
     cluster_state follower;
-    follower.apply(this->known.items_since(0), this->now);
+    follower.apply(this->known.items_after_revision(0), this->now);
     CHECK(follower.store_revision() == 20);
 
     this->whole({config_item(4, 15), upstream_item("i-1", 24)}, 25);
     CHECK(this->known.configuration_revision() >
           follower.configuration_revision()); // so it asks
-    follower.apply(this->known.items_since(follower.configuration_revision()),
-                   this->now);
+    follower.apply(
+        this->known.items_after_revision(follower.configuration_revision()),
+        this->now);
     CHECK(follower.configuration_version() == 4);
 }
 
@@ -358,13 +360,14 @@
     this->news({upstream_item("i-1", 20)}, 20);
     const std::uint64_t passed = this->known.change_count();
     this->news({upstream_item("i-2", 9)}, 20);
-    CHECK(this->known.items_since(this->known.last_change_revision())
+    CHECK(this->known.items_after_revision(this->known.last_change_revision())
               .items.empty());
-    const auto after = this->known.items_after(passed);
+    const auto after = this->known.items_after_change(passed);
     REQUIRE(after.items.size() == 1);
     CHECK(after.items[0].key == "servers/i-2");
-    CHECK(this->known.items_after(this->known.change_count()).items.empty());
-    CHECK(this->known.items_after(0).whole);
+    CHECK(this->known.items_after_change(this->known.change_count())
+              .items.empty());
+    CHECK(this->known.items_after_change(0).whole);
 }
 
 // Entries hear the same in another order, and of reports at other times. They
