--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -225,7 +225,7 @@
     std::uint64_t& known = this->meanings[key];
     const std::uint64_t fresh =
         meaning == 0 ? 0 : placement::mix(base::hash_name(key), meaning);
-    this->digest_of_all ^= known ^ fresh;
+    this->combined_digest ^= known ^ fresh;
     known = fresh;
 }
 
@@ -293,14 +293,14 @@
     return std::nullopt;
 }
 
-void cluster_state::store_answered(base::instant now)
+void cluster_state::on_store_answered(base::instant now)
 {
     if (this->away_since && now - *this->away_since >= outage_least)
         this->doubted_until = now + reported_anew;
     this->away_since.reset();
 }
 
-void cluster_state::store_failed(base::instant now)
+void cluster_state::on_store_failed(base::instant now)
 {
     if (!this->away_since)
         this->away_since = now;
@@ -316,7 +316,7 @@
     return out;
 }
 
-cluster_changes cluster_state::misdirected(base::upstream_id upstream)
+cluster_changes cluster_state::mark_misdirected(base::upstream_id upstream)
 {
     cluster_changes out;
     const routing::published_upstream* known = this->directory.find(upstream);
--- a/src/greengagedrum/entry/cluster_state.hpp
+++ b/src/greengagedrum/entry/cluster_state.hpp
@@ -56,13 +56,13 @@
                           base::instant now);
 
     // The store gave an answer, or none.
-    void store_answered(base::instant now);
-    void store_failed(base::instant now);
+    void on_store_answered(base::instant now);
+    void on_store_failed(base::instant now);
 
     // Upstreams whose lapse was waited for.
     cluster_changes expire(base::instant now);
 
-    cluster_changes misdirected(base::upstream_id upstream);
+    cluster_changes mark_misdirected(base::upstream_id upstream);
 
     // Null until a configuration is known.
     const routing::route_table_ptr& routes() const { return this->table; }
@@ -81,7 +81,7 @@
     // How often something of it has changed.
     std::uint64_t change_count() const { return this->applied_changes; }
     // Of what the items say, without the load that upstreams report.
-    std::uint64_t digest() const { return this->digest_of_all; }
+    std::uint64_t content_digest() const { return this->combined_digest; }
 
     // For a peer that knows all up to `since`.
     gossip::item_transfer items_after_revision(std::uint64_t since) const;
@@ -122,7 +122,7 @@
     std::uint64_t applied_changes = 0;
     // Of each item that changed anything: the count at that time.
     std::unordered_map<std::string, std::uint64_t> changed_as;
-    std::uint64_t digest_of_all = 0;
+    std::uint64_t combined_digest = 0;
     std::unordered_map<std::string, std::uint64_t> meanings; // by item
     bool lives_told = false; // an upstream told when it was born
     std::optional<base::instant> away_since;
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -240,7 +240,7 @@
     out.store_revision = this->state.cluster.store_revision();
     out.change_revision = this->state.cluster.last_change_revision();
     out.changes = this->state.cluster.change_count();
-    out.digest = this->state.cluster.digest();
+    out.digest = this->state.cluster.content_digest();
     out.store_age = now - this->own_read_at;
     return out;
 }
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -154,7 +154,7 @@
 void peer_link::follow(const gossip::message& told, base::instant now)
 {
     this->dispatcher_digest = told.digest;
-    if (told.digest == this->state.cluster.digest())
+    if (told.digest == this->state.cluster.content_digest())
         this->passed = {told.life, told.changes};
     else if (!this->asking && now - this->asked_at >= follow_gap)
         this->ask_dispatcher(told, now);
@@ -173,7 +173,7 @@
 bool peer_link::dispatcher_reads(base::duration bound, base::instant now) const
 {
     if (!this->dispatcher ||
-        this->dispatcher_digest != this->state.cluster.digest())
+        this->dispatcher_digest != this->state.cluster.content_digest())
         return false;
     const base::duration age = now - this->peer_read_at;
     const bool next_in_line = this->order.place_in_line(now) < readers_in_line;
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -83,7 +83,7 @@
 
 void request_handler::misdirected(base::upstream_id upstream)
 {
-    this->upstreams_changed(this->state.cluster.misdirected(upstream));
+    this->upstreams_changed(this->state.cluster.mark_misdirected(upstream));
 }
 
 void request_handler::upstreams_changed(const cluster_changes& changes)
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -116,14 +116,14 @@
                   "upstream_that_turns_cold_or_warm_is_news")
 {
     this->whole({upstream_item("i-1", 4)}, 4);
-    const std::uint64_t warm = this->known.digest();
+    const std::uint64_t warm = this->known.content_digest();
     const auto cold = this->news({cold_item("i-1", 2500, 6)}, 6);
     REQUIRE(cold.joined.size() == 1);
     CHECK(cold.joined.front().warmup == 2500ms);
-    CHECK(this->known.digest() != warm);
+    CHECK(this->known.content_digest() != warm);
     CHECK(this->news({cold_item("i-1", 1300, 8)}, 8).joined.size() == 1);
     CHECK(this->news({upstream_item("i-1", 10)}, 10).joined.size() == 1);
-    CHECK(this->known.digest() == warm);
+    CHECK(this->known.content_digest() == warm);
     CHECK(this->known.last_change_revision() == 10);
     CHECK(this->news({upstream_item("i-1", 12)}, 12).joined.empty());
 }
@@ -167,13 +167,13 @@
     this->whole({upstream_item("i-1", 4)}, 4);
     cluster_state behind;
     behind.apply(this->known.items_after_revision(0), this->now);
-    CHECK(behind.digest() == this->known.digest());
+    CHECK(behind.content_digest() == this->known.content_digest());
     this->news({evacuation_item(6)}, 6);
-    CHECK(behind.digest() != this->known.digest());
+    CHECK(behind.content_digest() != this->known.content_digest());
     CHECK(behind.last_change_revision() < this->known.last_change_revision());
     CHECK(behind.apply(this->known.items_after_revision(4), this->now)
               .left.size() == 1);
-    CHECK(behind.digest() == this->known.digest());
+    CHECK(behind.content_digest() == this->known.content_digest());
 }
 
 // Thousands of removed items push out the order that an empty value carries.
@@ -290,9 +290,9 @@
                   "upstreams_lapsed_in_an_outage_are_waited_for")
 {
     this->whole({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
-    this->known.store_failed(this->now);
+    this->known.on_store_failed(this->now);
     this->now += 5s;
-    this->known.store_answered(this->now);
+    this->known.on_store_answered(this->now);
     CHECK(this->whole({}, 20).left.empty());
     this->now += 1s;
     this->news({upstream_item("i-1", 25)}, 25);
@@ -305,9 +305,9 @@
                   "upstream_removed_on_a_calm_day_is_gone_at_once")
 {
     this->whole({upstream_item("i-1", 4)}, 6);
-    this->known.store_failed(this->now);
+    this->known.on_store_failed(this->now);
     this->now += 300ms; // one answer was lost
-    this->known.store_answered(this->now);
+    this->known.on_store_answered(this->now);
     CHECK(this->news({{"servers/i-1", "", 9, true}}, 9).left.size() == 1);
 }
 
@@ -381,11 +381,11 @@
     this->news({upstream_item("i-1", 5)}, 5);
     this->news({upstream_item("i-2", 3)}, 5);
     this->news({upstream_item("i-3", 6)}, 6);
-    CHECK(this->known.digest() != other.digest());
+    CHECK(this->known.content_digest() != other.content_digest());
     this->news({{"servers/i-1", "", 8, true}}, 8);
-    CHECK(this->known.digest() == other.digest());
+    CHECK(this->known.content_digest() == other.content_digest());
     this->news({upstream_item("i-3", 12)}, 12);
-    CHECK(this->known.digest() == other.digest());
+    CHECK(this->known.content_digest() == other.content_digest());
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -100,7 +100,7 @@
 void entry::on_store_failed(const std::string& why)
 {
     const base::instant now = this->state.clock();
-    this->state.cluster.store_failed(now);
+    this->state.cluster.on_store_failed(now);
     if (this->store_away)
         return;
     this->store_away = true;
@@ -111,7 +111,7 @@
 void entry::on_store_answered()
 {
     const base::instant now = this->state.clock();
-    this->state.cluster.store_answered(now);
+    this->state.cluster.on_store_answered(now);
     this->peers->store_answered();
     if (this->store_away)
         logs::write(
