--- a/fuzz/store_items.cpp
+++ b/fuzz/store_items.cpp
@@ -51,7 +51,7 @@
     const auto usable = known.upstreams().usable_count();
     require(usable >= 1, "the other upstream holds");
     require(read || usable == 1, "what can't be read names no upstream");
-    require(read || changes.faults.size() == 1, "and is told");
+    require(read || changes.unreadable_items.size() == 1, "and is told");
     for (const auto& item : known.items_after_revision(0).items)
         require(read || item.key != "servers/b" || item.value.empty(),
                 "nor is it kept");
--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -140,16 +140,17 @@
         return true; // the operator replaces it, and never takes it away
     const auto read = platform::read_configuration(item);
     if (!read) {
-        out.faults.push_back(item.key + ": " + read.error());
+        out.unreadable_items.push_back(item.key + ": " + read.error());
         return false;
     }
     if (this->table && read->version < this->configuration_version()) {
-        out.faults.push_back(item.key + ": an older version was written");
+        out.unreadable_items.push_back(item.key +
+                                       ": an older version was written");
         return true;
     }
     this->table = std::make_shared<const routing::route_table>(
         std::make_shared<const routing::configuration>(*read));
-    out.configuration = true;
+    out.configuration_changed = true;
     this->last_change = std::max(this->last_change, item.revision);
     this->note_change(item.key);
     this->note_meaning(item.key, item.revision);
@@ -177,9 +178,9 @@
     for (const routing::published_upstream& one :
          this->directory.set_evacuated(data_centre, evacuated)) {
         if (evacuated)
-            out.left.push_back({one.name, one.id});
+            out.removed.push_back({one.name, one.id});
         else
-            out.joined.push_back(this->taken_back(one));
+            out.added.push_back(this->taken_back(one));
     }
     if (was != evacuated)
         out.evacuations.push_back({data_centre, evacuated, item.revision});
@@ -207,7 +208,7 @@
         meaning = meaning_of(*read);
     } else {
         readable = false;
-        out.faults.push_back(item.key + ": " + read.error());
+        out.unreadable_items.push_back(item.key + ": " + read.error());
         change = this->directory.removed(name, item.revision, std::nullopt);
     }
     this->note_meaning(item.key, meaning);
@@ -261,7 +262,7 @@
         });
     for (const routing::published_upstream& one : unborn) {
         this->directory.removed(one.name, one.revision, std::nullopt);
-        out.left.push_back({one.name, one.id});
+        out.removed.push_back({one.name, one.id});
     }
 }
 
@@ -275,11 +276,11 @@
         return;
     if (before && (change == upstream_change::left ||
                    change == upstream_change::restarted))
-        out.left.push_back({name, *before});
+        out.removed.push_back({name, *before});
     if (change == upstream_change::left)
         return;
     const auto life = this->directory.life_of(name);
-    out.joined.push_back(*this->directory.find(*life));
+    out.added.push_back(*this->directory.find(*life));
 }
 
 // ---- The store's absence --------------------------------------------------
@@ -312,7 +313,7 @@
     std::vector<std::string> gone;
     this->directory.expire(now, gone);
     for (const std::string& name : gone)
-        out.left.push_back({name, *this->directory.life_of(name)});
+        out.removed.push_back({name, *this->directory.life_of(name)});
     return out;
 }
 
@@ -322,7 +323,7 @@
     const routing::published_upstream* known = this->directory.find(upstream);
     if (known == nullptr)
         return out;
-    out.left.push_back({known->name, upstream});
+    out.removed.push_back({known->name, upstream});
     this->directory.misdirected(upstream);
     return out;
 }
--- a/src/greengagedrum/entry/cluster_state.hpp
+++ b/src/greengagedrum/entry/cluster_state.hpp
@@ -20,7 +20,7 @@
 {
 
 // An upstream that gets nothing more, in the life that it was known in.
-struct departed_upstream {
+struct removed_upstream {
     std::string name;
     base::upstream_id id;
 };
@@ -34,11 +34,11 @@
 
 // What changed by some news.
 struct cluster_changes {
-    bool configuration = false;
+    bool configuration_changed = false;
     std::vector<evacuation_change> evacuations;
-    std::vector<routing::published_upstream> joined; // or moved
-    std::vector<departed_upstream> left;
-    std::vector<std::string> faults; // items that can't be read
+    std::vector<routing::published_upstream> added; // or moved
+    std::vector<removed_upstream> removed;
+    std::vector<std::string> unreadable_items; // items that can't be read
 };
 
 class cluster_state
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -89,10 +89,10 @@
 void request_handler::upstreams_changed(const cluster_changes& changes)
 {
     const base::instant now = this->state.clock();
-    for (const departed_upstream& one : changes.left)
+    for (const removed_upstream& one : changes.removed)
         this->state.scheduler.upstream_left(one.id);
     // The same news may have taken away what it brought.
-    for (const routing::published_upstream& one : changes.joined) {
+    for (const routing::published_upstream& one : changes.added) {
         if (this->state.cluster.upstreams().find(one.id) != nullptr)
             this->state.scheduler.upstream_joined(one, now);
     }
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -88,15 +88,15 @@
     this->whole({upstream_item("i-1", 4)}, 4);
     const base::upstream_id id("i-1");
     const auto begun = this->news({evacuation_item(6)}, 6);
-    CHECK(begun.left.size() == 1);
+    CHECK(begun.removed.size() == 1);
     REQUIRE(begun.evacuations.size() == 1);
     CHECK(begun.evacuations.front().data_centre == "hall");
     CHECK(this->known.upstreams().find(id) == nullptr);
     CHECK(this->known.upstreams().find_alive(id) != nullptr);
     // Reports of its load go on, and bring it back no sooner.
-    CHECK(this->news({upstream_item("i-1", 8)}, 8).joined.empty());
+    CHECK(this->news({upstream_item("i-1", 8)}, 8).added.empty());
     const auto over = this->news({{"op/evacuate/hall", "", 9, true}}, 9);
-    CHECK(over.joined.size() == 1);
+    CHECK(over.added.size() == 1);
     CHECK(this->known.upstreams().find(id) != nullptr);
 }
 
@@ -106,8 +106,8 @@
     this->whole({service_item(2), upstream_item("i-1", 4), evacuation_item(5)},
                 6);
     const auto over = this->news({{"op/evacuate/hall", "", 9, true}}, 9);
-    REQUIRE(over.joined.size() == 1);
-    CHECK(over.joined.front().warmup == 3s);
+    REQUIRE(over.added.size() == 1);
+    CHECK(over.added.front().warmup == 3s);
 }
 
 // Only its first report says that an upstream is cold; members ask their
@@ -118,14 +118,14 @@
     this->whole({upstream_item("i-1", 4)}, 4);
     const std::uint64_t warm = this->known.content_digest();
     const auto cold = this->news({cold_item("i-1", 2500, 6)}, 6);
-    REQUIRE(cold.joined.size() == 1);
-    CHECK(cold.joined.front().warmup == 2500ms);
+    REQUIRE(cold.added.size() == 1);
+    CHECK(cold.added.front().warmup == 2500ms);
     CHECK(this->known.content_digest() != warm);
-    CHECK(this->news({cold_item("i-1", 1300, 8)}, 8).joined.size() == 1);
-    CHECK(this->news({upstream_item("i-1", 10)}, 10).joined.size() == 1);
+    CHECK(this->news({cold_item("i-1", 1300, 8)}, 8).added.size() == 1);
+    CHECK(this->news({upstream_item("i-1", 10)}, 10).added.size() == 1);
     CHECK(this->known.content_digest() == warm);
     CHECK(this->known.last_change_revision() == 10);
-    CHECK(this->news({upstream_item("i-1", 12)}, 12).joined.empty());
+    CHECK(this->news({upstream_item("i-1", 12)}, 12).added.empty());
 }
 
 // A started entry is told of upstreams and evacuations at once, in any order.
@@ -134,7 +134,7 @@
 {
     const auto changes =
         this->whole({upstream_item("i-1", 4), evacuation_item(3)}, 6);
-    CHECK(changes.joined.empty());
+    CHECK(changes.added.empty());
     CHECK(this->known.upstreams().usable_count() == 0);
 }
 
@@ -144,7 +144,7 @@
 {
     this->whole({upstream_item("i-1", 4), evacuation_item(5)}, 6);
     const auto changes = this->whole({upstream_item("i-1", 4)}, 9);
-    CHECK(changes.joined.size() == 1);
+    CHECK(changes.added.size() == 1);
     CHECK(this->known.upstreams().usable_count() == 1);
 }
 
@@ -154,9 +154,9 @@
 {
     this->whole({upstream_item("i-1", 4)}, 4);
     this->news({{"op/evacuate/hall", "", 9, true}}, 9);
-    CHECK(this->news({evacuation_item(7)}, 9).left.empty());
+    CHECK(this->news({evacuation_item(7)}, 9).removed.empty());
     this->news({evacuation_item(12)}, 12);
-    CHECK(this->news({{"op/evacuate/hall", "", 10, true}}, 12).joined.empty());
+    CHECK(this->news({{"op/evacuate/hall", "", 10, true}}, 12).added.empty());
     CHECK(this->known.upstreams().usable_count() == 0);
 }
 
@@ -172,7 +172,7 @@
     CHECK(behind.content_digest() != this->known.content_digest());
     CHECK(behind.last_change_revision() < this->known.last_change_revision());
     CHECK(behind.apply(this->known.items_after_revision(4), this->now)
-              .left.size() == 1);
+              .removed.size() == 1);
     CHECK(behind.content_digest() == this->known.content_digest());
 }
 
@@ -195,9 +195,9 @@
 // force must not be taken back.
 TEST_CASE_FIXTURE(cluster_state_fixture, "older_configuration_never_comes_back")
 {
-    CHECK(this->whole({config_item(3, 10)}, 10).configuration);
-    CHECK(this->news({config_item(5, 14)}, 14).configuration);
-    CHECK_FALSE(this->whole({config_item(3, 10)}, 12).configuration);
+    CHECK(this->whole({config_item(3, 10)}, 10).configuration_changed);
+    CHECK(this->news({config_item(5, 14)}, 14).configuration_changed);
+    CHECK_FALSE(this->whole({config_item(3, 10)}, 12).configuration_changed);
     CHECK(this->known.configuration_version() == 5);
     CHECK(this->known.store_revision() == 14);
 }
@@ -207,8 +207,8 @@
 {
     this->whole({config_item(3, 10)}, 10);
     const auto changes = this->news({{"op/config", "{", 11, false}}, 11);
-    CHECK_FALSE(changes.configuration);
-    CHECK(changes.faults.size() == 1);
+    CHECK_FALSE(changes.configuration_changed);
+    CHECK(changes.unreadable_items.size() == 1);
     CHECK(this->known.configuration_version() == 3);
 }
 
@@ -218,7 +218,7 @@
     this->whole({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
     this->news({upstream_item("i-3", 9)}, 9);
     const auto changes = this->whole({upstream_item("i-2", 5)}, 8);
-    CHECK(changes.left.size() == 1);
+    CHECK(changes.removed.size() == 1);
     CHECK(this->known.upstreams().usable_count() == 2); // i-3 is newer
 }
 
@@ -236,9 +236,9 @@
                            8 + static_cast<std::uint64_t>(one),
                            false});
     const auto changes = this->news(foreign, 2'000);
-    CHECK(changes.faults.size() == foreign.size());
-    REQUIRE(changes.left.size() == 1);
-    CHECK(changes.left.front().name == "i-1");
+    CHECK(changes.unreadable_items.size() == foreign.size());
+    REQUIRE(changes.removed.size() == 1);
+    CHECK(changes.removed.front().name == "i-1");
     CHECK(this->known.upstreams().usable_count() == 1);
     // Nor does an entry carry them about.
     std::size_t bytes = 0;
@@ -246,7 +246,7 @@
         bytes += one.value.size();
     CHECK(bytes < 1'000);
     // Its next report brings it back.
-    CHECK(this->news({upstream_item("i-1", 2'001)}, 2'001).joined.size() == 1);
+    CHECK(this->news({upstream_item("i-1", 2'001)}, 2'001).added.size() == 1);
 }
 
 // An upstream's next life takes the place of the one before, which is told as
@@ -256,11 +256,11 @@
 {
     this->whole({born_item("i-1", 1'000, 4)}, 6);
     const auto changes = this->news({born_item("i-1", 2'000, 7)}, 7);
-    REQUIRE(changes.left.size() == 1);
-    REQUIRE(changes.joined.size() == 1);
-    CHECK(changes.left.front().id != changes.joined.front().id);
+    REQUIRE(changes.removed.size() == 1);
+    REQUIRE(changes.added.size() == 1);
+    CHECK(changes.removed.front().id != changes.added.front().id);
     // Where upstreams tell their birth, one that doesn't is another writer's.
-    CHECK(this->news({upstream_item("i-2", 9)}, 9).joined.empty());
+    CHECK(this->news({upstream_item("i-2", 9)}, 9).added.empty());
 }
 
 // Upstreams come and go for weeks, and another writer's keys are never the
@@ -280,7 +280,7 @@
 {
     this->whole({upstream_item("i-1", 4)}, 4);
     const auto changes = this->news({born_item("i-2", 2'000, 7)}, 7);
-    CHECK(changes.left.size() == 1);
+    CHECK(changes.removed.size() == 1);
     CHECK(this->known.upstreams().usable_count() == 1);
 }
 
@@ -293,11 +293,11 @@
     this->known.on_store_failed(this->now);
     this->now += 5s;
     this->known.on_store_answered(this->now);
-    CHECK(this->whole({}, 20).left.empty());
+    CHECK(this->whole({}, 20).removed.empty());
     this->now += 1s;
     this->news({upstream_item("i-1", 25)}, 25);
     this->now += 1s;
-    CHECK(this->known.expire(this->now).left.size() == 1);
+    CHECK(this->known.expire(this->now).removed.size() == 1);
     CHECK(this->known.upstreams().find(base::upstream_id("i-1")) != nullptr);
 }
 
@@ -308,7 +308,7 @@
     this->known.on_store_failed(this->now);
     this->now += 300ms; // one answer was lost
     this->known.on_store_answered(this->now);
-    CHECK(this->news({{"servers/i-1", "", 9, true}}, 9).left.size() == 1);
+    CHECK(this->news({{"servers/i-1", "", 9, true}}, 9).removed.size() == 1);
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -48,14 +48,14 @@
 void entry::apply(const cluster_changes& changes, const char* source)
 {
     const base::instant now = this->state.clock();
-    if (!changes.faults.empty())
+    if (!changes.unreadable_items.empty())
         this->state.log.write(now,
                               "cluster_state",
                               "item_unreadable",
-                              {{"why", changes.faults.front()},
-                               {"items", changes.faults.size()},
+                              {{"why", changes.unreadable_items.front()},
+                               {"items", changes.unreadable_items.size()},
                                {"source", source}});
-    if (changes.configuration) {
+    if (changes.configuration_changed) {
         const routing::configuration& config =
             this->state.cluster.routes()->source();
         this->state.limiter.set_limits(config, now);
@@ -76,7 +76,7 @@
                     {{"data_centre", one.data_centre},
                      {"revision", one.revision},
                      {"source", source}});
-    for (const routing::published_upstream& one : changes.joined)
+    for (const routing::published_upstream& one : changes.added)
         this->state.log.write(now,
                               "cluster_state",
                               "upstream_joined",
@@ -85,7 +85,7 @@
                                {"slots", one.slots},
                                {"revision", one.revision},
                                {"source", source}});
-    for (const departed_upstream& one : changes.left)
+    for (const removed_upstream& one : changes.removed)
         this->state.log.write(now,
                               "cluster_state",
                               "upstream_left",
@@ -93,7 +93,7 @@
                                {"as_of", this->state.cluster.store_revision()},
                                {"source", source}});
     this->handler->upstreams_changed(changes);
-    if (!changes.joined.empty())
+    if (!changes.added.empty())
         this->handler->tick();
 }
 
