--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -56,7 +56,7 @@
             traffic::scheduler(
                 retry_bounds_of(given.bounds),
                 {given.data_centre, base::hash_name(given.instance)}),
-            decision_log(),
+            rate_limited_log(),
             telemetry::registry(series_most),
             false,
             false,
@@ -273,7 +273,7 @@
             this->state.scheduler.crash_suspects().barred(now).size()));
     set(telemetry::gauge::log_lines_dropped,
         static_cast<double>(logs::dropped_lines() +
-                            this->state.log.held_back()));
+                            this->state.log.suppressed_lines()));
     set(telemetry::gauge::stopping, this->state.stopping ? 1 : 0);
     return telemetry::prometheus_text(all);
 }
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
@@ -25,7 +25,7 @@
             cluster_state(),
             quota::usage_limiter(now),
             traffic::scheduler({}, {}),
-            decision_log(),
+            rate_limited_log(),
             telemetry::registry(1),
             false}
 {
--- a/src/greengagedrum/entry/decision_log.cpp
+++ b/src/greengagedrum/entry/rate_limited_log.cpp
@@ -1,4 +1,4 @@
-#include <greengagedrum/entry/decision_log.hpp>
+#include <greengagedrum/entry/rate_limited_log.hpp>
 #include <greengagedrum/placement/seconds.hpp>
 
 #include <algorithm>
@@ -17,10 +17,10 @@
 
 } // namespace
 
-void decision_log::write(base::instant now,
-                         std::string_view duty,
-                         std::string_view event,
-                         std::initializer_list<logs::field> fields)
+void rate_limited_log::write(base::instant now,
+                             std::string_view duty,
+                             std::string_view event,
+                             std::initializer_list<logs::field> fields)
 {
     if (!std::exchange(this->begun, true)) {
         this->filled_at = now;
--- a/src/greengagedrum/entry/decision_log.hpp
+++ b/src/greengagedrum/entry/rate_limited_log.hpp
@@ -16,7 +16,7 @@
 namespace greengagedrum::entry
 {
 
-class decision_log
+class rate_limited_log
 {
 public:
     void write(base::instant now,
@@ -24,7 +24,7 @@
                std::string_view event,
                std::initializer_list<logs::field> fields);
 
-    std::uint64_t held_back() const { return this->held_total; }
+    std::uint64_t suppressed_lines() const { return this->held_total; }
 
 private:
     double allowance = 0;
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -4,8 +4,8 @@
 #include <greengagedrum/dispatch/dispatcher_book.hpp>
 #include <greengagedrum/dispatch/send_journal.hpp>
 #include <greengagedrum/entry/cluster_state.hpp>
-#include <greengagedrum/entry/decision_log.hpp>
 #include <greengagedrum/entry/exchange.hpp>
+#include <greengagedrum/entry/rate_limited_log.hpp>
 #include <greengagedrum/entry/settings.hpp>
 #include <greengagedrum/quota/usage_limiter.hpp>
 #include <greengagedrum/relay/caller_connection.hpp>
@@ -27,7 +27,7 @@
     cluster_state cluster;
     quota::usage_limiter limiter;
     traffic::scheduler scheduler;
-    decision_log log;
+    rate_limited_log log;
     telemetry::registry metrics;
     bool stopping = false;
     // Another entry places this one's requests and counts them against their
--- a/src/greengagedrum/entry/test/quarantine_page_test.cpp
+++ b/src/greengagedrum/entry/test/quarantine_page_test.cpp
@@ -17,7 +17,7 @@
                        cluster_state(),
                        quota::usage_limiter(now),
                        traffic::scheduler({}, {}),
-                       decision_log(),
+                       rate_limited_log(),
                        telemetry::registry(1),
                        false};
     base::request_digest request =
