--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -145,7 +145,7 @@
         this->store->known_up_to(this->state.cluster.store_revision());
     };
     out.delegate = [this] { this->handler->delegate(); };
-    out.place_alone = [this](std::size_t unheard, const handed_limits* known) {
+    out.place_alone = [this](std::size_t unheard, const limit_handover* known) {
         this->handler->place_alone(unheard, known);
     };
     out.report = [this] { return this->handler->report_to_dispatcher(); };
--- a/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
@@ -89,7 +89,7 @@
     out.load_changed = [] {};
     out.items = [](const gossip::item_transfer&) {};
     out.delegate = [&of] { of.state.delegating = true; };
-    out.place_alone = [&of](std::size_t, const handed_limits*) {
+    out.place_alone = [&of](std::size_t, const limit_handover*) {
         of.state.delegating = false;
     };
     out.report = [] { return dispatch::member_report(); };
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -109,7 +109,7 @@
                 cost.workspace, cost.amount, this->fleet.time());
     };
     out.place_alone = [this, &of](std::size_t unheard,
-                                  const handed_limits* known) {
+                                  const limit_handover* known) {
         this->place_alone(of, unheard, known);
     };
     out.report = [this, &of] { return this->report_of(of); };
@@ -162,11 +162,13 @@
 
 void limited_fleet::place_alone(node& one,
                                 std::size_t unheard,
-                                const handed_limits* known)
+                                const limit_handover* known)
 {
     if (known != nullptr)
-        one.state.limiter.take_over(
-            known->from, known->life, known->uses, this->fleet.time());
+        one.state.limiter.take_over(known->sender,
+                                    known->incarnation,
+                                    known->usage,
+                                    this->fleet.time());
     else
         one.state.limiter.restart(this->fleet.time());
     one.state.limiter.set_unheard_peers(unheard);
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
@@ -73,7 +73,7 @@
                   const gossip::message& told);
     void replied(node& member, const dispatch::dispatcher_reply& what);
     void
-    place_alone(node& one, std::size_t unheard, const handed_limits* known);
+    place_alone(node& one, std::size_t unheard, const limit_handover* known);
     dispatch::member_report report_of(const node& member);
     void let_through(double cost);
     void count_changes(const node& one);
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -68,12 +68,12 @@
 // whole of every limit until it has counted the others: of three requests of
 // 200 tokens that waited, all three went out on a part of 285.
 void request_handler::place_alone(std::size_t unheard,
-                                  const handed_limits* known)
+                                  const limit_handover* known)
 {
     const base::instant now = this->state.clock();
     if (known != nullptr)
         this->state.limiter.take_over(
-            known->from, known->life, known->uses, now);
+            known->sender, known->incarnation, known->usage, now);
     else
         this->state.limiter.restart(now);
     this->state.limiter.set_unheard_peers(unheard);
--- a/src/greengagedrum/entry/peer_link.hpp
+++ b/src/greengagedrum/entry/peer_link.hpp
@@ -31,7 +31,7 @@
     std::function<void()> delegate;
     // None does any more; so many entries may let requests through unheard.
     // `known`: what the one that did knew of limits, if it told lately.
-    std::function<void(std::size_t unheard, const handed_limits* known)>
+    std::function<void(std::size_t unheard, const limit_handover* known)>
         place_alone;
     // What the entry that places is told, and what it replied.
     std::function<dispatch::member_report()> report;
@@ -190,7 +190,7 @@
     std::uint32_t farewells = 0; // still to be told to other data centres
     std::size_t unheard_alone = 0;
     // As the dispatcher told them last, to one that is next in line.
-    std::optional<handed_limits> limits;
+    std::optional<limit_handover> limits;
     std::unordered_map<base::slot_id, member> members;
     // Others that place, of which the limiter was told.
     std::unordered_map<base::slot_id, gossip::ip_number> counting;
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -120,8 +120,8 @@
 void peer_link::take_limits(const gossip::message& told, base::instant now)
 {
     const base::slot_id slot(told.instance);
-    if (this->limits && this->limits->from == slot)
-        this->limits->stopping = told.stopping;
+    if (this->limits && this->limits->sender == slot)
+        this->limits->sender_stopping = told.stopping;
     if (told.workspace_uses.empty())
         return;
     if (!this->state.delegating) {
@@ -240,8 +240,8 @@
     }
     this->placing_since = now;
     const bool handed =
-        this->limits && now - this->limits->told_at <= limits_hold;
-    const bool planned = handed && this->limits->stopping;
+        this->limits && now - this->limits->received_at <= limits_hold;
+    const bool planned = handed && this->limits->sender_stopping;
     this->unheard_alone = planned ? 0 : this->order.known_nearby(now);
     this->events.place_alone(this->order.unheard_data_centres(now) +
                                  this->unheard_alone,
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -37,12 +37,13 @@
 };
 
 // What a dispatcher knows of limits, as it tells the entries next in line.
-struct handed_limits {
-    base::slot_id from;
-    base::incarnation life;
-    std::vector<quota::workspace_use> uses;
-    bool stopping = false; // it has none but its own requests from then on
-    base::instant told_at;
+struct limit_handover {
+    base::slot_id sender;
+    base::incarnation incarnation;
+    std::vector<quota::workspace_use> usage;
+    bool sender_stopping =
+        false; // it has none but its own requests from then on
+    base::instant received_at;
 };
 
 class request_handler
@@ -80,7 +81,7 @@
     // others it can't hear what they let through. `known`, if there is any, is
     // what the one that placed knew of limits.
     void delegate();
-    void place_alone(std::size_t unheard, const handed_limits* known);
+    void place_alone(std::size_t unheard, const limit_handover* known);
     // To whoever places, and what it replied.
     dispatch::member_report report_to_dispatcher() const;
     void replied(const dispatch::dispatcher_reply& what);
