--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -144,9 +144,9 @@
         this->end_pause("peer");
         this->store->known_up_to(this->state.cluster.store_revision());
     };
-    out.delegate = [this] { this->handler->delegate(); };
+    out.delegate = [this] { this->handler->start_delegating(); };
     out.place_alone = [this](std::size_t unheard, const limit_handover* known) {
-        this->handler->place_alone(unheard, known);
+        this->handler->place_locally(unheard, known);
     };
     out.report = [this] { return this->handler->report_to_dispatcher(); };
     out.replied = [this](const dispatch::dispatcher_reply& what) {
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -54,7 +54,7 @@
                                     base::not_run(one.why, one.retry_after)});
 }
 
-void request_handler::delegate()
+void request_handler::start_delegating()
 {
     this->state.delegating = true;
     this->state.scheduler.delegate(true);
@@ -67,8 +67,8 @@
 // Failure guarded against: a dispatcher dies, and each of its members has the
 // whole of every limit until it has counted the others: of three requests of
 // 200 tokens that waited, all three went out on a part of 285.
-void request_handler::place_alone(std::size_t unheard,
-                                  const limit_handover* known)
+void request_handler::place_locally(std::size_t unheard,
+                                    const limit_handover* known)
 {
     const base::instant now = this->state.clock();
     if (known != nullptr)
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -80,8 +80,8 @@
     // Another entry places from now on, or this one does again; of so many
     // others it can't hear what they let through. `known`, if there is any, is
     // what the one that placed knew of limits.
-    void delegate();
-    void place_alone(std::size_t unheard, const limit_handover* known);
+    void start_delegating();
+    void place_locally(std::size_t unheard, const limit_handover* known);
     // To whoever places, and what it replied.
     dispatch::member_report report_to_dispatcher() const;
     void replied(const dispatch::dispatcher_reply& what);
