--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -137,7 +137,7 @@
 peer_events entry::told_by_peers()
 {
     peer_events out;
-    out.load_changed = [this] { this->handler->place(); };
+    out.load_changed = [this] { this->handler->place_waiting_requests(); };
     out.items = [this](const gossip::item_transfer& got) {
         this->apply(this->state.cluster.apply(got, this->state.clock()),
                     "peer");
--- a/src/greengagedrum/entry/request_handler.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -300,7 +300,7 @@
         this->uses_changed();
 }
 
-void request_handler::place()
+void request_handler::place_waiting_requests()
 {
     if (this->working)
         return;
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -56,7 +56,7 @@
     // Something was learnt, or time has passed.
     void tick();
     // Places may be free for what waits.
-    void place();
+    void place_waiting_requests();
 
     void upstreams_changed(const cluster_changes& changes);
 
