--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -148,23 +148,24 @@
     out.place_alone = [this](std::size_t unheard, const limit_handover* known) {
         this->handler->place_locally(unheard, known);
     };
-    out.report = [this] { return this->handler->report_to_dispatcher(); };
+    out.report = [this] { return this->handler->make_member_report(); };
     out.replied = [this](const dispatch::dispatcher_reply& what) {
-        this->handler->replied(what);
+        this->handler->on_dispatcher_reply(what);
     };
     out.member_reported = [this](base::slot_id member,
                                  const gossip::message& told) {
-        this->handler->member_reported(
+        this->handler->on_member_report(
             member, told.life, told.report, told.uses);
     };
     out.member_lost = [this](base::slot_id member) {
-        this->handler->member_lost(member);
+        this->handler->on_member_lost(member);
     };
     out.members_unanswered = [this] {
-        return this->handler->book().unanswered(this->state.clock());
+        return this->handler->member_requests().unanswered(this->state.clock());
     };
     out.reply = [this](base::slot_id member) {
-        return this->handler->book().reply(member, this->state.clock());
+        return this->handler->member_requests().reply(member,
+                                                      this->state.clock());
     };
     return out;
 }
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -8,7 +8,7 @@
 
 // ---- Own requests, placed by another entry --------------------------------
 
-dispatch::member_report request_handler::report_to_dispatcher() const
+dispatch::member_report request_handler::make_member_report() const
 {
     const base::instant now = this->state.clock();
     dispatch::member_report out;
@@ -37,7 +37,8 @@
     return out;
 }
 
-void request_handler::replied(const dispatch::dispatcher_reply& what)
+void request_handler::on_dispatcher_reply(
+    const dispatch::dispatcher_reply& what)
 {
     this->journal.taken(what.news_taken);
     for (const dispatch::granted_place& one : what.granted)
@@ -85,7 +86,7 @@
 
 // ---- Members' requests ----------------------------------------------------
 
-void request_handler::member_reported(
+void request_handler::on_member_report(
     base::slot_id member,
     base::incarnation life,
     const dispatch::member_report& told,
@@ -98,7 +99,7 @@
     this->take(news);
 }
 
-void request_handler::member_lost(base::slot_id member)
+void request_handler::on_member_lost(base::slot_id member)
 {
     this->take(this->members.lost(member));
 }
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -83,16 +83,16 @@
     void start_delegating();
     void place_locally(std::size_t unheard, const limit_handover* known);
     // To whoever places, and what it replied.
-    dispatch::member_report report_to_dispatcher() const;
-    void replied(const dispatch::dispatcher_reply& what);
+    dispatch::member_report make_member_report() const;
+    void on_dispatcher_reply(const dispatch::dispatcher_reply& what);
 
     // What a member reported, and that it is gone.
-    void member_reported(base::slot_id member,
-                         base::incarnation life,
-                         const dispatch::member_report& told,
-                         std::span<const traffic::upstream_use> uses);
-    void member_lost(base::slot_id member);
-    dispatch::dispatcher_book& book() { return this->members; }
+    void on_member_report(base::slot_id member,
+                          base::incarnation life,
+                          const dispatch::member_report& told,
+                          std::span<const traffic::upstream_use> uses);
+    void on_member_lost(base::slot_id member);
+    dispatch::dispatcher_book& member_requests() { return this->members; }
 
 private:
     struct accepted {
