--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -70,7 +70,7 @@
     this->suspended = suspended_time();
     this->handler = std::make_unique<request_handler>(
         this->context, given.callers, this->state);
-    this->handler->uses_changed = [this] {
+    this->handler->on_load_changed = [this] {
         if (this->peers)
             this->peers->tell_soon();
     };
--- a/src/greengagedrum/entry/request_handler.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -238,7 +238,7 @@
     this->by_caller[from.get()] = id;
     this->told(traffic::request_arrived{id, request.facts});
     if (this->state.delegating)
-        this->uses_changed();
+        this->on_load_changed();
 }
 
 void request_handler::refuse(const relay::caller_ptr& from,
@@ -297,7 +297,7 @@
     this->sent_to.erase(id);
     this->told(traffic::caller_left{id});
     if (this->state.delegating)
-        this->uses_changed();
+        this->on_load_changed();
 }
 
 void request_handler::place_waiting_requests()
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -58,7 +58,7 @@
     // Places may be free for what waits.
     void place_waiting_requests();
 
-    void upstreams_changed(const cluster_changes& changes);
+    void apply_upstream_changes(const cluster_changes& changes);
 
     // Answers say that their connections close from now on.
     void begin_stop();
@@ -69,11 +69,11 @@
     base::ip_endpoint address() const;
 
     std::size_t in_flight() const { return this->requests.size(); }
-    std::size_t callers_open() const { return this->callers.size(); }
+    std::size_t open_connections() const { return this->callers.size(); }
 
     // Told when the places taken on upstreams have changed, or what waits for
     // them.
-    std::function<void()> uses_changed = [] {};
+    std::function<void()> on_load_changed = [] {};
 
     // ---- Where one entry of a data centre places for all --------------------
 
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -83,10 +83,11 @@
 
 void request_handler::misdirected(base::upstream_id upstream)
 {
-    this->upstreams_changed(this->state.cluster.mark_misdirected(upstream));
+    this->apply_upstream_changes(
+        this->state.cluster.mark_misdirected(upstream));
 }
 
-void request_handler::upstreams_changed(const cluster_changes& changes)
+void request_handler::apply_upstream_changes(const cluster_changes& changes)
 {
     const base::instant now = this->state.clock();
     for (const removed_upstream& one : changes.removed)
@@ -104,7 +105,7 @@
         std::visit([this](const auto& order) { this->carry_out_one(order); },
                    one);
     if (!orders.empty())
-        this->uses_changed();
+        this->on_load_changed();
 }
 
 void request_handler::carry_out_one(const traffic::send_request& order)
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -92,7 +92,7 @@
                               {{"upstream", one.name},
                                {"as_of", this->state.cluster.store_revision()},
                                {"source", source}});
-    this->handler->upstreams_changed(changes);
+    this->handler->apply_upstream_changes(changes);
     if (!changes.added.empty())
         this->handler->tick();
 }
@@ -257,7 +257,7 @@
         this->handler->stop_accepting();
     }
     const bool done = !this->accepting && this->handler->in_flight() == 0 &&
-                      this->handler->callers_open() == 0;
+                      this->handler->open_connections() == 0;
     if (done || passed >= this->own.bounds.stop - stop_margin)
         this->context.stop();
 }
