--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -17,7 +17,7 @@
                                                    request.cost,
                                                    request.priority,
                                                    this->state.clock());
-        request.counted = !over;
+        request.counted_here = !over;
         if (!over)
             continue;
         this->note_over_limit(
@@ -36,9 +36,9 @@
         id, base::not_run(base::reason::limit_reached, retry_after)});
 }
 
-void request_handler::return_cost(const accepted& request)
+void request_handler::return_cost(const active_request& request)
 {
-    if (!request.counted)
+    if (!request.counted_here)
         return;
     const base::instant now = this->state.clock();
     quota::usage_limiter& limiter = this->state.limiter;
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -17,9 +17,9 @@
         const auto found = this->requests.find(one.request);
         if (found == this->requests.end())
             continue;
-        const accepted& request = found->second;
+        const active_request& request = found->second;
         // A request that was sent before is counted somewhere already.
-        const bool counted = request.counted || request.sent_at;
+        const bool counted = request.counted_here || request.sent_at;
         out.wanted.push_back({{one.request, one.send},
                               one.facts,
                               std::move(one.tried),
--- a/src/greengagedrum/entry/request_handler.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -224,17 +224,17 @@
     }
     const base::request_id id{this->next_request++};
     request.origin.id = id;
-    accepted& fresh = this->requests[id];
+    active_request& fresh = this->requests[id];
     fresh.arrived = now - waited;
     fresh.workspace = request.workspace;
     fresh.cost = request.cost;
     fresh.priority = request.facts.priority;
-    fresh.counted = counted;
+    fresh.counted_here = counted;
     fresh.series = request.series;
     fresh.digest = request.facts.digest;
     fresh.objective = request.facts.objective;
     fresh.gap_objective = request.facts.gap_objective;
-    fresh.wire = this->make_exchange(from, std::move(request.origin));
+    fresh.http_exchange = this->make_exchange(from, std::move(request.origin));
     this->by_caller[from.get()] = id;
     this->told(traffic::request_arrived{id, request.facts});
     if (this->state.delegating)
@@ -282,15 +282,16 @@
     const auto request = this->requests.find(id);
     if (request == this->requests.end())
         return;
-    const std::shared_ptr<exchange> wire = request->second.wire;
+    const std::shared_ptr<exchange> http_exchange =
+        request->second.http_exchange;
     this->state.log.write(
         this->state.clock(),
         "front",
         "caller_left",
-        {{"request", wire->source().marks.attempt},
+        {{"request", http_exchange->source().marks.attempt},
          {"after_ms",
           milliseconds(this->state.clock() - request->second.arrived)}});
-    wire->abandon();
+    http_exchange->abandon();
     if (!request->second.sent_at)
         this->return_cost(request->second);
     this->requests.erase(request);
@@ -327,7 +328,7 @@
     for (const relay::caller_ptr& one : all)
         one->check_time(now, limits);
     for (auto& [id, request] : this->requests)
-        request.wire->relieve();
+        request.http_exchange->relieve();
 }
 
 // ---- Stopping -------------------------------------------------------------
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -95,15 +95,15 @@
     dispatch::dispatcher_book& member_requests() { return this->members; }
 
 private:
-    struct accepted {
-        std::shared_ptr<exchange> wire;
+    struct active_request {
+        std::shared_ptr<exchange> http_exchange;
         base::instant arrived;
         base::instant end_at;
         base::workspace_id workspace;
         base::request_digest digest;
         double cost = 0; // counted against its workspace's limit
         std::uint32_t priority = 0;
-        bool counted = true; // here, and not where it is placed
+        bool counted_here = true; // here, and not where it is placed
         telemetry::series_key series;
         base::duration objective{0};
         base::duration gap_objective{0}; // between events; 0: none
@@ -169,7 +169,7 @@
                          std::uint32_t priority,
                          base::duration retry_after);
     // The request did not run: its workspace may use the cost for others.
-    void return_cost(const accepted& request);
+    void return_cost(const active_request& request);
     void finish(base::request_id id, const base::verdict* failed);
     relay::caller_bounds bounds() const;
 
@@ -178,7 +178,7 @@
     shared_state& state;
     relay::caller_events events;
     std::unordered_set<relay::caller_ptr> callers;
-    std::unordered_map<base::request_id, accepted> requests;
+    std::unordered_map<base::request_id, active_request> requests;
     std::unordered_map<relay::caller_connection*, base::request_id> by_caller;
     std::unordered_map<base::request_id, base::upstream_id> sent_to;
     std::unordered_set<base::upstream_id> checked; // just now
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -54,7 +54,7 @@
     const auto found = this->requests.find(progress->request);
     if (found == this->requests.end())
         return;
-    accepted& request = found->second;
+    active_request& request = found->second;
     const base::instant now = this->state.clock();
     if (!request.first_event_at)
         request.first_event_at = now;
@@ -64,7 +64,7 @@
     request.last_event_at = now;
 }
 
-bool request_handler::accepted::in_time(base::instant first) const
+bool request_handler::active_request::in_time(base::instant first) const
 {
     const bool steady = this->gap_objective.count() == 0 ||
                         this->longest_gap <= this->gap_objective;
@@ -112,7 +112,7 @@
 {
     if (dispatch::dispatcher_book::is_members(order.request))
         return this->grant(order);
-    accepted& request = this->requests.at(order.request);
+    active_request& request = this->requests.at(order.request);
     const base::instant now = this->state.clock();
     const routing::published_upstream* to =
         this->state.cluster.upstreams().find(order.upstream);
@@ -125,15 +125,15 @@
     request.upstream = to->name;
     if (!request.sent_at) {
         request.sent_at = now;
-        if (request.counted)
+        if (request.counted_here)
             this->state.limiter.sent(request.workspace, request.cost, now);
     }
-    const std::shared_ptr<exchange> wire = request.wire;
+    const std::shared_ptr<exchange> http_exchange = request.http_exchange;
     this->state.log.write(
         now,
         "scheduler",
         "request_sent",
-        {{"request", wire->source().marks.attempt},
+        {{"request", http_exchange->source().marks.attempt},
          {"send", order.send},
          {"upstream", to->name},
          {"waited_ms", milliseconds(order.why.waited)},
@@ -145,7 +145,7 @@
          {"gap_ms", milliseconds(order.why.gap)},
          {"suits", order.why.suits},
          {"store_revision", this->state.cluster.store_revision()}});
-    wire->send(order.send, *to, order.end_at - now);
+    http_exchange->send(order.send, *to, order.end_at - now);
 }
 
 void request_handler::carry_out_one(const traffic::stop_send& order)
@@ -153,7 +153,7 @@
     const auto found = this->requests.find(order.request);
     if (found == this->requests.end())
         return;
-    found->second.wire->stop_send();
+    found->second.http_exchange->stop_send();
     this->reported(order.request, {order.send, 0, 0, "stopped here"});
 }
 
@@ -162,9 +162,9 @@
     const auto found = this->requests.find(order.request);
     if (found == this->requests.end())
         return;
-    const std::shared_ptr<exchange> wire = found->second.wire;
+    const std::shared_ptr<exchange> http_exchange = found->second.http_exchange;
     this->finish(order.request, nullptr);
-    wire->deliver(this->state.stopping);
+    http_exchange->deliver(this->state.stopping);
 }
 
 void request_handler::carry_out_one(const traffic::end_request& order)
@@ -174,11 +174,11 @@
     const auto found = this->requests.find(order.request);
     if (found == this->requests.end())
         return;
-    const std::shared_ptr<exchange> wire = found->second.wire;
+    const std::shared_ptr<exchange> http_exchange = found->second.http_exchange;
     if (order.verdict.run == base::run_state::not_run)
         this->return_cost(found->second);
     this->finish(order.request, &order.verdict);
-    wire->end(order.verdict);
+    http_exchange->end(order.verdict);
 }
 
 // One connect for all whose connections to it were lost.
@@ -219,10 +219,10 @@
 void request_handler::finish(base::request_id id, const base::verdict* failed)
 {
     const auto found = this->requests.find(id);
-    const accepted& request = found->second;
+    const active_request& request = found->second;
     const base::instant now = this->state.clock();
     const base::duration total = now - request.arrived;
-    const std::shared_ptr<exchange>& wire = request.wire;
+    const std::shared_ptr<exchange>& http_exchange = request.http_exchange;
     telemetry::request_ended ended;
     ended.series = request.series;
     if (failed != nullptr)
@@ -240,8 +240,8 @@
             now,
             "front",
             "request_answered",
-            {{"request", wire->source().marks.attempt},
-             {"status", wire->status()},
+            {{"request", http_exchange->source().marks.attempt},
+             {"status", http_exchange->status()},
              {"total_ms", milliseconds(total)},
              {"first_ms", milliseconds(first - request.arrived)},
              {"longest_gap_ms", milliseconds(request.longest_gap)},
@@ -253,14 +253,14 @@
             now,
             "scheduler",
             "request_ended",
-            {{"request", wire->source().marks.attempt},
+            {{"request", http_exchange->source().marks.attempt},
              {"verdict", base::to_string(failed->run)},
              {"why", base::to_string(failed->why)},
              {"total_ms", milliseconds(total)},
              {"waiting", this->state.scheduler.waiting()},
              {"retry_after_ms",
               milliseconds(failed->retry_after.value_or(base::duration(0)))}});
-    this->by_caller.erase(wire->from().get());
+    this->by_caller.erase(http_exchange->from().get());
     this->sent_to.erase(id);
     this->requests.erase(found);
 }
@@ -270,19 +270,20 @@
     const auto found = this->requests.find(id);
     if (found == this->requests.end())
         return;
-    const accepted& request = found->second;
+    const active_request& request = found->second;
     const base::instant now = this->state.clock();
-    this->state.log.write(now,
-                          "exchange",
-                          what.why.empty() ? "send_answered" : "send_failed",
-                          {{"request", request.wire->source().marks.attempt},
-                           {"digest", base::to_hex(request.digest)},
-                           {"send", what.send},
-                           {"upstream", request.upstream},
-                           {"ran_ms", milliseconds(now - request.last_sent_at)},
-                           {"status", what.status},
-                           {"events", what.events},
-                           {"why", what.why}});
+    this->state.log.write(
+        now,
+        "exchange",
+        what.why.empty() ? "send_answered" : "send_failed",
+        {{"request", request.http_exchange->source().marks.attempt},
+         {"digest", base::to_hex(request.digest)},
+         {"send", what.send},
+         {"upstream", request.upstream},
+         {"ran_ms", milliseconds(now - request.last_sent_at)},
+         {"status", what.status},
+         {"events", what.events},
+         {"why", what.why}});
 }
 
 } // namespace greengagedrum::entry
