--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -7,7 +7,7 @@
 
 // Requests that wait were to be counted by the entry that placed them. All are
 // counted before the first is ended, for then others may be sent.
-void request_handler::count_waiting()
+void request_handler::count_waiting_requests()
 {
     std::vector<std::pair<base::request_id, base::duration>> beyond;
     for (auto& [id, request] : this->requests) {
@@ -20,23 +20,23 @@
         request.counted_here = !over;
         if (!over)
             continue;
-        this->note_over_limit(
+        this->log_over_limit(
             request.workspace, request.cost, request.priority, *over);
         beyond.emplace_back(id, *over);
     }
     for (const auto& [id, retry_after] : beyond)
-        this->refuse_waiting(id, retry_after);
+        this->refuse_waiting_request(id, retry_after);
 }
 
-void request_handler::refuse_waiting(base::request_id id,
-                                     base::duration retry_after)
+void request_handler::refuse_waiting_request(base::request_id id,
+                                             base::duration retry_after)
 {
-    this->told(traffic::caller_left{id});
-    this->carry_out_one(traffic::end_request{
+    this->submit_event(traffic::caller_left{id});
+    this->execute_action(traffic::end_request{
         id, base::not_run(base::reason::limit_reached, retry_after)});
 }
 
-void request_handler::return_cost(const active_request& request)
+void request_handler::refund_cost(const active_request& request)
 {
     if (!request.counted_here)
         return;
@@ -50,10 +50,10 @@
 
 // The entry that counts says what it went by; where it placed for another one,
 // that one's log bears the request's own id and only the verdict.
-void request_handler::note_over_limit(base::workspace_id workspace,
-                                      double cost,
-                                      std::uint32_t priority,
-                                      base::duration retry_after)
+void request_handler::log_over_limit(base::workspace_id workspace,
+                                     double cost,
+                                     std::uint32_t priority,
+                                     base::duration retry_after)
 {
     const base::instant now = this->state.clock();
     const quota::limit_view seen = this->state.limiter.view(workspace, now);
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -42,14 +42,14 @@
 {
     this->journal.taken(what.news_taken);
     for (const dispatch::granted_place& one : what.granted)
-        this->told(traffic::place_granted{one.name.request,
-                                          one.name.send,
-                                          one.upstream,
-                                          one.expected,
-                                          one.taken,
-                                          one.places});
+        this->submit_event(traffic::place_granted{one.name.request,
+                                                  one.name.send,
+                                                  one.upstream,
+                                                  one.expected,
+                                                  one.taken,
+                                                  one.places});
     for (const dispatch::declined_place& one : what.declined)
-        this->told(
+        this->submit_event(
             traffic::place_declined{one.name.request,
                                     one.name.send,
                                     base::not_run(one.why, one.retry_after)});
@@ -59,7 +59,7 @@
 {
     this->state.delegating = true;
     this->state.scheduler.delegate(true);
-    this->take(this->members.lost_all());
+    this->apply_member_changes(this->members.lost_all());
 }
 
 // Whoever counted for this entry may be gone, and what it told last of limits
@@ -81,7 +81,7 @@
     this->state.limiter.assume_silent_peers(now);
     this->state.delegating = false;
     this->state.scheduler.delegate(false);
-    this->count_waiting();
+    this->count_waiting_requests();
 }
 
 // ---- Members' requests ----------------------------------------------------
@@ -96,27 +96,28 @@
         this->members.report(member, life, told, uses);
     this->state.scheduler.peer_told(
         member, news.others, {}, this->state.clock());
-    this->take(news);
+    this->apply_member_changes(news);
 }
 
 void request_handler::on_member_lost(base::slot_id member)
 {
-    this->take(this->members.lost(member));
+    this->apply_member_changes(this->members.lost(member));
 }
 
-void request_handler::take(const dispatch::request_changes& news)
+void request_handler::apply_member_changes(
+    const dispatch::request_changes& news)
 {
     const base::instant now = this->state.clock();
     for (const dispatch::counted_cost& cost : news.withdrawn)
         this->state.limiter.withdrawn(cost.workspace, cost.amount, now);
     for (const traffic::event& one : news.events)
-        this->told(one);
+        this->submit_event(one);
     for (const auto& [id, wanted] : news.arrived)
-        this->arrived_at_member(id, wanted);
+        this->add_member_request(id, wanted);
 }
 
-void request_handler::arrived_at_member(base::request_id id,
-                                        const dispatch::slot_request& wanted)
+void request_handler::add_member_request(base::request_id id,
+                                         const dispatch::slot_request& wanted)
 {
     const auto over = wanted.counted
                           ? std::nullopt
@@ -125,7 +126,7 @@
                                                      wanted.facts.priority,
                                                      this->state.clock());
     if (over) {
-        this->note_over_limit(
+        this->log_over_limit(
             wanted.facts.workspace, wanted.cost, wanted.facts.priority, *over);
         // The limit has nothing of it to give back.
         this->members.declined(
@@ -134,7 +135,7 @@
     }
     traffic::request_facts facts = wanted.facts;
     facts.homes = this->homes_of(facts);
-    this->told(traffic::request_arrived{id, facts, wanted.tried});
+    this->submit_event(traffic::request_arrived{id, facts, wanted.tried});
 }
 
 // As the configuration in force here says: members ask by route and workspace.
@@ -150,20 +151,20 @@
         *route, table->find_workspace(facts.workspace), this->state.regions);
 }
 
-void request_handler::grant(const traffic::send_request& order)
+void request_handler::grant_slot(const traffic::send_request& order)
 {
     const base::instant now = this->state.clock();
     if (this->state.cluster.upstreams().find(order.upstream) == nullptr) {
         // It left within this very turn.
         if (const auto cost = this->members.forget(order.request))
             this->state.limiter.withdrawn(cost->workspace, cost->amount, now);
-        return this->told(traffic::caller_left{order.request});
+        return this->submit_event(traffic::caller_left{order.request});
     }
     if (const auto cost = this->members.granted(order))
         this->state.limiter.sent(cost->workspace, cost->amount, now);
 }
 
-void request_handler::decline(const traffic::end_request& order)
+void request_handler::decline_slot(const traffic::end_request& order)
 {
     const auto cost = this->members.declined(order.request, order.verdict);
     if (cost)
--- a/src/greengagedrum/entry/request_handler.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -217,7 +217,7 @@
          {"limit_level",
           this->state.limiter.view(request.workspace, now).level}});
     if (over) {
-        this->note_over_limit(
+        this->log_over_limit(
             request.workspace, request.cost, request.facts.priority, *over);
         return this->refuse(
             from, attempt, relay::own_answer{429, "limit_reached", over});
@@ -236,7 +236,7 @@
     fresh.gap_objective = request.facts.gap_objective;
     fresh.http_exchange = this->make_exchange(from, std::move(request.origin));
     this->by_caller[from.get()] = id;
-    this->told(traffic::request_arrived{id, request.facts});
+    this->submit_event(traffic::request_arrived{id, request.facts});
     if (this->state.delegating)
         this->on_load_changed();
 }
@@ -264,7 +264,9 @@
 {
     exchange::owner_events owner;
     const base::request_id id = origin.id;
-    owner.told = [this](const traffic::event& what) { this->told(what); };
+    owner.told = [this](const traffic::event& what) {
+        this->submit_event(what);
+    };
     owner.reported = [this, id](const send_report& what) {
         this->reported(id, what);
     };
@@ -293,10 +295,10 @@
           milliseconds(this->state.clock() - request->second.arrived)}});
     http_exchange->abandon();
     if (!request->second.sent_at)
-        this->return_cost(request->second);
+        this->refund_cost(request->second);
     this->requests.erase(request);
     this->sent_to.erase(id);
-    this->told(traffic::caller_left{id});
+    this->submit_event(traffic::caller_left{id});
     if (this->state.delegating)
         this->on_load_changed();
 }
@@ -308,7 +310,7 @@
     this->working = true;
     traffic::actions orders;
     this->state.scheduler.place(this->state.clock(), orders);
-    this->carry_out(orders);
+    this->execute(orders);
     this->decide_backlog();
     this->working = false;
 }
@@ -318,7 +320,7 @@
     this->working = true;
     traffic::actions orders;
     this->state.scheduler.tick(this->state.clock(), orders);
-    this->carry_out(orders);
+    this->execute(orders);
     this->decide_backlog();
     this->working = false;
     const base::instant now = this->state.clock();
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -142,34 +142,35 @@
                 const relay::own_answer& what);
     std::shared_ptr<exchange> make_exchange(const relay::caller_ptr& from,
                                             request_origin origin);
-    void told(const traffic::event& what);
+    void submit_event(const traffic::event& what);
     void decide_backlog();
     void reported(base::request_id id, const send_report& what);
     void note_progress(const traffic::event& what);
     void misdirected(base::upstream_id upstream);
     void note_misdirection(const traffic::event& what);
-    void carry_out(const traffic::actions& orders);
-    void carry_out_one(const traffic::send_request& order);
-    void carry_out_one(const traffic::stop_send& order);
-    void carry_out_one(const traffic::deliver_answer& order);
-    void carry_out_one(const traffic::end_request& order);
-    void carry_out_one(const traffic::check_upstream& order);
-    void carry_out_one(const traffic::trust_changed& change);
-    void carry_out_one(const quarantine::standing_change& change);
-    void grant(const traffic::send_request& order);
-    void decline(const traffic::end_request& order);
-    void take(const dispatch::request_changes& news);
+    void execute(const traffic::actions& orders);
+    void execute_action(const traffic::send_request& order);
+    void execute_action(const traffic::stop_send& order);
+    void execute_action(const traffic::deliver_answer& order);
+    void execute_action(const traffic::end_request& order);
+    void execute_action(const traffic::check_upstream& order);
+    void execute_action(const traffic::trust_changed& change);
+    void execute_action(const quarantine::standing_change& change);
+    void grant_slot(const traffic::send_request& order);
+    void decline_slot(const traffic::end_request& order);
+    void apply_member_changes(const dispatch::request_changes& news);
     routing::homes homes_of(const traffic::request_facts& facts) const;
-    void arrived_at_member(base::request_id id,
-                           const dispatch::slot_request& wanted);
-    void count_waiting();
-    void refuse_waiting(base::request_id id, base::duration retry_after);
-    void note_over_limit(base::workspace_id workspace,
-                         double cost,
-                         std::uint32_t priority,
-                         base::duration retry_after);
+    void add_member_request(base::request_id id,
+                            const dispatch::slot_request& wanted);
+    void count_waiting_requests();
+    void refuse_waiting_request(base::request_id id,
+                                base::duration retry_after);
+    void log_over_limit(base::workspace_id workspace,
+                        double cost,
+                        std::uint32_t priority,
+                        base::duration retry_after);
     // The request did not run: its workspace may use the cost for others.
-    void return_cost(const active_request& request);
+    void refund_cost(const active_request& request);
     void finish(base::request_id id, const base::verdict* failed);
     relay::caller_bounds bounds() const;
 
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -21,7 +21,7 @@
 
 // Carrying out a decision may tell the next fact at once; it is decided on
 // after all orders of the first were carried out.
-void request_handler::told(const traffic::event& what)
+void request_handler::submit_event(const traffic::event& what)
 {
     this->backlog.push_back(what);
     if (this->working)
@@ -42,7 +42,7 @@
             this->journal.note(next);
         traffic::actions orders;
         this->state.scheduler.step(next, this->state.clock(), orders);
-        this->carry_out(orders);
+        this->execute(orders);
     }
 }
 
@@ -99,26 +99,26 @@
     }
 }
 
-void request_handler::carry_out(const traffic::actions& orders)
+void request_handler::execute(const traffic::actions& orders)
 {
     for (const traffic::action& one : orders)
-        std::visit([this](const auto& order) { this->carry_out_one(order); },
+        std::visit([this](const auto& order) { this->execute_action(order); },
                    one);
     if (!orders.empty())
         this->on_load_changed();
 }
 
-void request_handler::carry_out_one(const traffic::send_request& order)
+void request_handler::execute_action(const traffic::send_request& order)
 {
     if (dispatch::dispatcher_book::is_members(order.request))
-        return this->grant(order);
+        return this->grant_slot(order);
     active_request& request = this->requests.at(order.request);
     const base::instant now = this->state.clock();
     const routing::published_upstream* to =
         this->state.cluster.upstreams().find(order.upstream);
     if (to == nullptr) {
         // It left within this very turn.
-        return this->told(traffic::not_sent{order.request, order.send});
+        return this->submit_event(traffic::not_sent{order.request, order.send});
     }
     this->sent_to[order.request] = order.upstream;
     request.last_sent_at = now;
@@ -148,7 +148,7 @@
     http_exchange->send(order.send, *to, order.end_at - now);
 }
 
-void request_handler::carry_out_one(const traffic::stop_send& order)
+void request_handler::execute_action(const traffic::stop_send& order)
 {
     const auto found = this->requests.find(order.request);
     if (found == this->requests.end())
@@ -157,7 +157,7 @@
     this->reported(order.request, {order.send, 0, 0, "stopped here"});
 }
 
-void request_handler::carry_out_one(const traffic::deliver_answer& order)
+void request_handler::execute_action(const traffic::deliver_answer& order)
 {
     const auto found = this->requests.find(order.request);
     if (found == this->requests.end())
@@ -167,38 +167,39 @@
     http_exchange->deliver(this->state.stopping);
 }
 
-void request_handler::carry_out_one(const traffic::end_request& order)
+void request_handler::execute_action(const traffic::end_request& order)
 {
     if (dispatch::dispatcher_book::is_members(order.request))
-        return this->decline(order);
+        return this->decline_slot(order);
     const auto found = this->requests.find(order.request);
     if (found == this->requests.end())
         return;
     const std::shared_ptr<exchange> http_exchange = found->second.http_exchange;
     if (order.verdict.run == base::run_state::not_run)
-        this->return_cost(found->second);
+        this->refund_cost(found->second);
     this->finish(order.request, &order.verdict);
     http_exchange->end(order.verdict);
 }
 
 // One connect for all whose connections to it were lost.
-void request_handler::carry_out_one(const traffic::check_upstream& order)
+void request_handler::execute_action(const traffic::check_upstream& order)
 {
     const routing::published_upstream* to =
         this->state.cluster.upstreams().find_alive(order.upstream);
     if (to == nullptr)
-        return this->told(traffic::upstream_checked{order.upstream, false});
+        return this->submit_event(
+            traffic::upstream_checked{order.upstream, false});
     if (!this->checked.insert(order.upstream).second)
         return;
     const auto check = std::make_shared<relay::connect_check>(
         this->context, [this, upstream = order.upstream](bool accepts) {
             this->checked.erase(upstream);
-            this->told(traffic::upstream_checked{upstream, accepts});
+            this->submit_event(traffic::upstream_checked{upstream, accepts});
         });
     check->start(to->address, check_after);
 }
 
-void request_handler::carry_out_one(const traffic::trust_changed& change)
+void request_handler::execute_action(const traffic::trust_changed& change)
 {
     const routing::published_upstream* of =
         this->state.cluster.upstreams().find_alive(change.upstream);
@@ -211,7 +212,7 @@
          {"bad_share", change.bad_share}});
 }
 
-void request_handler::carry_out_one(const quarantine::standing_change& change)
+void request_handler::execute_action(const quarantine::standing_change& change)
 {
     log_standing(this->state, change, "own");
 }
