--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -105,7 +105,7 @@
     store_told.may_rest = [this] { return this->peers->store_is_read(); };
     this->store = std::make_unique<store_reader>(
         this->context, given.store, std::move(store_told));
-    this->store->set_bound(given.bounds.news());
+    this->store->set_bound(given.bounds.shortest_update_delay());
     this->readiness = std::make_unique<relay::small_server>(
         this->context,
         given.readiness,
@@ -201,7 +201,7 @@
                                        this->own.bounds.usage_slack});
     this->state.scheduler.set_retry_bounds(retry_bounds_of(this->own.bounds));
     if (this->store)
-        this->store->set_bound(this->own.bounds.news());
+        this->store->set_bound(this->own.bounds.shortest_update_delay());
     this->apply_slow_start();
 }
 
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -172,7 +172,8 @@
 // When the newest answer that any peer had is older, nobody may be reading.
 base::duration peer_link::read_lately() const
 {
-    return store_reader::pause_of(this->own.bounds.news()) + answer_takes;
+    return store_reader::pause_of(this->own.bounds.shortest_update_delay()) +
+           answer_takes;
 }
 
 // Failures guarded against: the reader of a data centre dies, is frozen or is
@@ -184,7 +185,7 @@
 {
     const base::instant now = this->state.clock();
     const base::duration bound =
-        this->own.bounds.news() * rest_parts / all_parts;
+        this->own.bounds.shortest_update_delay() * rest_parts / all_parts;
     if (this->large)
         return this->dispatcher_reads(bound, now);
     return now - this->own_read_at < bound &&
--- a/src/greengagedrum/entry/settings.cpp
+++ b/src/greengagedrum/entry/settings.cpp
@@ -15,9 +15,10 @@
 
 void print(const bounds& given, std::ostream& out)
 {
-    out << "stop_ms = " << milliseconds_of(given.stop) << '\n'
-        << "configuration_ms = " << milliseconds_of(given.configuration) << '\n'
-        << "drain_ms = " << milliseconds_of(given.drain) << '\n'
+    out << "stop_ms = " << milliseconds_of(given.stop_timeout) << '\n'
+        << "configuration_ms = " << milliseconds_of(given.configuration_delay)
+        << '\n'
+        << "drain_ms = " << milliseconds_of(given.drain_delay) << '\n'
         << "retry_ratio = " << given.retry_ratio << '\n'
         << "retry_window_ms = " << milliseconds_of(given.retry_window) << '\n'
         << "retry_slack = " << given.retry_slack << '\n'
@@ -26,7 +27,8 @@
         << "usage_slack = " << given.usage_slack << '\n'
         << "warmup_overshoot = " << given.warmup_overshoot << '\n'
         << "warmup_slack = " << given.warmup_slack << '\n'
-        << "evacuation_ms = " << milliseconds_of(given.evacuation) << '\n';
+        << "evacuation_ms = " << milliseconds_of(given.evacuation_delay)
+        << '\n';
 }
 
 } // namespace
--- a/src/greengagedrum/entry/settings.hpp
+++ b/src/greengagedrum/entry/settings.hpp
@@ -15,10 +15,13 @@
 {
 
 struct bounds {
-    base::duration stop = std::chrono::seconds(8); // from SIGTERM to the kill
-    base::duration configuration = std::chrono::seconds(2); // to be in force
-    base::duration drain = std::chrono::seconds(2); // no new work to a leaver
-    double retry_ratio = 0.2;                       // of a service's requests
+    base::duration stop_timeout =
+        std::chrono::seconds(8); // from SIGTERM to the kill
+    base::duration configuration_delay =
+        std::chrono::seconds(2); // to be in force
+    base::duration drain_delay =
+        std::chrono::seconds(2); // no new work to a leaver
+    double retry_ratio = 0.2;    // of a service's requests
     base::duration retry_window = std::chrono::seconds(10);
     double retry_slack = 0; // in a window, all entries
     base::duration usage_window = std::chrono::seconds(8);
@@ -27,12 +30,14 @@
     double warmup_overshoot = 1; // times a cold upstream's published rate
     double warmup_slack = 0;     // and in requests of a second, all entries
     // No new work to an evacuated data centre.
-    base::duration evacuation = std::chrono::seconds(2);
+    base::duration evacuation_delay = std::chrono::seconds(2);
 
     // For whatever the store tells to be in force.
-    base::duration news() const
+    base::duration shortest_update_delay() const
     {
-        return std::min({this->configuration, this->drain, this->evacuation});
+        return std::min({this->configuration_delay,
+                         this->drain_delay,
+                         this->evacuation_delay});
     }
 };
 
--- a/src/greengagedrum/entry/test/entry_fixture.cpp
+++ b/src/greengagedrum/entry/test/entry_fixture.cpp
@@ -72,7 +72,7 @@
     out.ip = "127.0.0.1";
     out.callers = out.readiness = out.control = out.metrics = {"127.0.0.1", 0};
     out.store = {"127.0.0.1", static_cast<std::uint16_t>(store_port)};
-    out.bounds.stop = 1s;
+    out.bounds.stop_timeout = 1s;
     out.bounds.usage_overshoot = 0.25;
     out.peer_port = wanted.peer_port;
     out.seeds = wanted.seeds;
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -258,7 +258,7 @@
     }
     const bool done = !this->accepting && this->handler->in_flight() == 0 &&
                       this->handler->open_connections() == 0;
-    if (done || passed >= this->own.bounds.stop - stop_margin)
+    if (done || passed >= this->own.bounds.stop_timeout - stop_margin)
         this->context.stop();
 }
 
--- a/src/greengagedrum/platform/settings_file.cpp
+++ b/src/greengagedrum/platform/settings_file.cpp
@@ -117,10 +117,10 @@
 entry::bounds read_bounds(field_reader& from)
 {
     entry::bounds out;
-    out.stop = from.time("bounds.graceS", second, out.stop);
-    out.configuration =
-        from.time("bounds.configApplyMs", millisecond, out.configuration);
-    out.drain = from.time("bounds.drainMs", millisecond, out.drain);
+    out.stop_timeout = from.time("bounds.graceS", second, out.stop_timeout);
+    out.configuration_delay =
+        from.time("bounds.configApplyMs", millisecond, out.configuration_delay);
+    out.drain_delay = from.time("bounds.drainMs", millisecond, out.drain_delay);
     out.retry_ratio = from.number("bounds.retryBudgetRatio", out.retry_ratio);
     out.retry_window =
         from.time("bounds.retryWindowS", second, out.retry_window);
@@ -133,8 +133,8 @@
     out.warmup_overshoot =
         from.number("bounds.warmupOvershoot", out.warmup_overshoot);
     out.warmup_slack = from.number("bounds.warmupSlack", out.warmup_slack);
-    out.evacuation =
-        from.time("bounds.evacuationMs", millisecond, out.evacuation);
+    out.evacuation_delay =
+        from.time("bounds.evacuationMs", millisecond, out.evacuation_delay);
     return out;
 }
 
--- a/src/greengagedrum/platform/test/platform_test.cpp
+++ b/src/greengagedrum/platform/test/platform_test.cpp
@@ -75,13 +75,13 @@
     CHECK(read->peer_port == 7600);
     CHECK(read->seeds.size() == 2);
     CHECK(read->store.port == 8225);
-    CHECK(read->bounds.stop == 8s);
+    CHECK(read->bounds.stop_timeout == 8s);
     CHECK(read->bounds.retry_slack == 56);
     CHECK(read->bounds.usage_overshoot == 0.25);
     CHECK(read->bounds.usage_window == 8s); // its default
     CHECK(read->bounds.warmup_overshoot == 1.5);
     CHECK(read->bounds.warmup_slack == 5);
-    CHECK(read->bounds.evacuation == 5s);
+    CHECK(read->bounds.evacuation_delay == 5s);
 }
 
 TEST_CASE("settings_with_many_faults_name_them_all")
