--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -69,7 +69,7 @@
     this->ticked_at = this->state.clock();
     this->suspended = suspended_time();
     this->handler = std::make_unique<request_handler>(
-        this->context, given.callers, this->state);
+        this->context, given.caller_address, this->state);
     this->handler->on_load_changed = [this] {
         if (this->peers)
             this->peers->tell_soon();
@@ -104,25 +104,25 @@
     store_told.answered = [this] { this->on_store_answered(); };
     store_told.may_rest = [this] { return this->peers->store_is_read(); };
     this->store = std::make_unique<store_reader>(
-        this->context, given.store, std::move(store_told));
+        this->context, given.store_address, std::move(store_told));
     this->store->set_bound(given.bounds.shortest_update_delay());
     this->readiness = std::make_unique<relay::small_server>(
         this->context,
-        given.readiness,
+        given.readiness_address,
         this->state.clock,
         [this](const relay::small_question&) {
             return this->answer_readiness();
         });
     this->control = std::make_unique<relay::small_server>(
         this->context,
-        given.control,
+        given.control_address,
         this->state.clock,
         [this](const relay::small_question& asked) {
             return this->answer_control(asked.target);
         });
     this->metrics = std::make_unique<relay::small_server>(
         this->context,
-        given.metrics,
+        given.metrics_address,
         this->state.clock,
         [this](const relay::small_question& asked) {
             if (is_quarantine_question(asked))
@@ -177,8 +177,8 @@
                 "started",
                 {{"instance", this->own.instance},
                  {"data_centre", this->own.data_centre},
-                 {"callers", base::to_string(this->own.callers)},
-                 {"store", base::to_string(this->own.store)},
+                 {"callers", base::to_string(this->own.caller_address)},
+                 {"store", base::to_string(this->own.store_address)},
                  {"life", this->life.value}});
     this->signals.async_wait([this](relay::error_code fault, int number) {
         if (!fault)
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -337,7 +337,7 @@
     this->asking = true;
     this->asked_at = now;
     const base::ip_endpoint to{relay::asio::ip::address_v4(of).to_string(),
-                               this->own.control.port};
+                               this->own.control_address.port};
     this->transport.ask(
         to,
         items_target(what),
--- a/src/greengagedrum/entry/settings.cpp
+++ b/src/greengagedrum/entry/settings.cpp
@@ -38,12 +38,12 @@
     std::ostringstream out;
     out << "instance = " << given.instance << '\n'
         << "data_centre = " << given.data_centre << '\n'
-        << "callers = " << base::to_string(given.callers) << '\n'
-        << "readiness = " << base::to_string(given.readiness) << '\n'
-        << "control = " << base::to_string(given.control) << '\n'
-        << "metrics = " << base::to_string(given.metrics) << '\n'
+        << "callers = " << base::to_string(given.caller_address) << '\n'
+        << "readiness = " << base::to_string(given.readiness_address) << '\n'
+        << "control = " << base::to_string(given.control_address) << '\n'
+        << "metrics = " << base::to_string(given.metrics_address) << '\n'
         << "peer_port = " << given.peer_port << '\n'
-        << "store = " << base::to_string(given.store) << '\n'
+        << "store = " << base::to_string(given.store_address) << '\n'
         << "processors = " << given.processors << '\n';
     for (const base::ip_endpoint& seed : given.seeds)
         out << "seed = " << base::to_string(seed) << '\n';
--- a/src/greengagedrum/entry/settings.hpp
+++ b/src/greengagedrum/entry/settings.hpp
@@ -46,13 +46,13 @@
     std::string data_centre;
     routing::region_map regions; // of all data centres
     std::string ip;
-    base::ip_endpoint callers;   // clients' requests
-    base::ip_endpoint readiness; // the balancer's question
-    base::ip_endpoint control;   // peers' questions
-    base::ip_endpoint metrics;
+    base::ip_endpoint caller_address;    // clients' requests
+    base::ip_endpoint readiness_address; // the balancer's question
+    base::ip_endpoint control_address;   // peers' questions
+    base::ip_endpoint metrics_address;
     std::uint16_t peer_port = 0;          // UDP, the same on all instances
     std::vector<base::ip_endpoint> seeds; // control addresses of a few others
-    base::ip_endpoint store;
+    base::ip_endpoint store_address;
     double processors = 1; // share of a core; the strongest entries place
     entry::bounds bounds;
 };
--- a/src/greengagedrum/entry/test/entry_fixture.cpp
+++ b/src/greengagedrum/entry/test/entry_fixture.cpp
@@ -70,8 +70,9 @@
     out.instance = "entry-1";
     out.data_centre = "hall";
     out.ip = "127.0.0.1";
-    out.callers = out.readiness = out.control = out.metrics = {"127.0.0.1", 0};
-    out.store = {"127.0.0.1", static_cast<std::uint16_t>(store_port)};
+    out.caller_address = out.readiness_address = out.control_address =
+        out.metrics_address = {"127.0.0.1", 0};
+    out.store_address = {"127.0.0.1", static_cast<std::uint16_t>(store_port)};
     out.bounds.stop_timeout = 1s;
     out.bounds.usage_overshoot = 0.25;
     out.peer_port = wanted.peer_port;
--- a/src/greengagedrum/platform/settings_file.cpp
+++ b/src/greengagedrum/platform/settings_file.cpp
@@ -157,12 +157,12 @@
     out.data_centre = from.text("zone");
     out.regions = from.texts("zones");
     out.ip = from.text("ip");
-    out.callers = from.endpoint("listen.frontend");
-    out.readiness = from.endpoint("listen.readiness");
-    out.control = from.endpoint("listen.controlPlane");
+    out.caller_address = from.endpoint("listen.frontend");
+    out.readiness_address = from.endpoint("listen.readiness");
+    out.control_address = from.endpoint("listen.controlPlane");
     out.peer_port = from.first_port("internalPortRange");
     out.seeds = from.endpoints("seedNodes");
-    out.store = from.endpoint("platform.address");
+    out.store_address = from.endpoint("platform.address");
     out.processors = from.number("limits.cpuQuota", out.processors);
     out.bounds = read_bounds(from);
     if (!faults.empty())
--- a/src/greengagedrum/platform/test/platform_test.cpp
+++ b/src/greengagedrum/platform/test/platform_test.cpp
@@ -69,12 +69,12 @@
     REQUIRE(read);
     CHECK(read->instance == "edge-hall-1");
     CHECK(read->data_centre == "hall");
-    CHECK(read->callers.port == 8221);
-    CHECK(read->control.port == 8229);
+    CHECK(read->caller_address.port == 8221);
+    CHECK(read->control_address.port == 8229);
     CHECK(read->regions == routing::region_map{{"hall", "west"}});
     CHECK(read->peer_port == 7600);
     CHECK(read->seeds.size() == 2);
-    CHECK(read->store.port == 8225);
+    CHECK(read->store_address.port == 8225);
     CHECK(read->bounds.stop_timeout == 8s);
     CHECK(read->bounds.retry_slack == 56);
     CHECK(read->bounds.usage_overshoot == 0.25);
--- a/src/programs/greengagedrum_entry.cpp
+++ b/src/programs/greengagedrum_entry.cpp
@@ -44,7 +44,7 @@
 // The settings file names no address for metrics.
 entry::settings with_metrics(entry::settings given, std::uint16_t port)
 {
-    given.metrics = {given.ip, port};
+    given.metrics_address = {given.ip, port};
     return given;
 }
 
