--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -88,21 +88,23 @@
         },
         [this] { this->peers->wake(); });
     store_events store_told;
-    store_told.news = [this](const routing::item_list& items,
-                             std::uint64_t as_of,
-                             bool whole) {
+    store_told.items_received = [this](const routing::item_list& items,
+                                       std::uint64_t as_of,
+                                       bool whole) {
         this->on_news(items, as_of, whole, "store");
     };
-    store_told.part = [this](const routing::item_list& items) {
+    store_told.page_received = [this](const routing::item_list& items) {
         this->apply(
             this->state.cluster.apply(items, 0, false, this->state.clock()),
             "store");
     };
-    store_told.failed = [this](const std::string& why) {
+    store_told.call_failed = [this](const std::string& why) {
         this->on_store_failed(why);
     };
-    store_told.answered = [this] { this->on_store_answered(); };
-    store_told.may_rest = [this] { return this->peers->store_is_read(); };
+    store_told.call_answered = [this] { this->on_store_answered(); };
+    store_told.peer_reads_store = [this] {
+        return this->peers->store_is_read();
+    };
     this->store = std::make_unique<store_reader>(
         this->context, given.store_address, std::move(store_told));
     this->store->set_bound(given.bounds.shortest_update_delay());
--- a/src/greengagedrum/entry/store_reader.cpp
+++ b/src/greengagedrum/entry/store_reader.cpp
@@ -114,9 +114,9 @@
     this->failures = 0;
     this->after = this->pages_as_of;
     this->last_key.clear();
-    this->events.answered();
+    this->events.call_answered();
     const routing::item_list all = std::exchange(this->pages, {});
-    this->events.news(all, this->after, true);
+    this->events.items_received(all, this->after, true);
     this->again_after(this->pause);
 }
 
@@ -126,7 +126,7 @@
 {
     if (items.empty() || items.back().key <= this->last_key)
         return this->failed("pages that don't go on");
-    this->events.part(items);
+    this->events.page_received(items);
     this->last_key = items.back().key;
     for (routing::published_item& one : items)
         this->pages.push_back(std::move(one));
@@ -168,8 +168,8 @@
         return this->failed("a watch that can't be read");
     this->failures = 0;
     this->after = std::max(this->after, news->as_of);
-    this->events.answered();
-    this->events.news(news->items, this->after, false);
+    this->events.call_answered();
+    this->events.items_received(news->items, this->after, false);
     this->again_after(this->pause);
 }
 
@@ -178,9 +178,9 @@
     this->pages.clear();
     this->last_key.clear();
     this->failures = std::min(this->failures + 1, failure_steps);
-    this->events.failed(why);
+    this->events.call_failed(why);
     const base::duration pause = failure_pause * this->failures;
-    this->again_after(this->after > 0 && this->events.may_rest()
+    this->again_after(this->after > 0 && this->events.peer_reads_store()
                           ? failure_pause_at_rest
                           : pause);
 }
@@ -204,7 +204,8 @@
 // away decides what lapses mean.
 bool store_reader::rests() const
 {
-    return this->after > 0 && !this->failing() && this->events.may_rest();
+    return this->after > 0 && !this->failing() &&
+           this->events.peer_reads_store();
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/store_reader.hpp
+++ b/src/greengagedrum/entry/store_reader.hpp
@@ -24,14 +24,14 @@
     // All items (`whole`) or what changed since the last call.
     std::function<void(
         const routing::item_list& items, std::uint64_t as_of, bool whole)>
-        news;
+        items_received;
     // Some of all items, before the rest of them has come: true of them, and no
     // sign that anything else is known.
-    std::function<void(const routing::item_list& items)> part;
-    std::function<void(const std::string& why)> failed;
-    std::function<void()> answered;
+    std::function<void(const routing::item_list& items)> page_received;
+    std::function<void(const std::string& why)> call_failed;
+    std::function<void()> call_answered;
     // True while another entry reads for this one.
-    std::function<bool()> may_rest;
+    std::function<bool()> peer_reads_store;
 };
 
 class store_reader
--- a/src/greengagedrum/entry/test/store_reader_test.cpp
+++ b/src/greengagedrum/entry/test/store_reader_test.cpp
@@ -34,16 +34,16 @@
     {
         this->store.start();
         store_events told;
-        told.news = [this](const routing::item_list&, std::uint64_t, bool) {
-            this->news += 1;
-        };
-        told.part = [this](const routing::item_list& items) {
+        told.items_received = [this](const routing::item_list&,
+                                     std::uint64_t,
+                                     bool) { this->news += 1; };
+        told.page_received = [this](const routing::item_list& items) {
             this->parts += 1;
             CHECK(items.front().key == "op/config");
         };
-        told.failed = [this](const std::string&) { this->failures += 1; };
-        told.answered = [] {};
-        told.may_rest = [] { return false; };
+        told.call_failed = [this](const std::string&) { this->failures += 1; };
+        told.call_answered = [] {};
+        told.peer_reads_store = [] { return false; };
         this->reader = std::make_unique<store_reader>(
             this->context,
             base::ip_endpoint{"127.0.0.1",
