--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -107,7 +107,7 @@
     };
     this->store = std::make_unique<store_reader>(
         this->context, given.store_address, std::move(store_told));
-    this->store->set_bound(given.bounds.shortest_update_delay());
+    this->store->set_update_bound(given.bounds.shortest_update_delay());
     this->readiness = std::make_unique<relay::small_server>(
         this->context,
         given.readiness_address,
@@ -144,7 +144,7 @@
         this->apply(this->state.cluster.apply(got, this->state.clock()),
                     "peer");
         this->end_pause("peer");
-        this->store->known_up_to(this->state.cluster.store_revision());
+        this->store->skip_to_revision(this->state.cluster.store_revision());
     };
     out.delegate = [this] { this->handler->start_delegating(); };
     out.place_alone = [this](std::size_t unheard, const limit_handover* known) {
@@ -203,7 +203,7 @@
                                        this->own.bounds.usage_slack});
     this->state.scheduler.set_retry_bounds(retry_bounds_of(this->own.bounds));
     if (this->store)
-        this->store->set_bound(this->own.bounds.shortest_update_delay());
+        this->store->set_update_bound(this->own.bounds.shortest_update_delay());
     this->apply_slow_start();
 }
 
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -172,7 +172,8 @@
 // When the newest answer that any peer had is older, nobody may be reading.
 base::duration peer_link::read_lately() const
 {
-    return store_reader::pause_of(this->own.bounds.shortest_update_delay()) +
+    return store_reader::poll_interval_for(
+               this->own.bounds.shortest_update_delay()) +
            answer_takes;
 }
 
--- a/src/greengagedrum/entry/store_reader.cpp
+++ b/src/greengagedrum/entry/store_reader.cpp
@@ -40,10 +40,10 @@
     : timer(context), client(std::make_shared<relay::http_get>(context)),
       store(store), events(std::move(events))
 {
-    this->set_bound(default_bound);
+    this->set_update_bound(default_bound);
 }
 
-base::duration store_reader::pause_of(base::duration bound)
+base::duration store_reader::poll_interval_for(base::duration bound)
 {
     return std::min(bound / pause_parts, pause_most);
 }
@@ -53,13 +53,13 @@
     this->ask();
 }
 
-void store_reader::hurry()
+void store_reader::poll_now()
 {
     if (!this->asking)
         this->ask();
 }
 
-void store_reader::known_up_to(std::uint64_t as_of)
+void store_reader::skip_to_revision(std::uint64_t as_of)
 {
     if (this->after > 0)
         this->after = std::max(this->after, as_of);
--- a/src/greengagedrum/entry/store_reader.hpp
+++ b/src/greengagedrum/entry/store_reader.hpp
@@ -42,16 +42,19 @@
                  store_events events);
 
     // Between two watches, of the time in which a change is to be in force.
-    static base::duration pause_of(base::duration bound);
-    void set_bound(base::duration bound) { this->pause = pause_of(bound); }
+    static base::duration poll_interval_for(base::duration bound);
+    void set_update_bound(base::duration bound)
+    {
+        this->pause = poll_interval_for(bound);
+    }
 
     void start();
 
     // Ask now: what is known may be old.
-    void hurry();
+    void poll_now();
 
     // A peer has passed all up to that revision.
-    void known_up_to(std::uint64_t as_of);
+    void skip_to_revision(std::uint64_t as_of);
 
     // The last call failed.
     bool failing() const { return this->failures > 0; }
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -177,7 +177,7 @@
     if (late || was_suspended) {
         this->paused_at = now;
         this->state.scheduler.hold(true);
-        this->store->hurry();
+        this->store->poll_now();
         logs::write(
             logs::level::warning,
             "entry",
