--- a/src/greengagedrum/entry/standing_log.cpp
+++ b/src/greengagedrum/entry/crash_suspect_log.cpp
@@ -1,5 +1,5 @@
+#include <greengagedrum/entry/crash_suspect_log.hpp>
 #include <greengagedrum/entry/milliseconds.hpp>
-#include <greengagedrum/entry/standing_log.hpp>
 
 #include <algorithm>
 
@@ -37,9 +37,9 @@
     return found == all.end() ? std::string() : found->name;
 }
 
-void log_standing(shared_state& state,
-                  const quarantine::standing_change& change,
-                  std::string_view source)
+void log_crash_suspect(shared_state& state,
+                       const quarantine::standing_change& change,
+                       std::string_view source)
 {
     const base::instant now = state.clock();
     const base::duration pause =
--- a/src/greengagedrum/entry/standing_log.hpp
+++ b/src/greengagedrum/entry/crash_suspect_log.hpp
@@ -13,8 +13,8 @@
 std::string workspace_name(const shared_state& state, base::workspace_id id);
 
 // `source`: who saw it, this entry ("own") or a peer.
-void log_standing(shared_state& state,
-                  const quarantine::standing_change& change,
-                  std::string_view source);
+void log_crash_suspect(shared_state& state,
+                       const quarantine::standing_change& change,
+                       std::string_view source);
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -1,7 +1,7 @@
 // Among many entries: which of them places requests, and what is made of what
 // the others tell.
+#include <greengagedrum/entry/crash_suspect_log.hpp>
 #include <greengagedrum/entry/peer_link.hpp>
-#include <greengagedrum/entry/standing_log.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -62,7 +62,7 @@
     const auto changes =
         this->state.scheduler.crash_suspects().merge(received.suspects, now);
     for (const quarantine::standing_change& one : changes)
-        log_standing(this->state, one, received.instance);
+        log_crash_suspect(this->state, one, received.instance);
 }
 
 void peer_link::take_load(const gossip::message& told, base::instant now)
--- a/src/greengagedrum/entry/quarantine_page.cpp
+++ b/src/greengagedrum/entry/quarantine_page.cpp
@@ -1,6 +1,6 @@
+#include <greengagedrum/entry/crash_suspect_log.hpp>
 #include <greengagedrum/entry/milliseconds.hpp>
 #include <greengagedrum/entry/quarantine_page.hpp>
-#include <greengagedrum/entry/standing_log.hpp>
 
 #include <nlohmann/json.hpp>
 
@@ -40,7 +40,7 @@
             continue;
         for (const quarantine::standing_change& change :
              suspects.cleared(one.request, now))
-            log_standing(state, change, "operator");
+            log_crash_suspect(state, change, "operator");
         return {relay::status_ok, "text/plain", "released\n"};
     }
     return {not_found, "text/plain", "no such request is quarantined\n"};
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -1,7 +1,7 @@
 // How facts about requests reach the scheduler, and its orders the sockets.
+#include <greengagedrum/entry/crash_suspect_log.hpp>
 #include <greengagedrum/entry/milliseconds.hpp>
 #include <greengagedrum/entry/request_handler.hpp>
-#include <greengagedrum/entry/standing_log.hpp>
 #include <greengagedrum/relay/connect_check.hpp>
 
 #include <algorithm>
@@ -214,7 +214,7 @@
 
 void request_handler::execute_action(const quarantine::standing_change& change)
 {
-    log_standing(this->state, change, "own");
+    log_crash_suspect(this->state, change, "own");
 }
 
 void request_handler::finish(base::request_id id, const base::verdict* failed)
