--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -1,5 +1,5 @@
 #include <greengagedrum/entry/entry.hpp>
-#include <greengagedrum/entry/quarantine_page.hpp>
+#include <greengagedrum/entry/quarantine_endpoint.hpp>
 #include <greengagedrum/entry/suspension.hpp>
 #include <greengagedrum/logs/write.hpp>
 #include <greengagedrum/placement/seconds.hpp>
@@ -127,8 +127,8 @@
         given.metrics_address,
         this->state.clock,
         [this](const relay::small_question& asked) {
-            if (is_quarantine_question(asked))
-                return answer_quarantine(this->state, asked);
+            if (is_quarantine_request(asked))
+                return answer_quarantine_request(this->state, asked);
             return relay::small_answer{
                 200,
                 std::string(telemetry::prometheus_content_type),
--- a/src/greengagedrum/entry/quarantine_page.cpp
+++ b/src/greengagedrum/entry/quarantine_endpoint.cpp
@@ -1,6 +1,6 @@
 #include <greengagedrum/entry/crash_suspect_log.hpp>
 #include <greengagedrum/entry/milliseconds.hpp>
-#include <greengagedrum/entry/quarantine_page.hpp>
+#include <greengagedrum/entry/quarantine_endpoint.hpp>
 
 #include <nlohmann/json.hpp>
 
@@ -48,14 +48,15 @@
 
 } // namespace
 
-bool is_quarantine_question(const relay::small_question& asked)
+bool is_quarantine_request(const relay::small_question& asked)
 {
     return asked.target == list_target ||
            asked.target.starts_with(release_target);
 }
 
-relay::small_answer answer_quarantine(shared_state& state,
-                                      const relay::small_question& asked)
+relay::small_answer
+answer_quarantine_request(shared_state& state,
+                          const relay::small_question& asked)
 {
     if (asked.target == list_target)
         return list(state);
--- a/src/greengagedrum/entry/quarantine_page.hpp
+++ b/src/greengagedrum/entry/quarantine_endpoint.hpp
@@ -10,9 +10,10 @@
 namespace greengagedrum::entry
 {
 
-bool is_quarantine_question(const relay::small_question& asked);
+bool is_quarantine_request(const relay::small_question& asked);
 
-relay::small_answer answer_quarantine(shared_state& state,
-                                      const relay::small_question& asked);
+relay::small_answer
+answer_quarantine_request(shared_state& state,
+                          const relay::small_question& asked);
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/test/quarantine_page_test.cpp
+++ b/src/greengagedrum/entry/test/quarantine_endpoint_test.cpp
@@ -1,5 +1,5 @@
 // What operators see of quarantined requests.
-#include <greengagedrum/entry/quarantine_page.hpp>
+#include <greengagedrum/entry/quarantine_endpoint.hpp>
 
 #include <doctest/doctest.h>
 
@@ -37,8 +37,8 @@
     relay::small_answer ask(std::string_view method, const std::string& target)
     {
         const relay::small_question asked{method, target};
-        REQUIRE(is_quarantine_question(asked));
-        return answer_quarantine(this->state, asked);
+        REQUIRE(is_quarantine_request(asked));
+        return answer_quarantine_request(this->state, asked);
     }
 };
 
