--- a/src/greengagedrum/entry/crash_suspect_log.cpp
+++ b/src/greengagedrum/entry/crash_suspect_log.cpp
@@ -1,5 +1,5 @@
 #include <greengagedrum/entry/crash_suspect_log.hpp>
-#include <greengagedrum/entry/milliseconds.hpp>
+#include <greengagedrum/entry/to_milliseconds.hpp>
 
 #include <algorithm>
 
@@ -50,7 +50,7 @@
                     {{"digest", base::to_hex(change.request)},
                      {"workspace", workspace_name(state, change.workspace)},
                      {"crashes", change.crashes},
-                     {"pause_ms", milliseconds(pause)},
+                     {"pause_ms", to_milliseconds(pause)},
                      {"source", source}});
 }
 
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -1,6 +1,6 @@
 // How requests count against the limits of their workspaces.
-#include <greengagedrum/entry/milliseconds.hpp>
 #include <greengagedrum/entry/request_handler.hpp>
+#include <greengagedrum/entry/to_milliseconds.hpp>
 
 namespace greengagedrum::entry
 {
@@ -75,7 +75,7 @@
                            {"bound", seen.bound},
                            {"absent_share", seen.absent_share},
                            {"window_known", seen.window_known},
-                           {"retry_after_ms", milliseconds(retry_after)}});
+                           {"retry_after_ms", to_milliseconds(retry_after)}});
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -1,7 +1,7 @@
 // Requests that are placed for other entries, and own ones that another entry
 // places.
-#include <greengagedrum/entry/milliseconds.hpp>
 #include <greengagedrum/entry/request_handler.hpp>
+#include <greengagedrum/entry/to_milliseconds.hpp>
 
 namespace greengagedrum::entry
 {
--- a/src/greengagedrum/entry/quarantine_endpoint.cpp
+++ b/src/greengagedrum/entry/quarantine_endpoint.cpp
@@ -1,6 +1,6 @@
 #include <greengagedrum/entry/crash_suspect_log.hpp>
-#include <greengagedrum/entry/milliseconds.hpp>
 #include <greengagedrum/entry/quarantine_endpoint.hpp>
+#include <greengagedrum/entry/to_milliseconds.hpp>
 
 #include <nlohmann/json.hpp>
 
@@ -22,12 +22,13 @@
         state.scheduler.crash_suspects();
     nlohmann::json out = nlohmann::json::array();
     for (const quarantine::standing_change& one : suspects.barred(now))
-        out.push_back({{"digest", base::to_hex(one.request)},
-                       {"workspace", workspace_name(state, one.workspace)},
-                       {"standing", quarantine::to_string(one.now)},
-                       {"crashes", one.crashes},
-                       {"pause_ms",
-                        milliseconds(suspects.pause_left(one.request, now))}});
+        out.push_back(
+            {{"digest", base::to_hex(one.request)},
+             {"workspace", workspace_name(state, one.workspace)},
+             {"standing", quarantine::to_string(one.now)},
+             {"crashes", one.crashes},
+             {"pause_ms",
+              to_milliseconds(suspects.pause_left(one.request, now))}});
     return {relay::status_ok, "application/json", out.dump() + "\n"};
 }
 
--- a/src/greengagedrum/entry/request_handler.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -1,5 +1,5 @@
-#include <greengagedrum/entry/milliseconds.hpp>
 #include <greengagedrum/entry/request_handler.hpp>
+#include <greengagedrum/entry/to_milliseconds.hpp>
 #include <greengagedrum/placement/seconds.hpp>
 #include <greengagedrum/relay/small_server.hpp>
 
@@ -211,7 +211,7 @@
          {"workspace", request.origin.workspace},
          {"priority", request.facts.priority},
          {"prompt_tokens", request.facts.prompt_tokens},
-         {"time_left_ms", milliseconds(request.facts.time_left)},
+         {"time_left_ms", to_milliseconds(request.facts.time_left)},
          {"config_version", this->state.cluster.configuration_version()},
          {"cost", request.cost},
          {"limit_level",
@@ -254,7 +254,7 @@
          {"why", what.reason},
          {"config_version", this->state.cluster.configuration_version()},
          {"retry_after_ms",
-          milliseconds(what.retry_after.value_or(base::duration(0)))}});
+          to_milliseconds(what.retry_after.value_or(base::duration(0)))}});
     from->answer(what);
 }
 
@@ -292,7 +292,7 @@
         "caller_left",
         {{"request", http_exchange->source().marks.attempt},
          {"after_ms",
-          milliseconds(this->state.clock() - request->second.arrived)}});
+          to_milliseconds(this->state.clock() - request->second.arrived)}});
     http_exchange->abandon();
     if (!request->second.sent_at)
         this->refund_cost(request->second);
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -1,7 +1,7 @@
 // How facts about requests reach the scheduler, and its orders the sockets.
 #include <greengagedrum/entry/crash_suspect_log.hpp>
-#include <greengagedrum/entry/milliseconds.hpp>
 #include <greengagedrum/entry/request_handler.hpp>
+#include <greengagedrum/entry/to_milliseconds.hpp>
 #include <greengagedrum/relay/connect_check.hpp>
 
 #include <algorithm>
@@ -136,13 +136,13 @@
         {{"request", http_exchange->source().marks.attempt},
          {"send", order.send},
          {"upstream", to->name},
-         {"waited_ms", milliseconds(order.why.waited)},
+         {"waited_ms", to_milliseconds(order.why.waited)},
          {"own", order.why.own},
          {"others", order.why.others},
          {"places", order.why.places},
-         {"told_age_ms", milliseconds(order.why.told_age)},
-         {"expected_ms", milliseconds(order.why.first_event)},
-         {"gap_ms", milliseconds(order.why.gap)},
+         {"told_age_ms", to_milliseconds(order.why.told_age)},
+         {"expected_ms", to_milliseconds(order.why.first_event)},
+         {"gap_ms", to_milliseconds(order.why.gap)},
          {"suits", order.why.suits},
          {"store_revision", this->state.cluster.store_revision()}});
     http_exchange->send(order.send, *to, order.end_at - now);
@@ -243,11 +243,11 @@
             "request_answered",
             {{"request", http_exchange->source().marks.attempt},
              {"status", http_exchange->status()},
-             {"total_ms", milliseconds(total)},
-             {"first_ms", milliseconds(first - request.arrived)},
-             {"longest_gap_ms", milliseconds(request.longest_gap)},
-             {"objective_ms", milliseconds(request.objective)},
-             {"gap_objective_ms", milliseconds(request.gap_objective)},
+             {"total_ms", to_milliseconds(total)},
+             {"first_ms", to_milliseconds(first - request.arrived)},
+             {"longest_gap_ms", to_milliseconds(request.longest_gap)},
+             {"objective_ms", to_milliseconds(request.objective)},
+             {"gap_objective_ms", to_milliseconds(request.gap_objective)},
              {"in_time", ended.in_time}});
     else
         this->state.log.write(
@@ -257,10 +257,11 @@
             {{"request", http_exchange->source().marks.attempt},
              {"verdict", base::to_string(failed->run)},
              {"why", base::to_string(failed->why)},
-             {"total_ms", milliseconds(total)},
+             {"total_ms", to_milliseconds(total)},
              {"waiting", this->state.scheduler.waiting()},
              {"retry_after_ms",
-              milliseconds(failed->retry_after.value_or(base::duration(0)))}});
+              to_milliseconds(
+                  failed->retry_after.value_or(base::duration(0)))}});
     this->by_caller.erase(http_exchange->from().get());
     this->sent_to.erase(id);
     this->requests.erase(found);
@@ -281,7 +282,7 @@
          {"digest", base::to_hex(request.digest)},
          {"send", what.send},
          {"upstream", request.upstream},
-         {"ran_ms", milliseconds(now - request.last_sent_at)},
+         {"ran_ms", to_milliseconds(now - request.last_sent_at)},
          {"status", what.status},
          {"events", what.events},
          {"why", what.why}});
--- a/src/greengagedrum/entry/milliseconds.hpp
+++ b/src/greengagedrum/entry/to_milliseconds.hpp
@@ -6,7 +6,7 @@
 namespace greengagedrum::entry
 {
 
-inline double milliseconds(base::duration value)
+inline double to_milliseconds(base::duration value)
 {
     return static_cast<double>(value.count()) / 1000;
 }
