--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -47,8 +47,8 @@
 
 } // namespace
 
-entry::entry(const settings& given, reload read_again)
-    : own(given), read_again(std::move(read_again)),
+entry::entry(const settings& given, settings_loader load_settings)
+    : own_settings(given), load_settings(std::move(load_settings)),
       began(std::chrono::steady_clock::now()),
       state{loop_clock(this->began),
             cluster_state(),
@@ -174,14 +174,15 @@
 
 void entry::run()
 {
-    logs::write(logs::level::info,
-                "entry",
-                "started",
-                {{"instance", this->own.instance},
-                 {"data_centre", this->own.data_centre},
-                 {"callers", base::to_string(this->own.caller_address)},
-                 {"store", base::to_string(this->own.store_address)},
-                 {"life", this->life.value}});
+    logs::write(
+        logs::level::info,
+        "entry",
+        "started",
+        {{"instance", this->own_settings.instance},
+         {"data_centre", this->own_settings.data_centre},
+         {"callers", base::to_string(this->own_settings.caller_address)},
+         {"store", base::to_string(this->own_settings.store_address)},
+         {"life", this->life.value}});
     this->signals.async_wait([this](relay::error_code fault, int number) {
         if (!fault)
             this->on_signal(number);
@@ -198,12 +199,15 @@
 
 void entry::apply_bounds()
 {
-    this->state.limiter.set_tolerance({this->own.bounds.usage_window,
-                                       this->own.bounds.usage_overshoot,
-                                       this->own.bounds.usage_slack});
-    this->state.scheduler.set_retry_bounds(retry_bounds_of(this->own.bounds));
+    this->state.limiter.set_tolerance(
+        {this->own_settings.bounds.usage_window,
+         this->own_settings.bounds.usage_overshoot,
+         this->own_settings.bounds.usage_slack});
+    this->state.scheduler.set_retry_bounds(
+        retry_bounds_of(this->own_settings.bounds));
     if (this->store)
-        this->store->set_update_bound(this->own.bounds.shortest_update_delay());
+        this->store->set_update_bound(
+            this->own_settings.bounds.shortest_update_delay());
     this->apply_slow_start();
 }
 
@@ -213,7 +217,8 @@
     if (!routes)
         return;
     const traffic::slow_start_tolerance tolerance{
-        this->own.bounds.warmup_overshoot, this->own.bounds.warmup_slack};
+        this->own_settings.bounds.warmup_overshoot,
+        this->own_settings.bounds.warmup_slack};
     for (const routing::service& one : routes->source().services)
         this->state.scheduler.set_slow_start(
             one.id,
--- a/src/greengagedrum/entry/entry.hpp
+++ b/src/greengagedrum/entry/entry.hpp
@@ -26,9 +26,9 @@
 public:
     // Reads the settings anew; empty when they can't be read or have not
     // changed. It logs its own faults.
-    using reload = std::function<std::optional<settings>()>;
+    using settings_loader = std::function<std::optional<settings>()>;
 
-    entry(const settings& given, reload read_again);
+    entry(const settings& given, settings_loader load_settings);
 
     // Serves until it is told to stop and has done what it took on.
     void run();
@@ -65,8 +65,8 @@
     std::string metrics_text() const;
     bool ready() const;
 
-    settings own;
-    reload read_again;
+    settings own_settings;
+    settings_loader load_settings;
     relay::asio::io_context context{1};
     std::chrono::steady_clock::time_point began;
     shared_state state;
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -202,11 +202,11 @@
 
 void entry::check_settings()
 {
-    const auto changed = this->read_again();
+    const auto changed = this->load_settings();
     if (!changed)
         return;
-    this->own.bounds = changed->bounds;
-    this->own.seeds = changed->seeds;
+    this->own_settings.bounds = changed->bounds;
+    this->own_settings.seeds = changed->seeds;
     this->state.regions = changed->regions;
     this->apply_bounds();
     this->peers->reseed(*changed);
@@ -258,7 +258,7 @@
     }
     const bool done = !this->accepting && this->handler->in_flight() == 0 &&
                       this->handler->open_connections() == 0;
-    if (done || passed >= this->own.bounds.stop_timeout - stop_margin)
+    if (done || passed >= this->own_settings.bounds.stop_timeout - stop_margin)
         this->context.stop();
 }
 
--- a/src/programs/greengagedrum_entry.cpp
+++ b/src/programs/greengagedrum_entry.cpp
@@ -58,7 +58,7 @@
     {
     }
 
-    std::optional<entry::settings> read_again()
+    std::optional<entry::settings> read_if_changed()
     {
         std::string text = text_of(this->path);
         if (text == this->seen)
@@ -88,7 +88,7 @@
     const logs::output lines(options.log_level, STDOUT_FILENO);
     settings_watch watch(path, options.metrics_port);
     try {
-        entry::entry self(given, [&watch] { return watch.read_again(); });
+        entry::entry self(given, [&watch] { return watch.read_if_changed(); });
         self.run();
         return EXIT_SUCCESS;
     } catch (const std::exception& fault) {
