--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -22,7 +22,7 @@
 // takes about 5.5 KiB.
 constexpr std::size_t series_most = 256;
 
-base::incarnation new_life()
+base::incarnation new_incarnation()
 {
     constexpr unsigned random_bits = 24;
     std::random_device device;
@@ -49,8 +49,8 @@
 
 entry::entry(const settings& given, settings_loader load_settings)
     : own_settings(given), load_settings(std::move(load_settings)),
-      began(std::chrono::steady_clock::now()),
-      state{loop_clock(this->began),
+      started_at(std::chrono::steady_clock::now()),
+      state{loop_clock(this->started_at),
             cluster_state(),
             quota::usage_limiter(base::instant(epoch)),
             traffic::scheduler(
@@ -61,28 +61,28 @@
             false,
             false,
             given.regions},
-      life(new_life()), timer(this->context),
+      incarnation(new_incarnation()), timer(this->context),
       signals(this->context, SIGTERM, SIGINT, SIGHUP)
 {
     this->apply_bounds();
-    this->store_answered_at = this->state.clock();
-    this->ticked_at = this->state.clock();
-    this->suspended = suspended_time();
+    this->last_store_answer = this->state.clock();
+    this->last_tick = this->state.clock();
+    this->total_suspended = suspended_time();
     this->handler = std::make_unique<request_handler>(
         this->context, given.caller_address, this->state);
     this->handler->on_load_changed = [this] {
         if (this->peers)
             this->peers->tell_soon();
     };
-    this->peer_datagrams =
+    this->peer_datagram_socket =
         std::make_unique<peer_socket>(this->context, given.ip, given.peer_port);
     this->peers =
         std::make_unique<peer_link>(given,
-                                    this->life,
+                                    this->incarnation,
                                     this->state,
-                                    this->told_by_peers(),
-                                    this->peer_datagrams->transport());
-    this->peer_datagrams->begin(
+                                    this->make_peer_events(),
+                                    this->peer_datagram_socket->transport());
+    this->peer_datagram_socket->begin(
         [this](std::string_view bytes, const std::string& from) {
             this->peers->on_message(bytes, from);
         },
@@ -91,10 +91,10 @@
     store_told.items_received = [this](const routing::item_list& items,
                                        std::uint64_t as_of,
                                        bool whole) {
-        this->on_news(items, as_of, whole, "store");
+        this->on_store_items(items, as_of, whole, "store");
     };
     store_told.page_received = [this](const routing::item_list& items) {
-        this->apply(
+        this->apply_changes(
             this->state.cluster.apply(items, 0, false, this->state.clock()),
             "store");
     };
@@ -108,21 +108,21 @@
     this->store = std::make_unique<store_reader>(
         this->context, given.store_address, std::move(store_told));
     this->store->set_update_bound(given.bounds.shortest_update_delay());
-    this->readiness = std::make_unique<relay::small_server>(
+    this->readiness_server = std::make_unique<relay::small_server>(
         this->context,
         given.readiness_address,
         this->state.clock,
         [this](const relay::small_question&) {
             return this->answer_readiness();
         });
-    this->control = std::make_unique<relay::small_server>(
+    this->control_server = std::make_unique<relay::small_server>(
         this->context,
         given.control_address,
         this->state.clock,
         [this](const relay::small_question& asked) {
             return this->answer_control(asked.target);
         });
-    this->metrics = std::make_unique<relay::small_server>(
+    this->metrics_server = std::make_unique<relay::small_server>(
         this->context,
         given.metrics_address,
         this->state.clock,
@@ -136,13 +136,13 @@
         });
 }
 
-peer_events entry::told_by_peers()
+peer_events entry::make_peer_events()
 {
     peer_events out;
     out.load_changed = [this] { this->handler->place_waiting_requests(); };
     out.items = [this](const gossip::item_transfer& got) {
-        this->apply(this->state.cluster.apply(got, this->state.clock()),
-                    "peer");
+        this->apply_changes(this->state.cluster.apply(got, this->state.clock()),
+                            "peer");
         this->end_pause("peer");
         this->store->skip_to_revision(this->state.cluster.store_revision());
     };
@@ -182,7 +182,7 @@
          {"data_centre", this->own_settings.data_centre},
          {"callers", base::to_string(this->own_settings.caller_address)},
          {"store", base::to_string(this->own_settings.store_address)},
-         {"life", this->life.value}});
+         {"life", this->incarnation.value}});
     this->signals.async_wait([this](relay::error_code fault, int number) {
         if (!fault)
             this->on_signal(number);
@@ -208,10 +208,10 @@
     if (this->store)
         this->store->set_update_bound(
             this->own_settings.bounds.shortest_update_delay());
-    this->apply_slow_start();
+    this->apply_slow_start_limits();
 }
 
-void entry::apply_slow_start()
+void entry::apply_slow_start_limits()
 {
     const routing::route_table_ptr& routes = this->state.cluster.routes();
     if (!routes)
@@ -248,9 +248,9 @@
         return {503, "text/plain", "no such question\n"};
     gossip::item_transfer out =
         asked->life ? this->state.cluster.items_after_change(
-                          *asked->life == this->life ? asked->number : 0)
+                          *asked->life == this->incarnation ? asked->number : 0)
                     : this->state.cluster.items_after_revision(asked->number);
-    out.life = this->life;
+    out.life = this->incarnation;
     return {200, "application/octet-stream", gossip::encode(out)};
 }
 
@@ -262,7 +262,7 @@
     };
     const base::instant now = this->state.clock();
     set(telemetry::gauge::config_age_seconds,
-        placement::seconds_of(now - this->store_answered_at));
+        placement::seconds_of(now - this->last_store_answer));
     set(telemetry::gauge::config_revision,
         static_cast<double>(this->state.cluster.configuration_revision()));
     set(telemetry::gauge::requests_waiting,
--- a/src/greengagedrum/entry/entry.hpp
+++ b/src/greengagedrum/entry/entry.hpp
@@ -42,24 +42,24 @@
     }
 
 private:
-    peer_events told_by_peers();
+    peer_events make_peer_events();
     void on_signal(int number);
     void begin_stop(int number);
     void check_stop();
     void schedule_tick();
     void tick();
-    void notice_pause(base::instant now);
+    void detect_pause(base::instant now);
     void end_pause(const char* why);
     void check_settings();
-    void on_news(const routing::item_list& items,
-                 std::uint64_t as_of,
-                 bool whole,
-                 const char* source);
-    void apply(const cluster_changes& changes, const char* source);
+    void on_store_items(const routing::item_list& items,
+                        std::uint64_t as_of,
+                        bool whole,
+                        const char* source);
+    void apply_changes(const cluster_changes& changes, const char* source);
     void on_store_failed(const std::string& why);
     void on_store_answered();
     void apply_bounds();
-    void apply_slow_start();
+    void apply_slow_start_limits();
     relay::small_answer answer_control(std::string_view target) const;
     relay::small_answer answer_readiness() const;
     std::string metrics_text() const;
@@ -68,27 +68,28 @@
     settings own_settings;
     settings_loader load_settings;
     relay::asio::io_context context{1};
-    std::chrono::steady_clock::time_point began;
+    std::chrono::steady_clock::time_point started_at;
     shared_state state;
-    base::incarnation life;
+    base::incarnation incarnation;
     relay::asio::steady_timer timer;
     boost::asio::signal_set signals;
     std::unique_ptr<request_handler> handler;
-    std::unique_ptr<peer_socket> peer_datagrams;
+    std::unique_ptr<peer_socket> peer_datagram_socket;
     std::unique_ptr<peer_link> peers;
     std::unique_ptr<store_reader> store;
-    std::unique_ptr<relay::small_server> readiness;
-    std::unique_ptr<relay::small_server> control;
-    std::unique_ptr<relay::small_server> metrics;
-    base::instant store_answered_at;
-    base::instant ticked_at;
-    base::instant swept_at;
-    base::instant settings_read_at;
-    base::duration suspended{0}; // clock of the machine over that of the loop
-    std::optional<base::instant> paused_at;
-    std::optional<base::instant> stop_begun_at;
-    bool accepting = true;
-    bool store_away = false;
+    std::unique_ptr<relay::small_server> readiness_server;
+    std::unique_ptr<relay::small_server> control_server;
+    std::unique_ptr<relay::small_server> metrics_server;
+    base::instant last_store_answer;
+    base::instant last_tick;
+    base::instant last_timeout_check;
+    base::instant last_settings_check;
+    base::duration total_suspended{
+        0}; // clock of the machine over that of the loop
+    std::optional<base::instant> pause_detected_at;
+    std::optional<base::instant> stop_started_at;
+    bool accepting_connections = true;
+    bool store_unreachable = false;
 };
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -34,18 +34,18 @@
 
 // ---- News -----------------------------------------------------------------
 
-void entry::on_news(const routing::item_list& items,
-                    std::uint64_t as_of,
-                    bool whole,
-                    const char* source)
+void entry::on_store_items(const routing::item_list& items,
+                           std::uint64_t as_of,
+                           bool whole,
+                           const char* source)
 {
-    this->apply(
+    this->apply_changes(
         this->state.cluster.apply(items, as_of, whole, this->state.clock()),
         source);
     this->end_pause(source);
 }
 
-void entry::apply(const cluster_changes& changes, const char* source)
+void entry::apply_changes(const cluster_changes& changes, const char* source)
 {
     const base::instant now = this->state.clock();
     if (!changes.unreadable_items.empty())
@@ -59,7 +59,7 @@
         const routing::configuration& config =
             this->state.cluster.routes()->source();
         this->state.limiter.set_limits(config, now);
-        this->apply_slow_start();
+        this->apply_slow_start_limits();
         logs::write(logs::level::info,
                     "cluster_state",
                     "configuration_in_force",
@@ -101,9 +101,9 @@
 {
     const base::instant now = this->state.clock();
     this->state.cluster.on_store_failed(now);
-    if (this->store_away)
+    if (this->store_unreachable)
         return;
-    this->store_away = true;
+    this->store_unreachable = true;
     logs::write(
         logs::level::warning, "store", "dependency_lost", {{"why", why}});
 }
@@ -113,16 +113,16 @@
     const base::instant now = this->state.clock();
     this->state.cluster.on_store_answered(now);
     this->peers->store_answered();
-    if (this->store_away)
+    if (this->store_unreachable)
         logs::write(
             logs::level::info,
             "store",
             "dependency_regained",
             {{"after_ms",
-              static_cast<double>((now - this->store_answered_at).count()) /
+              static_cast<double>((now - this->last_store_answer).count()) /
                   1000}});
-    this->store_away = false;
-    this->store_answered_at = now;
+    this->store_unreachable = false;
+    this->last_store_answer = now;
 }
 
 // ---- Time -----------------------------------------------------------------
@@ -145,22 +145,22 @@
 void entry::tick()
 {
     const base::instant now = this->state.clock();
-    this->notice_pause(now);
-    this->ticked_at = now;
-    this->apply(this->state.cluster.expire(now), "lapse");
+    this->detect_pause(now);
+    this->last_tick = now;
+    this->apply_changes(this->state.cluster.expire(now), "lapse");
     this->handler->tick();
     this->peers->tick(this->store->failing());
-    if (now - this->swept_at >= sweep_period) {
-        this->swept_at = now;
-        this->readiness->check_time(now);
-        this->control->check_time(now);
-        this->metrics->check_time(now);
+    if (now - this->last_timeout_check >= sweep_period) {
+        this->last_timeout_check = now;
+        this->readiness_server->check_time(now);
+        this->control_server->check_time(now);
+        this->metrics_server->check_time(now);
     }
-    if (now - this->settings_read_at >= settings_period) {
-        this->settings_read_at = now;
+    if (now - this->last_settings_check >= settings_period) {
+        this->last_settings_check = now;
         this->check_settings();
     }
-    if (this->stop_begun_at)
+    if (this->stop_started_at)
         this->check_stop();
 }
 
@@ -168,14 +168,14 @@
 // on waking it acts on what it believed before: it sends to upstreams that
 // have left, by routes that were moved. Nothing is sent until the store or a
 // peer has told anew.
-void entry::notice_pause(base::instant now)
+void entry::detect_pause(base::instant now)
 {
     const base::duration asleep = suspended_time();
-    const bool late = now - this->ticked_at > pause_least;
-    const bool was_suspended = asleep - this->suspended > pause_least;
-    this->suspended = asleep;
+    const bool late = now - this->last_tick > pause_least;
+    const bool was_suspended = asleep - this->total_suspended > pause_least;
+    this->total_suspended = asleep;
     if (late || was_suspended) {
-        this->paused_at = now;
+        this->pause_detected_at = now;
         this->state.scheduler.hold(true);
         this->store->poll_now();
         logs::write(
@@ -183,18 +183,18 @@
             "entry",
             "pause_noticed",
             {{"late_ms",
-              static_cast<double>((now - this->ticked_at).count()) / 1000},
+              static_cast<double>((now - this->last_tick).count()) / 1000},
              {"suspended", was_suspended}});
     }
-    if (this->paused_at && now - *this->paused_at > pause_most)
+    if (this->pause_detected_at && now - *this->pause_detected_at > pause_most)
         this->end_pause("time");
 }
 
 void entry::end_pause(const char* why)
 {
-    if (!this->paused_at)
+    if (!this->pause_detected_at)
         return;
-    this->paused_at.reset();
+    this->pause_detected_at.reset();
     this->state.scheduler.hold(false);
     logs::write(logs::level::info, "entry", "pause_over", {{"why", why}});
     this->handler->tick();
@@ -219,7 +219,7 @@
 {
     if (number == SIGHUP)
         this->check_settings();
-    else if (!this->stop_begun_at)
+    else if (!this->stop_started_at)
         this->begin_stop(number);
     this->signals.async_wait([this](relay::error_code fault, int next) {
         if (!fault)
@@ -230,14 +230,14 @@
 void entry::stop()
 {
     relay::asio::post(this->context, [this] {
-        if (!this->stop_begun_at)
+        if (!this->stop_started_at)
             this->begin_stop(SIGTERM);
     });
 }
 
 void entry::begin_stop(int number)
 {
-    this->stop_begun_at = this->state.clock();
+    this->stop_started_at = this->state.clock();
     this->state.stopping = true;
     this->handler->begin_stop();
     this->peers->begin_stop();
@@ -251,12 +251,13 @@
 void entry::check_stop()
 {
     const base::instant now = this->state.clock();
-    const base::duration passed = now - *this->stop_begun_at;
-    if (passed >= accept_after_stop && this->accepting) {
-        this->accepting = false;
+    const base::duration passed = now - *this->stop_started_at;
+    if (passed >= accept_after_stop && this->accepting_connections) {
+        this->accepting_connections = false;
         this->handler->stop_accepting();
     }
-    const bool done = !this->accepting && this->handler->in_flight() == 0 &&
+    const bool done = !this->accepting_connections &&
+                      this->handler->in_flight() == 0 &&
                       this->handler->open_connections() == 0;
     if (done || passed >= this->own_settings.bounds.stop_timeout - stop_margin)
         this->context.stop();
