--- a/src/greengagedrum/entry/test/containment_test.cpp
+++ b/src/greengagedrum/entry/test/containment_test.cpp
@@ -18,12 +18,12 @@
 public:
     mortal_upstreams()
     {
-        for (stand_in& one : this->all) {
+        for (fake_http_server& one : this->all) {
             one.server.Post(
                 ".*",
                 [&](const httplib::Request& asked, httplib::Response& given) {
                     if (asked.body == "sound")
-                        return entry_fixture::signed_answer(
+                        return entry_fixture::write_signed_answer(
                             asked, given, "answer");
                     if (asked.body == "deadly") {
                         this->ended += 1;
@@ -43,16 +43,16 @@
     int connections_reset() const { return this->reset; }
 
 protected:
-    entry_options published() const
+    fixture_options published() const
     {
-        entry_options out;
-        for (const stand_in& one : this->all)
+        fixture_options out;
+        for (const fake_http_server& one : this->all)
             out.upstream_ports.push_back(one.port);
         return out;
     }
 
 private:
-    std::array<stand_in, 5> all;
+    std::array<fake_http_server, 5> all;
     std::atomic<int> ended = 0;
     std::atomic<int> reset = 0;
 };
--- a/src/greengagedrum/entry/test/dispatch_test.cpp
+++ b/src/greengagedrum/entry/test/dispatch_test.cpp
@@ -171,7 +171,7 @@
     REQUIRE(got);
     CHECK(got->status == 429);
     CHECK(std::stod(got->get_header_value("Retry-After")) == 3);
-    CHECK(this->received().empty());
+    CHECK(this->received_requests().empty());
     this->fall_silent();
 }
 
@@ -190,7 +190,7 @@
     killer.join();
     REQUIRE(got);
     CHECK(got->status == 200);
-    CHECK(this->received().size() == 1);
+    CHECK(this->received_requests().size() == 1);
 }
 
 // Three requests wait for a dispatcher that dies, and of the workspace's limit
@@ -222,7 +222,7 @@
         one.join();
     CHECK(answered == 1);
     CHECK(limited == 2);
-    CHECK(this->received().size() == 1);
+    CHECK(this->received_requests().size() == 1);
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/test/entry_fixture.cpp
+++ b/src/greengagedrum/entry/test/entry_fixture.cpp
@@ -64,7 +64,7 @@
                {"burst", limit_per_second}}}}};
 }
 
-settings settings_for(int store_port, const entry_options& wanted)
+settings settings_for(int store_port, const fixture_options& wanted)
 {
     settings out;
     out.instance = "entry-1";
@@ -82,14 +82,14 @@
 
 } // namespace
 
-stand_in::stand_in()
+fake_http_server::fake_http_server()
 {
     this->server.set_tcp_nodelay(true);
     // Its stop waits for kept connections.
     this->server.set_keep_alive_timeout(1);
 }
 
-void stand_in::start()
+void fake_http_server::start()
 {
     this->port = this->server.bind_to_any_port("127.0.0.1");
     this->thread = std::thread([this] { this->server.listen_after_bind(); });
@@ -97,19 +97,19 @@
         std::this_thread::sleep_for(1ms);
 }
 
-void stand_in::stop()
+void fake_http_server::stop()
 {
     this->server.stop();
     if (this->thread.joinable())
         this->thread.join();
 }
 
-stand_in::~stand_in()
+fake_http_server::~fake_http_server()
 {
     this->stop();
 }
 
-entry_fixture::entry_fixture(const entry_options& wanted)
+entry_fixture::entry_fixture(const fixture_options& wanted)
 {
     const auto take = [this](const httplib::Request& asked,
                              httplib::Response& given) {
@@ -117,45 +117,46 @@
         {
             const std::lock_guard lock(this->mutex);
             this->requests.push_back(asked);
-            chosen = this->upstream;
+            chosen = this->upstream_handler;
         }
         chosen(asked, given);
         const std::lock_guard lock(this->mutex);
     };
-    this->engine.server.Post(".*", take);
-    this->engine.server.Get(".*", take);
-    this->engine.start();
+    this->upstream_server.server.Post(".*", take);
+    this->upstream_server.server.Get(".*", take);
+    this->upstream_server.start();
     this->publish(wanted);
-    this->store.start();
-    this->tested = std::make_unique<entry>(
-        settings_for(this->store.port, wanted), [] { return std::nullopt; });
-    this->thread = std::thread([this] { this->tested->run(); });
+    this->store_server.start();
+    this->entry_under_test =
+        std::make_unique<entry>(settings_for(this->store_server.port, wanted),
+                                [] { return std::nullopt; });
+    this->thread = std::thread([this] { this->entry_under_test->run(); });
     this->wait_until_configured();
     const std::lock_guard lock(this->mutex);
 }
 
 entry_fixture::~entry_fixture()
 {
-    this->tested->stop();
+    this->entry_under_test->stop();
     this->thread.join();
-    this->engine.stop();
-    this->store.stop();
+    this->upstream_server.stop();
+    this->store_server.stop();
     const std::lock_guard lock(this->mutex);
 }
 
-void entry_fixture::answer_with(handler what)
+void entry_fixture::set_upstream_handler(handler what)
 {
     const std::lock_guard lock(this->mutex);
-    this->upstream = std::move(what);
+    this->upstream_handler = std::move(what);
 }
 
-void entry_fixture::publish(const entry_options& wanted)
+void entry_fixture::publish(const fixture_options& wanted)
 {
     json entries = {
         item("op/config", configuration(wanted.limit_per_second), 1)};
     std::vector<int> ports = wanted.upstream_ports;
     if (ports.empty())
-        ports = {this->engine.port};
+        ports = {this->upstream_server.port};
     for (std::size_t at = 0; at < ports.size(); ++at)
         entries.push_back(
             item("servers/i-" + std::to_string(at + 1),
@@ -170,11 +171,11 @@
                  2));
     const std::string page =
         json{{"entries", entries}, {"hasMore", false}, {"at", 2}}.dump();
-    this->store.server.Get(
+    this->store_server.server.Get(
         "/kv-range", [page](const httplib::Request&, httplib::Response& given) {
             given.set_content(page, "application/json");
         });
-    this->store.server.Get(
+    this->store_server.server.Get(
         "/kv-watch",
         [this](const httplib::Request& asked, httplib::Response& given) {
             std::this_thread::sleep_for(20ms);
@@ -188,7 +189,7 @@
         });
 }
 
-void entry_fixture::evacuate(bool evacuated)
+void entry_fixture::set_evacuated(bool evacuated)
 {
     const std::lock_guard lock(this->mutex);
     this->store_revision += 1;
@@ -213,9 +214,9 @@
     FAIL("the entry has no configuration");
 }
 
-void entry_fixture::signed_answer(const httplib::Request& asked,
-                                  httplib::Response& given,
-                                  const std::string& body)
+void entry_fixture::write_signed_answer(const httplib::Request& asked,
+                                        httplib::Response& given,
+                                        const std::string& body)
 {
     given.set_header("X-Attempt-Id", asked.get_header_value("X-Attempt-Id"));
     given.set_header("X-Response-Signature", "signed");
@@ -232,17 +233,18 @@
 
 httplib::Client entry_fixture::client() const
 {
-    const base::ip_endpoint address = this->tested->caller_address();
+    const base::ip_endpoint address = this->entry_under_test->caller_address();
     httplib::Client out(address.ip, address.port);
     out.set_keep_alive(false);
     return out;
 }
 
-std::string entry_fixture::raw_exchange(const std::string& bytes) const
+std::string entry_fixture::send_raw(const std::string& bytes) const
 {
     relay::asio::io_context context;
     relay::tcp::socket socket(context);
-    socket.connect(relay::tcp_endpoint(this->tested->caller_address()));
+    socket.connect(
+        relay::tcp_endpoint(this->entry_under_test->caller_address()));
     relay::asio::write(socket, relay::asio::buffer(bytes));
     std::string out;
     std::array<char, 4096> piece{};
@@ -255,7 +257,7 @@
     return out;
 }
 
-std::vector<httplib::Request> entry_fixture::received() const
+std::vector<httplib::Request> entry_fixture::received_requests() const
 {
     const std::lock_guard lock(this->mutex);
     return this->requests;
--- a/src/greengagedrum/entry/test/entry_fixture.hpp
+++ b/src/greengagedrum/entry/test/entry_fixture.hpp
@@ -19,13 +19,13 @@
 {
 
 // An HTTP stand-in on a port of the kernel's choice.
-class stand_in
+class fake_http_server
 {
 public:
-    stand_in();
-    ~stand_in();
-    stand_in(const stand_in&) = delete;
-    stand_in& operator=(const stand_in&) = delete;
+    fake_http_server();
+    ~fake_http_server();
+    fake_http_server(const fake_http_server&) = delete;
+    fake_http_server& operator=(const fake_http_server&) = delete;
 
     httplib::Server server;
     int port = 0;
@@ -38,7 +38,7 @@
 };
 
 // What a test may want of the entry beside the usual.
-struct entry_options {
+struct fixture_options {
     double limit_per_second = 0; // of the workspace, in tokens; 0: none
     std::uint16_t peer_port = 0; // 0: any
     std::vector<base::ip_endpoint> seeds{};
@@ -48,7 +48,7 @@
 class entry_fixture
 {
 public:
-    explicit entry_fixture(const entry_options& wanted = {});
+    explicit entry_fixture(const fixture_options& wanted = {});
     ~entry_fixture();
     entry_fixture(const entry_fixture&) = delete;
     entry_fixture& operator=(const entry_fixture&) = delete;
@@ -57,28 +57,28 @@
         std::function<void(const httplib::Request&, httplib::Response&)>;
 
     // What the upstream does with a request; a signed answer, if not said.
-    void answer_with(handler what);
+    void set_upstream_handler(handler what);
 
-    static void signed_answer(const httplib::Request& asked,
-                              httplib::Response& given,
-                              const std::string& body);
+    static void write_signed_answer(const httplib::Request& asked,
+                                    httplib::Response& given,
+                                    const std::string& body);
 
     // Headers of a proper request.
     static httplib::Headers headers();
 
     httplib::Client client() const;
     // Everything that the caller is sent until its connection closes.
-    std::string raw_exchange(const std::string& bytes) const;
+    std::string send_raw(const std::string& bytes) const;
 
-    std::vector<httplib::Request> received() const;
+    std::vector<httplib::Request> received_requests() const;
 
     // The operator evacuates the data centre, or takes it back.
-    void evacuate(bool evacuated);
+    void set_evacuated(bool evacuated);
 
-    std::unique_ptr<entry> tested;
+    std::unique_ptr<entry> entry_under_test;
 
 private:
-    void publish(const entry_options& wanted);
+    void publish(const fixture_options& wanted);
     void wait_until_configured() const;
 
     // Before the stand-ins, whose threads use them. Handlers take the mutex
@@ -89,12 +89,12 @@
     std::vector<httplib::Request> requests;
     int store_revision = 2;
     std::string store_events; // that watches since the last one get, as JSON
-    handler upstream = [](const httplib::Request& asked,
-                          httplib::Response& given) {
-        signed_answer(asked, given, "answer");
+    handler upstream_handler = [](const httplib::Request& asked,
+                                  httplib::Response& given) {
+        write_signed_answer(asked, given, "answer");
     };
-    stand_in store;
-    stand_in engine;
+    fake_http_server store_server;
+    fake_http_server upstream_server;
     std::thread thread;
 };
 
--- a/src/greengagedrum/entry/test/entry_test.cpp
+++ b/src/greengagedrum/entry/test/entry_test.cpp
@@ -55,7 +55,7 @@
     CHECK(got->status == 200);
     CHECK(got->body == "answer");
     CHECK(got->get_header_value("X-Response-Signature") == "signed");
-    const httplib::Request there = this->received().back();
+    const httplib::Request there = this->received_requests().back();
     CHECK(there.method == "POST");
     CHECK(there.target == "/once/x?q=1");
     CHECK(there.body == "the body");
@@ -73,7 +73,7 @@
     own.emplace("Connection", "X-Attempt-Id");
     auto asked = this->client();
     REQUIRE(asked.Get("/again/", own));
-    const httplib::Request there = this->received().back();
+    const httplib::Request there = this->received_requests().back();
     CHECK(there.get_header_value_count("X-Tenant") == 1);
     CHECK(there.get_header_value("X-Tenant") == "gate");
     CHECK_FALSE(there.has_header("Kv-From"));
@@ -93,9 +93,9 @@
 // came late on its connection. The caller must not be given them.
 TEST_CASE_FIXTURE(entry_fixture, "answer_to_another_request_is_not_passed_on")
 {
-    this->answer_with(
+    this->set_upstream_handler(
         [](const httplib::Request& asked, httplib::Response& given) {
-            signed_answer(asked, given, "another's");
+            write_signed_answer(asked, given, "another's");
             given.headers.erase("X-Attempt-Id");
             given.set_header("X-Attempt-Id", "a-0");
         });
@@ -104,12 +104,12 @@
     REQUIRE(got);
     CHECK(got->status == 502);
     CHECK(got->body.find("another's") == std::string::npos);
-    CHECK(this->received().size() == 1);
+    CHECK(this->received_requests().size() == 1);
 }
 
 TEST_CASE_FIXTURE(entry_fixture, "success_without_signature_is_not_passed_on")
 {
-    this->answer_with(
+    this->set_upstream_handler(
         [](const httplib::Request& asked, httplib::Response& given) {
             given.set_header("X-Attempt-Id",
                              asked.get_header_value("X-Attempt-Id"));
@@ -123,10 +123,11 @@
 // The caller is told so, and when to come back.
 TEST_CASE_FIXTURE(entry_fixture, "request_turned_away_is_refused_as_not_run")
 {
-    this->answer_with([](const httplib::Request&, httplib::Response& given) {
-        given.status = 503;
-        given.set_header("X-Not-Executed", "1");
-    });
+    this->set_upstream_handler(
+        [](const httplib::Request&, httplib::Response& given) {
+            given.status = 503;
+            given.set_header("X-Not-Executed", "1");
+        });
     auto asked = this->client();
     const auto got = asked.Post("/once/", headers(), "", "text/plain");
     REQUIRE(got);
@@ -141,7 +142,7 @@
 TEST_CASE_FIXTURE(entry_fixture, "refusal_of_another_request_is_no_promise")
 {
     for (const int status : {503, 421}) {
-        this->answer_with(
+        this->set_upstream_handler(
             [status](const httplib::Request&, httplib::Response& given) {
                 given.status = status;
                 given.set_header("X-Attempt-Id", "a-0");
@@ -152,14 +153,14 @@
         REQUIRE(got);
         CHECK(got->status == 502);
     }
-    CHECK(this->received().size() == 2);
+    CHECK(this->received_requests().size() == 2);
 }
 
 TEST_CASE_FIXTURE(entry_fixture, "upstreams_own_failure_is_passed_unchanged")
 {
-    this->answer_with(
+    this->set_upstream_handler(
         [](const httplib::Request& asked, httplib::Response& given) {
-            signed_answer(asked, given, "its failure");
+            write_signed_answer(asked, given, "its failure");
             given.status = 500;
         });
     auto asked = this->client();
@@ -172,7 +173,7 @@
 
 TEST_CASE_FIXTURE(entry_fixture, "stream_is_passed_event_by_event_to_its_end")
 {
-    this->answer_with(
+    this->set_upstream_handler(
         [](const httplib::Request& asked, httplib::Response& given) {
             stream_events(asked, given, 1, 20, false);
         });
@@ -188,7 +189,7 @@
 TEST_CASE_FIXTURE(entry_fixture,
                   "stream_cut_and_not_resumed_does_not_look_whole")
 {
-    this->answer_with(
+    this->set_upstream_handler(
         [](const httplib::Request& asked, httplib::Response& given) {
             stream_events(asked, given, 1, 7, true);
         });
@@ -198,39 +199,39 @@
 
 TEST_CASE_FIXTURE(entry_fixture, "requests_sent_ahead_are_answered_in_order")
 {
-    this->answer_with(
+    this->set_upstream_handler(
         [](const httplib::Request& asked, httplib::Response& given) {
-            signed_answer(asked, given, "<" + asked.path + ">");
+            write_signed_answer(asked, given, "<" + asked.path + ">");
         });
     const std::string rest = " HTTP/1.1\r\nHost: hall.example\r\n"
                              "X-Attempt-Id: a-1\r\nApi-Key: key-1\r\n";
     const std::string got =
-        this->raw_exchange("GET /again/1" + rest + "\r\n" + "GET /again/2" +
-                           rest + "Connection: close\r\n\r\n");
+        this->send_raw("GET /again/1" + rest + "\r\n" + "GET /again/2" + rest +
+                       "Connection: close\r\n\r\n");
     CHECK(got.find("</again/1>") < got.find("</again/2>"));
     CHECK(got.find("</again/2>") != std::string::npos);
 }
 
 TEST_CASE_FIXTURE(entry_fixture, "smuggled_request_is_refused_and_not_run")
 {
-    const std::string got = this->raw_exchange(
+    const std::string got = this->send_raw(
         "POST /once/ HTTP/1.1\r\nHost: hall.example\r\nX-Attempt-Id: a-1\r\n"
         "Api-Key: key-1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n"
         "\r\n0\r\n\r\nGET /again/ HTTP/1.1\r\nHost: hall.example\r\n\r\n");
     CHECK(got.starts_with("HTTP/1.1 400"));
     CHECK(got.find("HTTP/1.1", 1) == std::string::npos);
-    CHECK(this->received().empty());
+    CHECK(this->received_requests().empty());
 }
 
 // The entry is told to stop while a request is under way: it is answered whole,
 // and the caller is told that the connection closes.
 TEST_CASE_FIXTURE(entry_fixture, "request_under_way_at_a_stop_is_answered")
 {
-    this->answer_with(
+    this->set_upstream_handler(
         [this](const httplib::Request& asked, httplib::Response& given) {
-            this->tested->stop();
+            this->entry_under_test->stop();
             std::this_thread::sleep_for(200ms);
-            signed_answer(asked, given, "late but whole");
+            write_signed_answer(asked, given, "late but whole");
         });
     auto asked = this->client();
     const auto got = asked.Post("/once/", headers(), "", "text/plain");
@@ -244,8 +245,8 @@
 TEST_CASE_FIXTURE(entry_fixture, "work_of_a_caller_that_left_is_broken_off")
 {
     const auto broken_off = std::make_shared<std::atomic<bool>>(false);
-    this->answer_with([broken_off](const httplib::Request& asked,
-                                   httplib::Response& given) {
+    this->set_upstream_handler([broken_off](const httplib::Request& asked,
+                                            httplib::Response& given) {
         given.set_header("X-Attempt-Id",
                          asked.get_header_value("X-Attempt-Id"));
         given.set_header("X-Response-Signature", "signed");
@@ -264,7 +265,8 @@
     {
         relay::asio::io_context context;
         relay::tcp::socket leaver(context);
-        leaver.connect(relay::tcp_endpoint(this->tested->caller_address()));
+        leaver.connect(
+            relay::tcp_endpoint(this->entry_under_test->caller_address()));
         const std::string text =
             "POST /stream/ HTTP/1.1\r\nHost: hall.example\r\n"
             "X-Attempt-Id: a-1\r\nApi-Key: key-1\r\n"
@@ -298,13 +300,13 @@
         return false;
     };
     CHECK(status().first == 200);
-    this->evacuate(true);
+    this->set_evacuated(true);
     REQUIRE(becomes(503));
-    const std::size_t before = this->received().size();
+    const std::size_t before = this->received_requests().size();
     for (int count = 0; count < 5; ++count)
         CHECK(status() == std::pair(503, true));
-    CHECK(this->received().size() == before);
-    this->evacuate(false);
+    CHECK(this->received_requests().size() == before);
+    this->set_evacuated(false);
     CHECK(becomes(200));
 }
 
--- a/src/greengagedrum/entry/test/limit_test.cpp
+++ b/src/greengagedrum/entry/test/limit_test.cpp
@@ -80,11 +80,11 @@
 {
     constexpr std::uint64_t slots = 5;
     std::atomic<bool> answer{false};
-    this->answer_with(
+    this->set_upstream_handler(
         [&answer](const httplib::Request& got, httplib::Response& given) {
             while (!answer)
                 std::this_thread::sleep_for(5ms);
-            signed_answer(got, given, "late");
+            write_signed_answer(got, given, "late");
         });
     std::vector<std::thread> callers;
     for (std::uint64_t count = 0; count < slots; ++count)
@@ -98,7 +98,8 @@
     {
         relay::asio::io_context context;
         relay::tcp::socket leaver(context);
-        leaver.connect(relay::tcp_endpoint(this->tested->caller_address()));
+        leaver.connect(
+            relay::tcp_endpoint(this->entry_under_test->caller_address()));
         const std::string text =
             "GET /again/ HTTP/1.1\r\nHost: hall.example\r\n"
             "X-Attempt-Id: a-1\r\nApi-Key: key-1\r\n\r\n";
--- a/src/greengagedrum/entry/test/store_reader_test.cpp
+++ b/src/greengagedrum/entry/test/store_reader_test.cpp
@@ -59,7 +59,7 @@
     }
 
     relay::asio::io_context context;
-    stand_in store;
+    fake_http_server store;
     std::unique_ptr<store_reader> reader;
     int news = 0;
     int parts = 0;
