--- a/src/greengagedrum/entry/fleet_test/cold_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
@@ -1,4 +1,4 @@
-#include <greengagedrum/entry/fleet_test/cold_fleet.hpp>
+#include <greengagedrum/entry/fleet_test/slow_start_fleet.hpp>
 
 #include <algorithm>
 #include <string>
@@ -18,14 +18,14 @@
 
 } // namespace
 
-cold_fleet::cold_fleet(const cold_plan& plan)
+slow_start_fleet::slow_start_fleet(const slow_start_plan& plan)
     : plan(plan), books(plan.entries), sent_lately(plan.data_centres),
       fleet(plan, this->hooks())
 {
     this->fleet.start();
 }
 
-virtual_fleet::hooks cold_fleet::hooks()
+virtual_fleet::hooks slow_start_fleet::hooks()
 {
     virtual_fleet::hooks out;
     out.configure = [this](node& one) { this->configure(one); };
@@ -34,7 +34,8 @@
     return out;
 }
 
-routing::published_upstream cold_fleet::published(std::size_t data_centre) const
+routing::published_upstream
+slow_start_fleet::published(std::size_t data_centre) const
 {
     routing::published_upstream out;
     out.name = "upstream-" + std::to_string(data_centre);
@@ -46,7 +47,7 @@
     return out;
 }
 
-void cold_fleet::configure(node& one)
+void slow_start_fleet::configure(node& one)
 {
     this->books[one.number] = {};
     const std::size_t place = one.number % this->plan.data_centres;
@@ -58,7 +59,7 @@
                                             this->fleet.time());
 }
 
-peer_events cold_fleet::events_of(node& of)
+peer_events slow_start_fleet::events_of(node& of)
 {
     peer_events out;
     out.load_changed = [] {};
@@ -86,7 +87,7 @@
     return out;
 }
 
-void cold_fleet::ask(node& one)
+void slow_start_fleet::ask(node& one)
 {
     const base::instant now = this->fleet.time();
     const auto phase = (now.time_since_epoch() + one.number * 5ms) % ask_gap;
@@ -108,7 +109,7 @@
     one.state.scheduler.step(traffic::caller_left{id}, now, orders);
 }
 
-void cold_fleet::note_send(base::upstream_id upstream)
+void slow_start_fleet::note_send(base::upstream_id upstream)
 {
     const base::instant now = this->fleet.time();
     for (std::size_t each = 0; each < this->sent_lately.size(); ++each) {
@@ -124,7 +125,7 @@
     }
 }
 
-cold_result cold_fleet::play()
+slow_start_result slow_start_fleet::simulate()
 {
     while (this->fleet.seconds() < this->plan.seconds)
         this->fleet.step();
--- a/src/greengagedrum/entry/fleet_test/cold_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.hpp
@@ -11,21 +11,21 @@
 namespace greengagedrum::entry::fleet_test
 {
 
-struct cold_plan : trouble_plan {
+struct slow_start_plan : trouble_plan {
     std::uint32_t sends = 7; // to a cold upstream in a second
 };
 
-struct cold_result {
+struct slow_start_result {
     std::uint32_t most = 0;  // sends to one upstream in any second
     std::uint64_t sends = 0; // in all
 };
 
-class cold_fleet
+class slow_start_fleet
 {
 public:
-    explicit cold_fleet(const cold_plan& plan);
+    explicit slow_start_fleet(const slow_start_plan& plan);
 
-    cold_result play();
+    slow_start_result simulate();
 
 private:
     using node = virtual_fleet::node;
@@ -37,12 +37,12 @@
     void note_send(base::upstream_id upstream);
     routing::published_upstream published(std::size_t data_centre) const;
 
-    cold_plan plan;
+    slow_start_plan plan;
     std::vector<dispatch::dispatcher_book> books;       // by entry
     std::vector<std::deque<base::instant>> sent_lately; // by data centre
     virtual_fleet fleet;
     std::uint64_t next_request = 1;
-    cold_result result;
+    slow_start_result result;
 };
 
 } // namespace greengagedrum::entry::fleet_test
--- a/src/greengagedrum/entry/fleet_test/cold_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet_test.cpp
@@ -1,5 +1,5 @@
 // What all entries together send to a cold upstream.
-#include <greengagedrum/entry/fleet_test/cold_fleet.hpp>
+#include <greengagedrum/entry/fleet_test/slow_start_fleet.hpp>
 #include <greengagedrum/traffic/slow_start.hpp>
 
 #include <doctest/doctest.h>
@@ -20,9 +20,9 @@
 constexpr traffic::slow_start_tolerance tolerance{1.5, 5};
 constexpr std::uint32_t bound = 15; // 7.3 x 1.5 + 5
 
-cold_plan plan_of(std::size_t entries, std::size_t data_centres)
+slow_start_plan plan_of(std::size_t entries, std::size_t data_centres)
 {
-    cold_plan out;
+    slow_start_plan out;
     out.entries = entries;
     out.data_centres = data_centres;
     out.seconds = 15;
@@ -30,12 +30,12 @@
     return out;
 }
 
-cold_plan random_plan(std::uint64_t seed)
+slow_start_plan random_plan(std::uint64_t seed)
 {
     std::mt19937_64 dice(seed);
     const auto below = [&dice](std::uint64_t most) { return dice() % most; };
     constexpr std::size_t sizes[] = {2, 5, 9, 24, 40, 69};
-    cold_plan out = plan_of(sizes[below(std::size(sizes))], 1 + below(4));
+    slow_start_plan out = plan_of(sizes[below(std::size(sizes))], 1 + below(4));
     out.entries = std::max(out.entries, out.data_centres);
     out.seed = seed;
     out.seconds = 20;
@@ -70,9 +70,9 @@
 TEST_CASE("cold_upstreams_get_their_sends_from_fleets_of_any_size")
 {
     for (const std::size_t entries : {1U, 9U, 69U, 295U}) {
-        cold_plan plan = plan_of(entries, 4);
+        slow_start_plan plan = plan_of(entries, 4);
         plan.seconds = entries > 100 ? 8 : 15;
-        const cold_result got = cold_fleet(plan).play();
+        const slow_start_result got = slow_start_fleet(plan).simulate();
         CHECK(got.most <= 7);
         MESSAGE(entries, " entries: ", got.sends, " sends");
         // All that they may, but for the seconds until entries know each other.
@@ -84,9 +84,9 @@
 // All entries start again at once, and each takes itself for the only one.
 TEST_CASE("cold_upstreams_are_spared_by_entries_that_all_start_at_once")
 {
-    cold_plan plan = plan_of(69, 4);
+    slow_start_plan plan = plan_of(69, 4);
     plan.all_killed_at = 6;
-    CHECK(cold_fleet(plan).play().most <= 7);
+    CHECK(slow_start_fleet(plan).simulate().most <= 7);
 }
 
 // Seeds of random fleets that sent too much once: dispatchers that follow each
@@ -96,7 +96,7 @@
     for (const std::uint64_t seed :
          {5U, 13U, 24U, 37U, 245U, 763U, 1523U, 1592U, 1932U}) {
         CAPTURE(seed);
-        CHECK(cold_fleet(random_plan(seed)).play().most <= bound);
+        CHECK(slow_start_fleet(random_plan(seed)).simulate().most <= bound);
     }
 }
 
@@ -108,7 +108,7 @@
     const std::uint64_t count = number_from("GGD_RANDOM_FLEETS", 40);
     for (std::uint64_t seed = first; seed < first + count; ++seed) {
         CAPTURE(seed);
-        const cold_plan plan = random_plan(seed);
+        const slow_start_plan plan = random_plan(seed);
         CAPTURE(plan.entries);
         CAPTURE(plan.data_centres);
         CAPTURE(plan.restart_gap.count());
@@ -119,7 +119,7 @@
         CAPTURE(plan.cut_for);
         CAPTURE(plan.killed_at.size());
         CAPTURE(plan.frozen_at.size());
-        const cold_result got = cold_fleet(plan).play();
+        const slow_start_result got = slow_start_fleet(plan).simulate();
         CHECK(got.most <= bound);
         worst = std::max(worst, got.most);
     }
