--- a/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
@@ -1,4 +1,4 @@
-#include <greengagedrum/entry/fleet_test/crashing_fleet.hpp>
+#include <greengagedrum/entry/fleet_test/poison_request_fleet.hpp>
 
 #include <algorithm>
 #include <string>
@@ -24,7 +24,7 @@
 
 } // namespace
 
-crashing_fleet::crashing_fleet(const crash_plan& plan)
+poison_request_fleet::poison_request_fleet(const poison_request_plan& plan)
     : plan(plan), dice(plan.seed), works(plan.entries),
       upstreams(plan.upstreams), bodies(plan.bodies), fleet(plan, this->hooks())
 {
@@ -34,7 +34,7 @@
     this->next_death = this->next_copies;
 }
 
-virtual_fleet::hooks crashing_fleet::hooks()
+virtual_fleet::hooks poison_request_fleet::hooks()
 {
     virtual_fleet::hooks out;
     out.configure = [this](node& one) { this->configure(one); };
@@ -53,7 +53,8 @@
     return out;
 }
 
-routing::published_upstream crashing_fleet::published(std::size_t number) const
+routing::published_upstream
+poison_request_fleet::published(std::size_t number) const
 {
     routing::published_upstream out;
     out.name = "upstream-" + std::to_string(number) + "-" +
@@ -66,7 +67,7 @@
     return out;
 }
 
-void crashing_fleet::configure(node& one)
+void poison_request_fleet::configure(node& one)
 {
     work& own = this->works[one.number];
     own = work();
@@ -83,7 +84,7 @@
     }
 }
 
-peer_events crashing_fleet::events_of(node& of)
+peer_events poison_request_fleet::events_of(node& of)
 {
     peer_events out;
     out.load_changed = [] {};
@@ -113,13 +114,15 @@
 
 // ---- Requests ---------------------------------------------------------------
 
-base::request_digest crashing_fleet::digest_of_body(std::uint64_t number) const
+base::request_digest
+poison_request_fleet::digest_of_body(std::uint64_t number) const
 {
     return base::digest_of_request(
         "shop", "POST", "/caption", std::to_string(number));
 }
 
-void crashing_fleet::arrive(std::size_t at, std::optional<std::size_t> body)
+void poison_request_fleet::arrive(std::size_t at,
+                                  std::optional<std::size_t> body)
 {
     node* to = this->fleet.serving(at);
     if (to == nullptr)
@@ -149,7 +152,7 @@
     this->tell(*to, traffic::request_arrived{id, facts});
 }
 
-void crashing_fleet::ask_deadly()
+void poison_request_fleet::ask_deadly()
 {
     if (this->fleet.time() < this->next_copies)
         return;
@@ -161,7 +164,7 @@
         this->arrive(this->dice() % this->fleet.size(), body);
 }
 
-void crashing_fleet::ask_innocent()
+void poison_request_fleet::ask_innocent()
 {
     constexpr double step_seconds = 0.005;
     double due = this->plan.requests * step_seconds;
@@ -171,14 +174,14 @@
         this->arrive(this->dice() % this->fleet.size(), std::nullopt);
 }
 
-void crashing_fleet::tell(node& at, const traffic::event& what)
+void poison_request_fleet::tell(node& at, const traffic::event& what)
 {
     traffic::actions orders;
     at.state.scheduler.step(what, this->fleet.time(), orders);
     this->carry_out(at, orders);
 }
 
-void crashing_fleet::carry_out(node& at, const traffic::actions& orders)
+void poison_request_fleet::carry_out(node& at, const traffic::actions& orders)
 {
     for (const traffic::action& one : orders) {
         if (const auto* send = std::get_if<traffic::send_request>(&one))
@@ -196,7 +199,7 @@
     }
 }
 
-bool crashing_fleet::is_alive(base::upstream_id id) const
+bool poison_request_fleet::is_alive(base::upstream_id id) const
 {
     for (std::size_t number = 0; number < this->upstreams.size(); ++number) {
         if (this->published(number).id == id)
@@ -205,7 +208,7 @@
     return false;
 }
 
-void crashing_fleet::end(node& at, const traffic::end_request& order)
+void poison_request_fleet::end(node& at, const traffic::end_request& order)
 {
     work& own = this->works[at.number];
     own.deadly.erase(order.request);
@@ -214,7 +217,7 @@
         this->result.barred += 1;
 }
 
-void crashing_fleet::send(node& at, const traffic::send_request& order)
+void poison_request_fleet::send(node& at, const traffic::send_request& order)
 {
     work& own = this->works[at.number];
     const auto deadly = own.deadly.find(order.request);
@@ -244,14 +247,14 @@
 
 // ---- Upstreams --------------------------------------------------------------
 
-void crashing_fleet::break_run(const run& one)
+void poison_request_fleet::break_run(const run& one)
 {
     node* at = this->fleet.at(one.entry);
     if (at != nullptr && this->works[one.entry].process == one.process)
         this->tell(*at, traffic::broken{one.request, one.send});
 }
 
-void crashing_fleet::end_upstream(upstream& one)
+void poison_request_fleet::end_upstream(upstream& one)
 {
     one.alive = false;
     one.back_at = this->fleet.time() + upstream_back_after;
@@ -261,7 +264,7 @@
         this->break_run(each);
 }
 
-void crashing_fleet::run_upstreams()
+void poison_request_fleet::run_upstreams()
 {
     const base::instant now = this->fleet.time();
     for (std::size_t number = 0; number < this->upstreams.size(); ++number) {
@@ -309,7 +312,7 @@
     }
 }
 
-void crashing_fleet::reset_connections()
+void poison_request_fleet::reset_connections()
 {
     const base::instant now = this->fleet.time();
     if (this->plan.reset_gap.count() > 0 && now >= this->next_reset) {
@@ -335,7 +338,7 @@
     }
 }
 
-crash_result crashing_fleet::play()
+poison_request_result poison_request_fleet::simulate()
 {
     while (this->fleet.seconds() < this->plan.seconds) {
         this->fleet.step();
--- a/src/greengagedrum/entry/fleet_test/crashing_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
@@ -16,7 +16,7 @@
 namespace greengagedrum::entry::fleet_test
 {
 
-struct crash_plan : trouble_plan {
+struct poison_request_plan : trouble_plan {
     std::size_t upstreams = 9;
     base::duration crash_gap = std::chrono::milliseconds(700); // between copies
     std::size_t copies = 1; // of the request, at once at different entries
@@ -30,7 +30,7 @@
     base::duration death_gap{0};
 };
 
-struct crash_result {
+struct poison_request_result {
     std::uint32_t reached = 0;  // upstreams that began to run such a request
     std::uint32_t crashed = 0;  // upstreams that ended by it
     std::uint32_t late = 0;     // runs of one body beyond its third crash, most
@@ -41,12 +41,12 @@
     std::size_t records = 0;    // kept by one entry, most
 };
 
-class crashing_fleet
+class poison_request_fleet
 {
 public:
-    explicit crashing_fleet(const crash_plan& plan);
+    explicit poison_request_fleet(const poison_request_plan& plan);
 
-    crash_result play();
+    poison_request_result simulate();
 
 private:
     using node = virtual_fleet::node;
@@ -101,7 +101,7 @@
     routing::published_upstream published(std::size_t number) const;
     base::request_digest digest_of_body(std::uint64_t number) const;
 
-    crash_plan plan;
+    poison_request_plan plan;
     std::mt19937_64 dice;
     std::vector<work> works; // by entry
     std::vector<upstream> upstreams;
@@ -114,7 +114,7 @@
     std::uint64_t next_request = 1;
     std::uint64_t next_process = 1;
     std::uint64_t next_innocent = 1'000'000;
-    crash_result result;
+    poison_request_result result;
 };
 
 } // namespace greengagedrum::entry::fleet_test
--- a/src/greengagedrum/entry/fleet_test/crashing_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet_test.cpp
@@ -1,5 +1,5 @@
 // Requests that crash the upstreams that run them, over whole fleets.
-#include <greengagedrum/entry/fleet_test/crashing_fleet.hpp>
+#include <greengagedrum/entry/fleet_test/poison_request_fleet.hpp>
 
 #include <doctest/doctest.h>
 
@@ -14,9 +14,9 @@
 // Runs that are allowed once three upstreams have ended and all can know of it.
 constexpr std::uint32_t late_most = 3;
 
-crash_result played(const crash_plan& plan)
+poison_request_result played(const poison_request_plan& plan)
 {
-    const crash_result got = crashing_fleet(plan).play();
+    const poison_request_result got = poison_request_fleet(plan).simulate();
     MESSAGE(plan.entries,
             " entries: ran ",
             got.reached,
@@ -37,9 +37,9 @@
     return got;
 }
 
-crash_plan plan_of(std::size_t entries)
+poison_request_plan plan_of(std::size_t entries)
 {
-    crash_plan out;
+    poison_request_plan out;
     out.entries = entries;
     out.upstreams = std::max<std::size_t>(9, entries / 4);
     return out;
@@ -51,9 +51,9 @@
 TEST_CASE("request_that_crashes_upstreams_is_contained_over_all_entries")
 {
     for (const std::size_t entries : {9U, 86U, 295U}) {
-        crash_plan plan = plan_of(entries);
+        poison_request_plan plan = plan_of(entries);
         plan.seconds = entries > 100 ? 18 : 30;
-        const crash_result got = played(plan);
+        const poison_request_result got = played(plan);
         CHECK(got.late <= late_most);
         CHECK(got.crashed <= 3);
     }
@@ -63,9 +63,9 @@
 TEST_CASE("copies_at_once_over_all_entries_are_contained")
 {
     for (const std::size_t entries : {9U, 86U}) {
-        crash_plan plan = plan_of(entries);
+        poison_request_plan plan = plan_of(entries);
         plan.copies = 5;
-        const crash_result got = played(plan);
+        const poison_request_result got = played(plan);
         CHECK(got.late <= late_most);
         CHECK(got.crashed <= 5);
     }
@@ -75,9 +75,9 @@
 TEST_CASE("contained_request_after_all_entries_were_killed_contained_again")
 {
     for (const std::size_t entries : {9U, 86U}) {
-        crash_plan plan = plan_of(entries);
+        poison_request_plan plan = plan_of(entries);
         plan.all_killed_at = 15;
-        const crash_result got = played(plan);
+        const poison_request_result got = played(plan);
         CHECK(got.late <= late_most);
     }
 }
@@ -86,7 +86,7 @@
 TEST_CASE("entries_replaced_one_by_one_do_not_send_a_contained_request")
 {
     for (const std::size_t entries : {9U, 86U}) {
-        crash_plan plan = plan_of(entries);
+        poison_request_plan plan = plan_of(entries);
         plan.restart_gap = 500ms;
         // Among few all place, and all would be killed.
         if (entries > 9) {
@@ -94,7 +94,7 @@
             plan.frozen_at = {17};
         }
         plan.seconds = 40;
-        const crash_result got = played(plan);
+        const poison_request_result got = played(plan);
         CHECK(got.late <= late_most);
         CHECK(got.crashed <= 3);
     }
@@ -104,10 +104,10 @@
 TEST_CASE("request_contained_on_both_sides_of_a_cut")
 {
     for (const std::size_t entries : {9U, 86U}) {
-        crash_plan plan = plan_of(entries);
+        poison_request_plan plan = plan_of(entries);
         plan.cut_from = 5;
         plan.lost_share = 0.05;
-        const crash_result got = played(plan);
+        const poison_request_result got = played(plan);
         CHECK(got.late <= late_most);
     }
 }
@@ -115,13 +115,13 @@
 // One caller sends three hundred bodies, each of which crashes upstreams.
 TEST_CASE("many_bodies_that_crash_upstreams_are_each_contained")
 {
-    crash_plan plan;
+    poison_request_plan plan;
     plan.entries = 9;
     plan.upstreams = 60;
     plan.bodies = 300;
     plan.crash_gap = 110ms;
     plan.seconds = 80;
-    const crash_result got = played(plan);
+    const poison_request_result got = played(plan);
     CHECK(got.late <= late_most);
     CHECK(got.crashed <= 2 * plan.bodies + 10);
 }
@@ -130,12 +130,12 @@
 TEST_CASE("requests_that_crash_nothing_are_not_barred")
 {
     for (const std::size_t entries : {9U, 86U}) {
-        crash_plan plan = plan_of(entries);
+        poison_request_plan plan = plan_of(entries);
         plan.crashes = false;
         plan.hot_share = 0.3;
         plan.death_gap = 1s;
         plan.reset_gap = 300ms;
-        const crash_result got = played(plan);
+        const poison_request_result got = played(plan);
         CHECK(got.barred == 0);
     }
 }
