--- a/src/greengagedrum/entry/standing_log.cpp
+++ b/src/greengagedrum/entry/crash_suspect_log.cpp
@@ -1,5 +1,5 @@
-#include <greengagedrum/entry/milliseconds.hpp>
-#include <greengagedrum/entry/standing_log.hpp>
+#include <greengagedrum/entry/crash_suspect_log.hpp>
+#include <greengagedrum/entry/to_milliseconds.hpp>
 
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 namespace
 {
 
-std::string_view event_of(quarantine::standing what)
+std::string_view event_name(quarantine::standing what)
 {
     using quarantine::standing;
     switch (what) {
@@ -29,28 +29,28 @@
 
 std::string workspace_name(const shared_state& state, base::workspace_id id)
 {
-    if (!state.known.routes())
+    if (!state.cluster.routes())
         return {};
-    const auto& all = state.known.routes()->source().workspaces;
+    const auto& all = state.cluster.routes()->source().workspaces;
     const auto found = std::find_if(
         all.begin(), all.end(), [&](const auto& one) { return one.id == id; });
     return found == all.end() ? std::string() : found->name;
 }
 
-void log_standing(shared_state& state,
-                  const quarantine::standing_change& change,
-                  std::string_view source)
+void log_crash_suspect(shared_state& state,
+                       const quarantine::standing_change& change,
+                       std::string_view source)
 {
     const base::instant now = state.clock();
     const base::duration pause =
         state.scheduler.crash_suspects().pause_left(change.request, now);
     state.log.write(now,
                     "quarantine",
-                    event_of(change.now),
+                    event_name(change.now),
                     {{"digest", base::to_hex(change.request)},
                      {"workspace", workspace_name(state, change.workspace)},
                      {"crashes", change.crashes},
-                     {"pause_ms", milliseconds(pause)},
+                     {"pause_ms", to_milliseconds(pause)},
                      {"source", source}});
 }
 
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -1,5 +1,5 @@
 #include <greengagedrum/entry/entry.hpp>
-#include <greengagedrum/entry/quarantine_page.hpp>
+#include <greengagedrum/entry/quarantine_endpoint.hpp>
 #include <greengagedrum/entry/suspension.hpp>
 #include <greengagedrum/logs/write.hpp>
 #include <greengagedrum/placement/seconds.hpp>
@@ -15,14 +15,14 @@
 namespace
 {
 
-// The loop's clock starts here, so that "never" lies well before every time.
-constexpr base::duration epoch = std::chrono::hours(1);
+// Start value of the loop's clock, so that a default time stamp ("never") lies
+constexpr base::duration loop_clock_start = std::chrono::hours(1);
 
-// Combinations of workspace, tier and route with histograms of their own; each
-// takes about 5.5 KiB.
-constexpr std::size_t series_most = 256;
+// well before every time.
+// Combinations of workspace, tier and route that have their own histograms;
+constexpr std::size_t max_metric_series = 256;
 
-base::incarnation new_life()
+base::incarnation new_incarnation()
 {
     constexpr unsigned random_bits = 24;
     std::random_device device;
@@ -36,97 +36,97 @@
 }
 
 std::function<base::instant()>
-loop_clock(std::chrono::steady_clock::time_point began)
+loop_clock(std::chrono::steady_clock::time_point started_at)
 {
-    return [began] {
-        const auto passed = std::chrono::steady_clock::now() - began;
+    return [started_at] {
+        const auto passed = std::chrono::steady_clock::now() - started_at;
         return base::instant(
-            epoch + std::chrono::duration_cast<base::duration>(passed));
+            loop_clock_start + std::chrono::duration_cast<base::duration>(passed));
     };
 }
 
-} // namespace
+} // each takes about 5.5 KiB.
 
-entry::entry(const settings& given, reload read_again)
-    : own(given), read_again(std::move(read_again)),
-      began(std::chrono::steady_clock::now()),
-      state{loop_clock(this->began),
+entry::entry(const settings& given, settings_loader load_settings)
+    : own_settings(given), load_settings(std::move(load_settings)),
+      started_at(std::chrono::steady_clock::now()),
+      state{loop_clock(this->started_at),
             cluster_state(),
-            quota::usage_limiter(base::instant(epoch)),
+            quota::usage_limiter(base::instant(loop_clock_start)),
             traffic::scheduler(
                 retry_bounds_of(given.bounds),
                 {given.data_centre, base::hash_name(given.instance)}),
-            decision_log(),
-            telemetry::registry(series_most),
+            rate_limited_log(),
+            telemetry::registry(max_metric_series),
             false,
             false,
             given.regions},
-      life(new_life()), timer(this->context),
+      incarnation(new_incarnation()), timer(this->context),
       signals(this->context, SIGTERM, SIGINT, SIGHUP)
 {
     this->apply_bounds();
-    this->store_answered_at = this->state.clock();
-    this->ticked_at = this->state.clock();
-    this->suspended = suspended_time();
-    this->callers =
-        std::make_unique<front>(this->context, given.callers, this->state);
-    this->callers->uses_changed = [this] {
+    this->last_store_answer = this->state.clock();
+    this->last_tick = this->state.clock();
+    this->total_suspended = suspended_time();
+    this->handler =
+        std::make_unique<request_handler>(this->context, given.caller_address, this->state);
+    this->handler->on_load_changed = [this] {
         if (this->peers)
             this->peers->schedule_gossip();
     };
-    this->peer_datagrams =
+    this->peer_datagram_socket =
         std::make_unique<peer_socket>(this->context, given.ip, given.peer_port);
     this->peers =
         std::make_unique<peer_protocol>(given,
-                                        this->life,
+                                        this->incarnation,
                                         this->state,
-                                        this->told_by_peers(),
-                                        this->peer_datagrams->transport());
-    this->peer_datagrams->start(
+                                        this->make_peer_events(),
+                                        this->peer_datagram_socket->transport());
+    this->peer_datagram_socket->start(
         [this](std::string_view bytes, const std::string& from) {
             this->peers->on_message(bytes, from);
         },
         [this] { this->peers->on_timer(); });
-    store_events store_told;
-    store_told.news = [this](const routing::item_list& items,
+    store_events store_callbacks;
+    store_callbacks.items_received = [this](const routing::item_list& items,
                              std::uint64_t as_of,
                              bool whole) {
-        this->on_news(items, as_of, whole, "store");
+        this->on_store_items(items, as_of, whole, "store");
     };
-    store_told.part = [this](const routing::item_list& items) {
-        this->apply(
-            this->state.known.learn(items, 0, false, this->state.clock()),
+    store_callbacks.page_received = [this](const routing::item_list& items) {
+        this->apply_changes(
+            this->state.cluster.apply(items, 0, false, this->state.clock()),
             "store");
     };
-    store_told.failed = [this](const std::string& why) {
+    store_callbacks.call_failed = [this](const std::string& why) {
         this->on_store_failed(why);
     };
-    store_told.answered = [this] { this->on_store_answered(); };
-    store_told.may_rest = [this] { return this->peers->peer_reads_store(); };
+    store_callbacks.call_answered = [this] { this->on_store_answered(); };
+    store_callbacks.peer_reads_store = [this] { return this->peers->peer_reads_store(); };
     this->store = std::make_unique<store_reader>(
-        this->context, given.store, std::move(store_told));
-    this->store->set_bound(given.bounds.news());
-    this->readiness = std::make_unique<relay::small_server>(
+        this->context, given.store_address, std::move(store_callbacks));
+    this->store->set_update_bound(given.bounds.shortest_update_delay());
+    this->readiness_server = std::make_unique<relay::small_server>(
         this->context,
-        given.readiness,
+        given.readiness_address,
         this->state.clock,
         [this](const relay::small_question&) {
             return this->answer_readiness();
         });
-    this->control = std::make_unique<relay::small_server>(
+    this->control_server = std::make_unique<relay::small_server>(
         this->context,
-        given.control,
+        given.control_address,
         this->state.clock,
         [this](const relay::small_question& asked) {
             return this->answer_control(asked.target);
         });
-    this->metrics = std::make_unique<relay::small_server>(
+    this->metrics_server = std::make_unique<relay::small_server>(
         this->context,
-        given.metrics,
+        given.metrics_address,
         this->state.clock,
         [this](const relay::small_question& asked) {
-            if (is_quarantine_question(asked))
-                return answer_quarantine(this->state, asked);
+            if (is_quarantine_request(asked))
+                return answer_quarantine_request(this->state, asked);
             return relay::small_answer{
                 200,
                 std::string(telemetry::prometheus_content_type),
@@ -134,37 +134,37 @@
         });
 }
 
-peer_events entry::told_by_peers()
+peer_events entry::make_peer_events()
 {
     peer_events out;
-    out.peer_load_changed = [this] { this->callers->place(); };
+    out.peer_load_changed = [this] { this->handler->place_waiting_requests(); };
     out.items_received = [this](const gossip::item_transfer& got) {
-        this->apply(this->state.known.learn(got, this->state.clock()), "peer");
+        this->apply_changes(this->state.cluster.apply(got, this->state.clock()), "peer");
         this->end_pause("peer");
-        this->store->known_up_to(this->state.known.as_of());
+        this->store->skip_to_revision(this->state.cluster.store_revision());
     };
-    out.delegation_started = [this] { this->callers->delegate(); };
+    out.delegation_started = [this] { this->handler->start_delegating(); };
     out.delegation_ended = [this](std::size_t unheard,
-                                  const handed_limits* known) {
-        this->callers->place_alone(unheard, known);
+                                  const limit_handover* known) {
+        this->handler->place_locally(unheard, known);
     };
-    out.make_report = [this] { return this->callers->report_to_dispatcher(); };
+    out.make_report = [this] { return this->handler->make_member_report(); };
     out.reply_received = [this](const dispatch::dispatcher_reply& what) {
-        this->callers->replied(what);
+        this->handler->on_dispatcher_reply(what);
     };
     out.report_received = [this](base::slot_id member,
                                  const gossip::message& told) {
-        this->callers->member_reported(
+        this->handler->on_member_report(
             member, told.life, told.report, told.uses);
     };
     out.member_lost = [this](base::slot_id member) {
-        this->callers->member_lost(member);
+        this->handler->on_member_lost(member);
     };
     out.members_awaiting_reply = [this] {
-        return this->callers->book().unanswered(this->state.clock());
+        return this->handler->member_requests().unanswered(this->state.clock());
     };
     out.make_reply = [this](base::slot_id member) {
-        return this->callers->book().reply(member, this->state.clock());
+        return this->handler->member_requests().reply(member, this->state.clock());
     };
     return out;
 }
@@ -174,11 +174,11 @@
     logs::write(logs::level::info,
                 "entry",
                 "started",
-                {{"instance", this->own.instance},
-                 {"data_centre", this->own.data_centre},
-                 {"callers", base::to_string(this->own.callers)},
-                 {"store", base::to_string(this->own.store)},
-                 {"life", this->life.value}});
+                {{"instance", this->own_settings.instance},
+                 {"data_centre", this->own_settings.data_centre},
+                 {"callers", base::to_string(this->own_settings.caller_address)},
+                 {"store", base::to_string(this->own_settings.store_address)},
+                 {"life", this->incarnation.value}});
     this->signals.async_wait([this](relay::error_code fault, int number) {
         if (!fault)
             this->on_signal(number);
@@ -190,27 +190,27 @@
     logs::write(logs::level::info,
                 "entry",
                 "stopped",
-                {{"unfinished", this->callers->in_flight()}});
+                {{"unfinished", this->handler->in_flight()}});
 }
 
 void entry::apply_bounds()
 {
-    this->state.limiter.set_tolerance({this->own.bounds.usage_window,
-                                       this->own.bounds.usage_overshoot,
-                                       this->own.bounds.usage_slack});
-    this->state.scheduler.set_retry_bounds(retry_bounds_of(this->own.bounds));
+    this->state.limiter.set_tolerance({this->own_settings.bounds.usage_window,
+                                       this->own_settings.bounds.usage_overshoot,
+                                       this->own_settings.bounds.usage_slack});
+    this->state.scheduler.set_retry_bounds(retry_bounds_of(this->own_settings.bounds));
     if (this->store)
-        this->store->set_bound(this->own.bounds.news());
-    this->apply_slow_start();
+        this->store->set_update_bound(this->own_settings.bounds.shortest_update_delay());
+    this->apply_slow_start_limits();
 }
 
-void entry::apply_slow_start()
+void entry::apply_slow_start_limits()
 {
-    const routing::route_table_ptr& routes = this->state.known.routes();
+    const routing::route_table_ptr& routes = this->state.cluster.routes();
     if (!routes)
         return;
     const traffic::slow_start_tolerance tolerance{
-        this->own.bounds.warmup_overshoot, this->own.bounds.warmup_slack};
+        this->own_settings.bounds.warmup_overshoot, this->own_settings.bounds.warmup_slack};
     for (const routing::service& one : routes->source().services)
         this->state.scheduler.set_slow_start(
             one.id,
@@ -219,11 +219,11 @@
                 : 0);
 }
 
-// ---- Questions ------------------------------------------------------------
+// namespace
 
 bool entry::ready() const
 {
-    return !this->state.stopping && this->state.known.routes() != nullptr;
+    return !this->state.stopping && this->state.cluster.routes() != nullptr;
 }
 
 relay::small_answer entry::answer_readiness() const
@@ -237,13 +237,13 @@
 {
     const auto asked = parse_item_query(target);
     if (!asked)
-        return {503, "text/plain", "no such question\n"};
+        return {503, "text/plain", "unknown target\n"};
     gossip::item_transfer out =
         asked->incarnation
-            ? this->state.known.items_after(
-                  *asked->incarnation == this->life ? asked->position : 0)
-            : this->state.known.items_since(asked->position);
-    out.life = this->life;
+            ? this->state.cluster.items_after_change(
+                  *asked->incarnation == this->incarnation ? asked->position : 0)
+            : this->state.cluster.items_after_revision(asked->position);
+    out.life = this->incarnation;
     return {200, "application/octet-stream", gossip::encode(out)};
 }
 
@@ -255,9 +255,9 @@
     };
     const base::instant now = this->state.clock();
     set(telemetry::gauge::config_age_seconds,
-        placement::seconds_of(now - this->store_answered_at));
+        placement::seconds_of(now - this->last_store_answer));
     set(telemetry::gauge::config_revision,
-        static_cast<double>(this->state.known.configuration_revision()));
+        static_cast<double>(this->state.cluster.configuration_revision()));
     set(telemetry::gauge::requests_waiting,
         static_cast<double>(this->state.scheduler.waiting()));
     set(telemetry::gauge::requests_in_flight,
@@ -265,15 +265,15 @@
     set(telemetry::gauge::peers_linked,
         static_cast<double>(this->peers->live_peers()));
     set(telemetry::gauge::upstreams_live,
-        static_cast<double>(this->state.known.upstreams().usable_count()));
+        static_cast<double>(this->state.cluster.upstreams().usable_count()));
     set(telemetry::gauge::data_centres_evacuated,
-        static_cast<double>(this->state.known.upstreams().evacuated().size()));
+        static_cast<double>(this->state.cluster.upstreams().evacuated().size()));
     set(telemetry::gauge::requests_quarantined,
         static_cast<double>(
             this->state.scheduler.crash_suspects().barred(now).size()));
     set(telemetry::gauge::log_lines_dropped,
         static_cast<double>(logs::dropped_lines() +
-                            this->state.log.held_back()));
+                            this->state.log.suppressed_lines()));
     set(telemetry::gauge::stopping, this->state.stopping ? 1 : 0);
     return telemetry::prometheus_text(all);
 }
--- a/src/greengagedrum/entry/entry.hpp
+++ b/src/greengagedrum/entry/entry.hpp
@@ -1,11 +1,11 @@
-// One entry of the system on the users' instances: all its parts on one loop.
+// The entry process: all its parts on one event loop.
 //
-// The loop's thread does everything but write log lines: sockets and decisions
-// together take a fraction of a core, and a ring between two threads would
-// cost a wake-up for each event.
+// The loop's thread does everything but write log lines. Sockets and decisions
+// together take a fraction of a core, and a ring between two threads would cost
+// a wake-up per event.
 #pragma once
 
-#include <greengagedrum/entry/front.hpp>
+#include <greengagedrum/entry/request_handler.hpp>
 #include <greengagedrum/entry/peer_protocol.hpp>
 #include <greengagedrum/entry/peer_socket.hpp>
 #include <greengagedrum/entry/settings.hpp>
@@ -24,71 +24,71 @@
 class entry
 {
 public:
-    // Reads the settings anew; empty when they can't be read or have not
-    // changed. It logs its own faults.
-    using reload = std::function<std::optional<settings>()>;
+    // Reads the settings again. Returns nothing if they are unreadable or
+    // unchanged; logs its own errors.
+    using settings_loader = std::function<std::optional<settings>()>;
 
-    entry(const settings& given, reload read_again);
+    entry(const settings& given, settings_loader load_settings);
 
-    // Serves until it is told to stop and has done what it took on.
+    // Serves until stopped and until the accepted requests have ended.
     void run();
 
-    // Tells it to stop, as a signal does; from any thread.
+    // Requests a stop, like SIGTERM does. May be called from any thread.
     void stop();
 
     base::ip_endpoint caller_address() const
     {
-        return this->callers->address();
+        return this->handler->address();
     }
 
 private:
-    peer_events told_by_peers();
+    peer_events make_peer_events();
     void on_signal(int number);
     void begin_stop(int number);
     void check_stop();
     void schedule_tick();
     void tick();
-    void notice_pause(base::instant now);
+    void detect_pause(base::instant now);
     void end_pause(const char* why);
     void check_settings();
-    void on_news(const routing::item_list& items,
+    void on_store_items(const routing::item_list& items,
                  std::uint64_t as_of,
                  bool whole,
                  const char* source);
-    void apply(const cluster_changes& changes, const char* source);
+    void apply_changes(const cluster_changes& changes, const char* source);
     void on_store_failed(const std::string& why);
     void on_store_answered();
     void apply_bounds();
-    void apply_slow_start();
+    void apply_slow_start_limits();
     relay::small_answer answer_control(std::string_view target) const;
     relay::small_answer answer_readiness() const;
     std::string metrics_text() const;
     bool ready() const;
 
-    settings own;
-    reload read_again;
+    settings own_settings;
+    settings_loader load_settings;
     relay::asio::io_context context{1};
-    std::chrono::steady_clock::time_point began;
+    std::chrono::steady_clock::time_point started_at;
     shared_state state;
-    base::incarnation life;
+    base::incarnation incarnation;
     relay::asio::steady_timer timer;
     boost::asio::signal_set signals;
-    std::unique_ptr<front> callers;
-    std::unique_ptr<peer_socket> peer_datagrams;
+    std::unique_ptr<request_handler> handler;
+    std::unique_ptr<peer_socket> peer_datagram_socket;
     std::unique_ptr<peer_protocol> peers;
     std::unique_ptr<store_reader> store;
-    std::unique_ptr<relay::small_server> readiness;
-    std::unique_ptr<relay::small_server> control;
-    std::unique_ptr<relay::small_server> metrics;
-    base::instant store_answered_at;
-    base::instant ticked_at;
-    base::instant swept_at;
-    base::instant settings_read_at;
-    base::duration suspended{0}; // clock of the machine over that of the loop
-    std::optional<base::instant> paused_at;
-    std::optional<base::instant> stop_begun_at;
-    bool accepting = true;
-    bool store_away = false;
+    std::unique_ptr<relay::small_server> readiness_server;
+    std::unique_ptr<relay::small_server> control_server;
+    std::unique_ptr<relay::small_server> metrics_server;
+    base::instant last_store_answer;
+    base::instant last_tick;
+    base::instant last_timeout_check;
+    base::instant last_settings_check;
+    base::duration total_suspended{0}; // total time the machine was suspended, as of the last tick
+    std::optional<base::instant> pause_detected_at;
+    std::optional<base::instant> stop_started_at;
+    bool accepting_connections = true;
+    bool store_unreachable = false;
 };
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/fleet_test/crashing_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
@@ -16,37 +16,37 @@
 namespace greengagedrum::entry::fleet_test
 {
 
-struct crash_plan : fault_plan {
+struct poison_request_plan : fault_plan {
     std::size_t upstreams = 9;
-    base::duration crash_gap = std::chrono::milliseconds(700); // between copies
+    base::duration poison_interval = std::chrono::milliseconds(700); // between copies
     std::size_t copies = 1; // of the request, at once at different entries
     std::size_t bodies = 1; // different ones that crash upstreams, by turns
     double requests = 40;   // a second, of other callers, in all
-    double hot_share = 0;   // of these, with one and the same body
+    double same_body_share = 0;   // of these, with one and the same body
     bool crashes = true;    // else the request is answered like any other
     // The connections of one entry are reset, so often.
-    base::duration reset_gap{0};
+    base::duration connection_reset_interval{0};
     // An upstream ends by itself, so often.
-    base::duration death_gap{0};
+    base::duration upstream_exit_interval{0};
 };
 
-struct crash_result {
-    std::uint32_t reached = 0;  // upstreams that began to run such a request
+struct poison_request_result {
+    std::uint32_t poison_runs = 0;  // upstreams that began to run such a request
     std::uint32_t crashed = 0;  // upstreams that ended by it
-    std::uint32_t late = 0;     // runs of one body beyond its third crash, most
-    std::uint32_t innocent = 0; // requests of other callers
+    std::uint32_t late_runs = 0;     // runs of one body beyond its third crash, most
+    std::uint32_t ordinary = 0; // requests of other callers
     std::uint32_t answered = 0; // of these
-    std::uint32_t barred = 0;   // of these, refused for crashes
-    std::uint64_t bytes = 0;    // a second, of the busiest entry
+    std::uint32_t refused_as_quarantined = 0;   // of these, refused for crashes
+    std::uint64_t bytes_per_second = 0;    // a second, of the busiest entry
     std::size_t records = 0;    // kept by one entry, most
 };
 
-class crashing_fleet
+class poison_request_fleet
 {
 public:
-    explicit crashing_fleet(const crash_plan& plan);
+    explicit poison_request_fleet(const poison_request_plan& plan);
 
-    crash_result play();
+    poison_request_result simulate();
 
 private:
     using node = virtual_fleet::node;
@@ -68,53 +68,53 @@
     };
 
     // What one process has to do.
-    struct work {
+    struct process_state {
         std::uint64_t process = 0;
-        base::instant began;
+        base::instant started_at;
         dispatch::dispatcher_book book;
         // Requests under way that crash upstreams, and all others.
-        std::map<base::request_id, std::size_t> deadly;
-        std::set<base::request_id> innocent;
+        std::map<base::request_id, std::size_t> poison;
+        std::set<base::request_id> ordinary;
     };
 
     struct body_record {
         std::uint32_t crashes = 0;
         base::instant third_at;
-        std::uint32_t late = 0;
+        std::uint32_t late_runs = 0;
     };
 
     virtual_fleet::hooks hooks();
     peer_events events_of(node& of);
     void configure(node& one);
-    void carry_out(node& at, const traffic::actions& orders);
-    void tell(node& at, const traffic::event& what);
+    void execute(node& at, const traffic::actions& orders);
+    void submit_event(node& at, const traffic::event& what);
     void send(node& at, const traffic::send_request& order);
     void end(node& at, const traffic::end_request& order);
     bool is_alive(base::upstream_id id) const;
-    void ask_deadly();
-    void ask_innocent();
-    void arrive(std::size_t at, std::optional<std::size_t> body);
+    void send_poison_requests();
+    void send_ordinary_requests();
+    void submit_request(std::size_t at, std::optional<std::size_t> body);
     void run_upstreams();
-    void end_upstream(upstream& one);
-    void break_run(const run& one);
+    void exit_upstream(upstream& one);
+    void report_broken_run(const run& one);
     void reset_connections();
     routing::published_upstream published(std::size_t number) const;
-    base::request_digest digest_of_body(std::uint64_t number) const;
+    base::request_digest body_digest(std::uint64_t number) const;
 
-    crash_plan plan;
-    std::mt19937_64 dice;
-    std::vector<work> works; // by entry
+    poison_request_plan plan;
+    std::mt19937_64 random_engine;
+    std::vector<process_state> processes; // by entry
     std::vector<upstream> upstreams;
     std::vector<body_record> bodies;
     virtual_fleet fleet;
-    base::instant next_copies;
+    base::instant next_poison;
     base::instant next_reset;
-    base::instant next_death;
+    base::instant next_exit;
     std::uint64_t next_body = 0;
     std::uint64_t next_request = 1;
     std::uint64_t next_process = 1;
-    std::uint64_t next_innocent = 1'000'000;
-    crash_result result;
+    std::uint64_t next_ordinary_body = 1'000'000;
+    poison_request_result result;
 };
 
 } // namespace greengagedrum::entry::fleet_test
--- a/src/greengagedrum/entry/fleet_test/cold_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
@@ -1,4 +1,4 @@
-#include <greengagedrum/entry/fleet_test/cold_fleet.hpp>
+#include <greengagedrum/entry/fleet_test/slow_start_fleet.hpp>
 
 #include <algorithm>
 #include <string>
@@ -13,28 +13,28 @@
 
 const base::class_id engines("engines");
 constexpr std::uint32_t slots = 50;
-constexpr base::duration ask_gap = 50ms; // of one entry
+constexpr base::duration request_interval = 50ms; // between requests at one entry
 constexpr base::duration window = 1s;
 
 } // namespace
 
-cold_fleet::cold_fleet(const cold_plan& plan)
-    : plan(plan), books(plan.entries), sent_lately(plan.data_centres),
+slow_start_fleet::slow_start_fleet(const slow_start_plan& plan)
+    : plan(plan), books(plan.entries), recent_sends(plan.data_centres),
       fleet(plan, this->hooks())
 {
     this->fleet.start();
 }
 
-virtual_fleet::hooks cold_fleet::hooks()
+virtual_fleet::hooks slow_start_fleet::hooks()
 {
     virtual_fleet::hooks out;
     out.configure = [this](node& one) { this->configure(one); };
     out.events = [this](node& one) { return this->events_of(one); };
-    out.after_step = [this](node& one) { this->ask(one); };
+    out.after_step = [this](node& one) { this->submit_request(one); };
     return out;
 }
 
-routing::published_upstream cold_fleet::published(std::size_t data_centre) const
+routing::published_upstream slow_start_fleet::published(std::size_t data_centre) const
 {
     routing::published_upstream out;
     out.name = "upstream-" + std::to_string(data_centre);
@@ -46,7 +46,7 @@
     return out;
 }
 
-void cold_fleet::configure(node& one)
+void slow_start_fleet::configure(node& one)
 {
     this->books[one.number] = {};
     const std::size_t place = one.number % this->plan.data_centres;
@@ -58,13 +58,13 @@
                                             this->fleet.time());
 }
 
-peer_events cold_fleet::events_of(node& of)
+peer_events slow_start_fleet::events_of(node& of)
 {
     peer_events out;
     out.peer_load_changed = [] {};
     out.items_received = [](const gossip::item_transfer&) {};
     out.delegation_started = [&of] { of.state.delegating = true; };
-    out.delegation_ended = [&of](std::size_t, const handed_limits*) {
+    out.delegation_ended = [&of](std::size_t, const limit_handover*) {
         of.state.delegating = false;
     };
     out.make_report = [] { return dispatch::member_report(); };
@@ -86,10 +86,10 @@
     return out;
 }
 
-void cold_fleet::ask(node& one)
+void slow_start_fleet::submit_request(node& one)
 {
     const base::instant now = this->fleet.time();
-    const auto phase = (now.time_since_epoch() + one.number * 5ms) % ask_gap;
+    const auto phase = (now.time_since_epoch() + one.number * 5ms) % request_interval;
     if (phase >= 5ms)
         return;
     traffic::request_facts facts;
@@ -102,29 +102,29 @@
     one.state.scheduler.step(traffic::request_arrived{id, facts}, now, orders);
     for (const traffic::action& each : orders) {
         if (const auto* order = std::get_if<traffic::send_request>(&each))
-            this->note_send(order->upstream);
+            this->record_send(order->upstream);
     }
     orders.clear();
     one.state.scheduler.step(traffic::caller_left{id}, now, orders);
 }
 
-void cold_fleet::note_send(base::upstream_id upstream)
+void slow_start_fleet::record_send(base::upstream_id upstream)
 {
     const base::instant now = this->fleet.time();
-    for (std::size_t each = 0; each < this->sent_lately.size(); ++each) {
+    for (std::size_t each = 0; each < this->recent_sends.size(); ++each) {
         if (this->published(each).id != upstream)
             continue;
-        std::deque<base::instant>& sent = this->sent_lately[each];
+        std::deque<base::instant>& sent = this->recent_sends[each];
         sent.push_back(now);
         while (now - sent.front() >= window)
             sent.pop_front();
         this->result.sends += 1;
-        this->result.most = std::max(this->result.most,
+        this->result.max_per_second = std::max(this->result.max_per_second,
                                      static_cast<std::uint32_t>(sent.size()));
     }
 }
 
-cold_result cold_fleet::play()
+slow_start_result slow_start_fleet::simulate()
 {
     while (this->fleet.seconds() < this->plan.seconds)
         this->fleet.step();
--- a/src/greengagedrum/entry/fleet_test/cold_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet_test.cpp
@@ -1,5 +1,5 @@
-// What all entries together send to a cold upstream.
-#include <greengagedrum/entry/fleet_test/cold_fleet.hpp>
+// How many requests all entries together send to a cold upstream.
+#include <greengagedrum/entry/fleet_test/slow_start_fleet.hpp>
 #include <greengagedrum/traffic/slow_start.hpp>
 
 #include <doctest/doctest.h>
@@ -18,11 +18,11 @@
 
 constexpr double per_second = 7.3;
 constexpr traffic::slow_start_tolerance tolerance{1.5, 5};
-constexpr std::uint32_t bound = 15; // 7.3 x 1.5 + 5
+constexpr std::uint32_t bound = 15; // 7.3 x 1.5 + 5, rounded down
 
-cold_plan plan_of(std::size_t entries, std::size_t data_centres)
+slow_start_plan plan_of(std::size_t entries, std::size_t data_centres)
 {
-    cold_plan out;
+    slow_start_plan out;
     out.entries = entries;
     out.data_centres = data_centres;
     out.seconds = 15;
@@ -30,12 +30,14 @@
     return out;
 }
 
-cold_plan random_plan(std::uint64_t seed)
+slow_start_plan random_plan(std::uint64_t seed)
 {
-    std::mt19937_64 dice(seed);
-    const auto below = [&dice](std::uint64_t most) { return dice() % most; };
+    std::mt19937_64 random_engine(seed);
+    const auto below = [&random_engine](std::uint64_t max_per_second) {
+        return random_engine() % max_per_second;
+    };
     constexpr std::size_t sizes[] = {2, 5, 9, 24, 40, 69};
-    cold_plan out = plan_of(sizes[below(std::size(sizes))], 1 + below(4));
+    slow_start_plan out = plan_of(sizes[below(std::size(sizes))], 1 + below(4));
     out.entries = std::max(out.entries, out.data_centres);
     out.seed = seed;
     out.seconds = 20;
@@ -67,48 +69,51 @@
 
 } // namespace
 
-TEST_CASE("cold_upstreams_get_their_sends_from_fleets_of_any_size")
+TEST_CASE("cold_upstreams_in_fleets_of_any_size_get_their_start_rate")
 {
     for (const std::size_t entries : {1U, 9U, 69U, 295U}) {
-        cold_plan plan = plan_of(entries, 4);
+        slow_start_plan plan = plan_of(entries, 4);
         plan.seconds = entries > 100 ? 8 : 15;
-        const cold_result got = cold_fleet(plan).play();
-        CHECK(got.most <= 7);
+        const slow_start_result got = slow_start_fleet(plan).simulate();
+        CHECK(got.max_per_second <= 7);
         MESSAGE(entries, " entries: ", got.sends, " sends");
-        // All that they may, but for the seconds until entries know each other.
+        // Nearly all allowed sends happen, except in the seconds until the
+        // entries know each other.
         if (entries > 4)
             CHECK(got.sends > 4U * 7 * (plan.seconds - 5));
     }
 }
 
-// All entries start again at once, and each takes itself for the only one.
-TEST_CASE("cold_upstreams_are_spared_by_entries_that_all_start_at_once")
+// All entries restart at once, and each takes itself to be the only one.
+TEST_CASE("cold_upstreams_keep_their_bound_when_all_entries_restart")
 {
-    cold_plan plan = plan_of(69, 4);
+    slow_start_plan plan = plan_of(69, 4);
     plan.all_killed_at = 6;
-    CHECK(cold_fleet(plan).play().most <= 7);
+    CHECK(slow_start_fleet(plan).simulate().max_per_second <= 7);
 }
 
-// Seeds of random fleets that sent too much once: dispatchers that follow each
-// other, processes frozen or cut off in their first seconds.
-TEST_CASE("cold_upstreams_are_spared_by_fleets_that_failed_once")
+// Seeds of random fleets that exceeded the bound in earlier versions, with
+// dispatchers that follow each other and processes frozen or cut off in their
+// first seconds.
+TEST_CASE("cold_upstreams_keep_their_bound_in_fleets_that_once_failed")
 {
     for (const std::uint64_t seed :
          {5U, 13U, 24U, 37U, 245U, 763U, 1523U, 1592U, 1932U}) {
         CAPTURE(seed);
-        CHECK(cold_fleet(random_plan(seed)).play().most <= bound);
+        CHECK(slow_start_fleet(random_plan(seed)).simulate().max_per_second <=
+              bound);
     }
 }
 
-// Entries that can't hear each other both send as if they were alone.
-TEST_CASE("cold_upstreams_are_spared_by_random_fleets")
+// Entries on both sides of a network partition send as if they were alone.
+TEST_CASE("cold_upstreams_keep_their_bound_in_random_fleets")
 {
     std::uint32_t worst = 0;
     const std::uint64_t first = number_from("GGD_FIRST_FLEET", 1);
     const std::uint64_t count = number_from("GGD_RANDOM_FLEETS", 40);
     for (std::uint64_t seed = first; seed < first + count; ++seed) {
         CAPTURE(seed);
-        const cold_plan plan = random_plan(seed);
+        const slow_start_plan plan = random_plan(seed);
         CAPTURE(plan.entries);
         CAPTURE(plan.data_centres);
         CAPTURE(plan.restart_gap.count());
@@ -119,11 +124,11 @@
         CAPTURE(plan.cut_for);
         CAPTURE(plan.killed_at.size());
         CAPTURE(plan.frozen_at.size());
-        const cold_result got = cold_fleet(plan).play();
-        CHECK(got.most <= bound);
-        worst = std::max(worst, got.most);
+        const slow_start_result got = slow_start_fleet(plan).simulate();
+        CHECK(got.max_per_second <= bound);
+        worst = std::max(worst, got.max_per_second);
     }
-    MESSAGE("most in a second: ", worst);
+    MESSAGE("most sends in a second: ", worst);
 }
 
 } // namespace greengagedrum::entry::fleet_test
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -1,13 +1,13 @@
 // How requests count against the limits of their workspaces.
-#include <greengagedrum/entry/front.hpp>
-#include <greengagedrum/entry/milliseconds.hpp>
+#include <greengagedrum/entry/request_handler.hpp>
+#include <greengagedrum/entry/to_milliseconds.hpp>
 
 namespace greengagedrum::entry
 {
 
 // Requests that wait were to be counted by the entry that placed them. All are
 // counted before the first is ended, for then others may be sent.
-void front::count_waiting()
+void request_handler::count_waiting_requests()
 {
     std::vector<std::pair<base::request_id, base::duration>> beyond;
     for (auto& [id, request] : this->requests) {
@@ -17,27 +17,28 @@
                                                    request.cost,
                                                    request.priority,
                                                    this->state.clock());
-        request.counted = !over;
+        request.counted_here = !over;
         if (!over)
             continue;
-        this->note_over_limit(
+        this->log_over_limit(
             request.workspace, request.cost, request.priority, *over);
         beyond.emplace_back(id, *over);
     }
     for (const auto& [id, retry_after] : beyond)
-        this->refuse_waiting(id, retry_after);
+        this->refuse_waiting_request(id, retry_after);
 }
 
-void front::refuse_waiting(base::request_id id, base::duration retry_after)
+void request_handler::refuse_waiting_request(base::request_id id,
+                                             base::duration retry_after)
 {
-    this->told(traffic::caller_left{id});
-    this->carry_out_one(traffic::end_request{
+    this->submit_event(traffic::caller_left{id});
+    this->execute_action(traffic::end_request{
         id, base::not_run(base::reason::limit_reached, retry_after)});
 }
 
-void front::return_cost(const accepted& request)
+void request_handler::refund_cost(const active_request& request)
 {
-    if (!request.counted)
+    if (!request.counted_here)
         return;
     const base::instant now = this->state.clock();
     quota::usage_limiter& limiter = this->state.limiter;
@@ -49,17 +50,17 @@
 
 // The entry that counts says what it went by; where it placed for another one,
 // that one's log bears the request's own id and only the verdict.
-void front::note_over_limit(base::workspace_id workspace,
-                            double cost,
-                            std::uint32_t priority,
-                            base::duration retry_after)
+void request_handler::log_over_limit(base::workspace_id workspace,
+                                     double cost,
+                                     std::uint32_t priority,
+                                     base::duration retry_after)
 {
     const base::instant now = this->state.clock();
     const quota::limit_view seen = this->state.limiter.view(workspace, now);
     const double kept = this->state.limiter.kept_for_more_urgent(
         workspace, cost, priority, now);
     const routing::workspace* of =
-        this->state.known.routes()->find_workspace(workspace);
+        this->state.cluster.routes()->find_workspace(workspace);
     this->state.log.write(now,
                           "limits",
                           "limit_reached",
@@ -74,7 +75,7 @@
                            {"bound", seen.bound},
                            {"absent_share", seen.absent_share},
                            {"window_known", seen.window_known},
-                           {"retry_after_ms", milliseconds(retry_after)}});
+                           {"retry_after_ms", to_milliseconds(retry_after)}});
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -1,14 +1,14 @@
 // Requests that are placed for other entries, and own ones that another entry
 // places.
-#include <greengagedrum/entry/front.hpp>
-#include <greengagedrum/entry/milliseconds.hpp>
+#include <greengagedrum/entry/request_handler.hpp>
+#include <greengagedrum/entry/to_milliseconds.hpp>
 
 namespace greengagedrum::entry
 {
 
 // ---- Own requests, placed by another entry --------------------------------
 
-dispatch::member_report front::report_to_dispatcher() const
+dispatch::member_report request_handler::make_member_report() const
 {
     const base::instant now = this->state.clock();
     dispatch::member_report out;
@@ -17,9 +17,9 @@
         const auto found = this->requests.find(one.request);
         if (found == this->requests.end())
             continue;
-        const accepted& request = found->second;
+        const active_request& request = found->second;
         // A request that was sent before is counted somewhere already.
-        const bool counted = request.counted || request.sent_at;
+        const bool counted = request.counted_here || request.sent_at;
         out.wanted.push_back({{one.request, one.send},
                               one.facts,
                               std::move(one.tried),
@@ -37,28 +37,29 @@
     return out;
 }
 
-void front::replied(const dispatch::dispatcher_reply& what)
+void request_handler::on_dispatcher_reply(
+    const dispatch::dispatcher_reply& what)
 {
     this->journal.taken(what.news_taken);
     for (const dispatch::granted_place& one : what.granted)
-        this->told(traffic::place_granted{one.name.request,
-                                          one.name.send,
-                                          one.upstream,
-                                          one.expected,
-                                          one.taken,
-                                          one.places});
+        this->submit_event(traffic::place_granted{one.name.request,
+                                                  one.name.send,
+                                                  one.upstream,
+                                                  one.expected,
+                                                  one.taken,
+                                                  one.places});
     for (const dispatch::declined_place& one : what.declined)
-        this->told(
+        this->submit_event(
             traffic::place_declined{one.name.request,
                                     one.name.send,
                                     base::not_run(one.why, one.retry_after)});
 }
 
-void front::delegate()
+void request_handler::start_delegating()
 {
     this->state.delegating = true;
     this->state.scheduler.delegate(true);
-    this->take(this->members.lost_all());
+    this->apply_member_changes(this->members.lost_all());
 }
 
 // Whoever counted for this entry may be gone, and what it told last of limits
@@ -67,53 +68,56 @@
 // Failure guarded against: a dispatcher dies, and each of its members has the
 // whole of every limit until it has counted the others: of three requests of
 // 200 tokens that waited, all three went out on a part of 285.
-void front::place_alone(std::size_t unheard, const handed_limits* known)
+void request_handler::place_locally(std::size_t unheard,
+                                    const limit_handover* known)
 {
     const base::instant now = this->state.clock();
     if (known != nullptr)
         this->state.limiter.take_over(
-            known->from, known->life, known->uses, now);
+            known->sender, known->incarnation, known->usage, now);
     else
         this->state.limiter.restart(now);
     this->state.limiter.set_unheard_peers(unheard);
     this->state.limiter.assume_silent_peers(now);
     this->state.delegating = false;
     this->state.scheduler.delegate(false);
-    this->count_waiting();
+    this->count_waiting_requests();
 }
 
 // ---- Members' requests ----------------------------------------------------
 
-void front::member_reported(base::slot_id member,
-                            base::incarnation life,
-                            const dispatch::member_report& told,
-                            std::span<const traffic::upstream_use> uses)
+void request_handler::on_member_report(
+    base::slot_id member,
+    base::incarnation life,
+    const dispatch::member_report& told,
+    std::span<const traffic::upstream_use> uses)
 {
     const dispatch::request_changes news =
         this->members.report(member, life, told, uses);
     this->state.scheduler.peer_told(
         member, news.others, {}, this->state.clock());
-    this->take(news);
+    this->apply_member_changes(news);
 }
 
-void front::member_lost(base::slot_id member)
+void request_handler::on_member_lost(base::slot_id member)
 {
-    this->take(this->members.lost(member));
+    this->apply_member_changes(this->members.lost(member));
 }
 
-void front::take(const dispatch::request_changes& news)
+void request_handler::apply_member_changes(
+    const dispatch::request_changes& news)
 {
     const base::instant now = this->state.clock();
     for (const dispatch::counted_cost& cost : news.withdrawn)
         this->state.limiter.withdrawn(cost.workspace, cost.amount, now);
     for (const traffic::event& one : news.events)
-        this->told(one);
+        this->submit_event(one);
     for (const auto& [id, wanted] : news.arrived)
-        this->arrived_at_member(id, wanted);
+        this->add_member_request(id, wanted);
 }
 
-void front::arrived_at_member(base::request_id id,
-                              const dispatch::slot_request& wanted)
+void request_handler::add_member_request(base::request_id id,
+                                         const dispatch::slot_request& wanted)
 {
     const auto over = wanted.counted
                           ? std::nullopt
@@ -122,7 +126,7 @@
                                                      wanted.facts.priority,
                                                      this->state.clock());
     if (over) {
-        this->note_over_limit(
+        this->log_over_limit(
             wanted.facts.workspace, wanted.cost, wanted.facts.priority, *over);
         // The limit has nothing of it to give back.
         this->members.declined(
@@ -131,13 +135,14 @@
     }
     traffic::request_facts facts = wanted.facts;
     facts.homes = this->homes_of(facts);
-    this->told(traffic::request_arrived{id, facts, wanted.tried});
+    this->submit_event(traffic::request_arrived{id, facts, wanted.tried});
 }
 
 // As the configuration in force here says: members ask by route and workspace.
-routing::homes front::homes_of(const traffic::request_facts& facts) const
+routing::homes
+request_handler::homes_of(const traffic::request_facts& facts) const
 {
-    const routing::route_table_ptr& table = this->state.known.routes();
+    const routing::route_table_ptr& table = this->state.cluster.routes();
     const routing::route* route =
         table ? table->find_route(facts.kind) : nullptr;
     if (route == nullptr)
@@ -146,20 +151,20 @@
         *route, table->find_workspace(facts.workspace), this->state.regions);
 }
 
-void front::grant(const traffic::send_request& order)
+void request_handler::grant_slot(const traffic::send_request& order)
 {
     const base::instant now = this->state.clock();
-    if (this->state.known.upstreams().find(order.upstream) == nullptr) {
+    if (this->state.cluster.upstreams().find(order.upstream) == nullptr) {
         // It left within this very turn.
         if (const auto cost = this->members.forget(order.request))
             this->state.limiter.withdrawn(cost->workspace, cost->amount, now);
-        return this->told(traffic::caller_left{order.request});
+        return this->submit_event(traffic::caller_left{order.request});
     }
     if (const auto cost = this->members.granted(order))
         this->state.limiter.sent(cost->workspace, cost->amount, now);
 }
 
-void front::decline(const traffic::end_request& order)
+void request_handler::decline_slot(const traffic::end_request& order)
 {
     const auto cost = this->members.declined(order.request, order.verdict);
     if (cost)
--- a/src/greengagedrum/entry/peer_protocol.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -164,15 +164,15 @@
     if (this->large && this->dispatcher == message->address)
         return this->follow(*message, now);
     if (message->configuration_revision >
-            this->state.known.configuration_revision() ||
-        message->change_revision > this->state.known.changed_at())
+            this->state.cluster.configuration_revision() ||
+        message->change_revision > this->state.cluster.last_change_revision())
         this->ask_peer(now);
 }
 
 // When the newest answer that any peer had is older, nobody may be reading.
 base::duration peer_protocol::read_lately() const
 {
-    return store_reader::pause_of(this->own.bounds.news()) + answer_takes;
+    return store_reader::poll_interval_for(this->own.bounds.shortest_update_delay()) + answer_takes;
 }
 
 // Failures guarded against: the reader of a data centre dies, is frozen or is
@@ -184,7 +184,7 @@
 {
     const base::instant now = this->state.clock();
     const base::duration bound =
-        this->own.bounds.news() * rest_parts / all_parts;
+        this->own.bounds.shortest_update_delay() * rest_parts / all_parts;
     if (this->large)
         return this->dispatcher_reads(bound, now);
     return now - this->own_read_at < bound &&
@@ -236,11 +236,11 @@
     out.strength = strength_of(this->own);
     out.lived_for = now - this->began;
     out.stopping = this->state.stopping;
-    out.configuration_revision = this->state.known.configuration_revision();
-    out.store_revision = this->state.known.as_of();
-    out.change_revision = this->state.known.changed_at();
-    out.changes = this->state.known.changes();
-    out.digest = this->state.known.digest();
+    out.configuration_revision = this->state.cluster.configuration_revision();
+    out.store_revision = this->state.cluster.store_revision();
+    out.change_revision = this->state.cluster.last_change_revision();
+    out.changes = this->state.cluster.change_count();
+    out.digest = this->state.cluster.content_digest();
     out.store_age = now - this->own_read_at;
     return out;
 }
@@ -307,7 +307,7 @@
     this->state.limiter.assume_silent_peers(now);
     const auto newest = this->table.newest_source(now, this->turn);
     const bool changed =
-        newest && newest->change_revision > this->state.known.changed_at();
+        newest && newest->change_revision > this->state.cluster.last_change_revision();
     if (store_fails || changed)
         this->ask_peer(now);
 }
@@ -317,12 +317,12 @@
     if (this->asking || now - this->asked_at < ask_gap)
         return;
     const auto source = this->table.newest_source(now, ++this->turn);
-    if (!source || (source->store_revision <= this->state.known.as_of() &&
-                    source->change_revision <= this->state.known.changed_at()))
+    if (!source || (source->store_revision <= this->state.cluster.store_revision() &&
+                    source->change_revision <= this->state.cluster.last_change_revision()))
         return;
     this->ask_for_items(source->address,
-                        {std::min(this->state.known.changed_at(),
-                                  this->state.known.configuration_revision()),
+                        {std::min(this->state.cluster.last_change_revision(),
+                                  this->state.cluster.configuration_revision()),
                          std::nullopt},
                         now);
 }
@@ -334,7 +334,7 @@
     this->asking = true;
     this->asked_at = now;
     const base::ip_endpoint to{relay::asio::ip::address_v4(of).to_string(),
-                               this->own.control.port};
+                               this->own.control_address.port};
     this->transport.ask(
         to,
         item_query_target(what),
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -1,7 +1,7 @@
 // Among many entries: which of them places requests, and what is made of what
 // the others tell.
 #include <greengagedrum/entry/peer_protocol.hpp>
-#include <greengagedrum/entry/standing_log.hpp>
+#include <greengagedrum/entry/crash_suspect_log.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -62,7 +62,7 @@
     const auto changes =
         this->state.scheduler.crash_suspects().merge(received.suspects, now);
     for (const quarantine::standing_change& one : changes)
-        log_standing(this->state, one, received.instance);
+        log_crash_suspect(this->state, one, received.instance);
 }
 
 void peer_protocol::take_load(const gossip::message& told, base::instant now)
@@ -120,8 +120,8 @@
 void peer_protocol::take_limits(const gossip::message& told, base::instant now)
 {
     const base::slot_id slot(told.instance);
-    if (this->limits && this->limits->from == slot)
-        this->limits->stopping = told.stopping;
+    if (this->limits && this->limits->sender == slot)
+        this->limits->sender_stopping = told.stopping;
     if (told.workspace_uses.empty())
         return;
     if (!this->state.delegating) {
@@ -155,7 +155,7 @@
 void peer_protocol::follow(const gossip::message& told, base::instant now)
 {
     this->dispatcher_digest = told.digest;
-    if (told.digest == this->state.known.digest())
+    if (told.digest == this->state.cluster.content_digest())
         this->passed = {told.life, told.changes};
     else if (!this->asking && now - this->asked_at >= follow_gap)
         this->ask_dispatcher(told, now);
@@ -176,7 +176,7 @@
                                      base::instant now) const
 {
     if (!this->dispatcher ||
-        this->dispatcher_digest != this->state.known.digest())
+        this->dispatcher_digest != this->state.cluster.content_digest())
         return false;
     const base::duration age = now - this->peer_read_at;
     const bool next_in_line = this->order.place_in_line(now) < readers_in_line;
@@ -244,8 +244,8 @@
     }
     this->placing_since = now;
     const bool handed =
-        this->limits && now - this->limits->told_at <= limits_hold;
-    const bool planned = handed && this->limits->stopping;
+        this->limits && now - this->limits->received_at <= limits_hold;
+    const bool planned = handed && this->limits->sender_stopping;
     this->unheard_alone = planned ? 0 : this->order.known_nearby(now);
     this->events.delegation_ended(this->order.unheard_data_centres(now) +
                                       this->unheard_alone,
--- a/src/greengagedrum/entry/quarantine_page.cpp
+++ b/src/greengagedrum/entry/quarantine_endpoint.cpp
@@ -1,6 +1,6 @@
-#include <greengagedrum/entry/milliseconds.hpp>
-#include <greengagedrum/entry/quarantine_page.hpp>
-#include <greengagedrum/entry/standing_log.hpp>
+#include <greengagedrum/entry/crash_suspect_log.hpp>
+#include <greengagedrum/entry/quarantine_endpoint.hpp>
+#include <greengagedrum/entry/to_milliseconds.hpp>
 
 #include <nlohmann/json.hpp>
 
@@ -22,12 +22,13 @@
         state.scheduler.crash_suspects();
     nlohmann::json out = nlohmann::json::array();
     for (const quarantine::standing_change& one : suspects.barred(now))
-        out.push_back({{"digest", base::to_hex(one.request)},
-                       {"workspace", workspace_name(state, one.workspace)},
-                       {"standing", quarantine::to_string(one.now)},
-                       {"crashes", one.crashes},
-                       {"pause_ms",
-                        milliseconds(suspects.pause_left(one.request, now))}});
+        out.push_back(
+            {{"digest", base::to_hex(one.request)},
+             {"workspace", workspace_name(state, one.workspace)},
+             {"standing", quarantine::to_string(one.now)},
+             {"crashes", one.crashes},
+             {"pause_ms",
+              to_milliseconds(suspects.pause_left(one.request, now))}});
     return {relay::status_ok, "application/json", out.dump() + "\n"};
 }
 
@@ -40,7 +41,7 @@
             continue;
         for (const quarantine::standing_change& change :
              suspects.cleared(one.request, now))
-            log_standing(state, change, "operator");
+            log_crash_suspect(state, change, "operator");
         return {relay::status_ok, "text/plain", "released\n"};
     }
     return {not_found, "text/plain", "no such request is quarantined\n"};
@@ -48,19 +49,20 @@
 
 } // namespace
 
-bool is_quarantine_question(const relay::small_question& asked)
+bool is_quarantine_request(const relay::small_question& asked)
 {
     return asked.target == list_target ||
            asked.target.starts_with(release_target);
 }
 
-relay::small_answer answer_quarantine(shared_state& state,
-                                      const relay::small_question& asked)
+relay::small_answer
+answer_quarantine_request(shared_state& state,
+                          const relay::small_question& asked)
 {
     if (asked.target == list_target)
         return list(state);
     if (asked.method != "POST")
-        return {wrong_method, "text/plain", "release by POST\n"};
+        return {wrong_method, "text/plain", "use POST to release a request\n"};
     return release(state, asked.target.substr(release_target.size()));
 }
 
--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -1,5 +1,5 @@
-#include <greengagedrum/entry/front.hpp>
-#include <greengagedrum/entry/milliseconds.hpp>
+#include <greengagedrum/entry/request_handler.hpp>
+#include <greengagedrum/entry/to_milliseconds.hpp>
 #include <greengagedrum/placement/seconds.hpp>
 #include <greengagedrum/relay/small_server.hpp>
 
@@ -13,7 +13,7 @@
 
 // Descriptors are bounded at some 4,000 on the smallest instances, and each
 // request under way takes a second one.
-constexpr std::size_t callers_most = 1800;
+constexpr std::size_t max_callers = 1800;
 
 // Bounds where the configuration has none, and before there is one.
 constexpr std::size_t default_body_bytes = 4U << 20U;
@@ -21,10 +21,10 @@
 constexpr base::duration default_time_left = std::chrono::seconds(30);
 
 // A configuration comes within a few store calls of a start.
-constexpr base::duration until_configured = std::chrono::milliseconds(500);
+constexpr base::duration retry_after_unconfigured = std::chrono::milliseconds(500);
 
 // A prompt's output may be long; without a hint half of the most is expected.
-constexpr std::uint32_t output_part = 2;
+constexpr std::uint32_t output_divisor = 2;
 
 std::string_view path_of(std::string_view target)
 {
@@ -39,18 +39,18 @@
 
 } // namespace
 
-front::front(relay::asio::io_context& context,
+request_handler::request_handler(relay::asio::io_context& context,
              const base::ip_endpoint& address,
              shared_state& state)
     : context(context), acceptor(relay::listen_on(context, address)),
-      state(state), dice(std::random_device{}())
+      state(state), random_engine(std::random_device{}())
 {
     this->events.request = [this](const relay::caller_ptr& from,
                                   base::duration waited) {
         this->on_request(from, waited);
     };
     this->events.left = [this](const relay::caller_ptr& from) {
-        this->on_left(from);
+        this->on_caller_left(from);
     };
     this->events.refused = [this](const relay::read_fault& fault) {
         this->state.log.write(this->state.clock(),
@@ -65,32 +65,32 @@
     this->accept();
 }
 
-void front::accept()
+void request_handler::accept()
 {
     this->acceptor.async_accept(
         [this](relay::error_code fault, relay::tcp::socket socket) {
             if (fault == relay::asio::error::operation_aborted)
                 return;
-            if (!fault && this->callers.size() < callers_most) {
-                const auto fresh = std::make_shared<relay::caller_connection>(
+            if (!fault && this->callers.size() < max_callers) {
+                const auto connection = std::make_shared<relay::caller_connection>(
                     std::move(socket), this->events, this->bounds());
                 if (this->state.stopping)
-                    fresh->set_closing();
-                this->callers.insert(fresh);
-                fresh->start();
+                    connection->set_closing();
+                this->callers.insert(connection);
+                connection->start();
             }
             this->accept();
         });
 }
 
-relay::caller_bounds front::bounds() const
+relay::caller_bounds request_handler::bounds() const
 {
     relay::caller_bounds out;
     out.read = {default_head_bytes, default_body_bytes};
-    if (!this->state.known.routes())
+    if (!this->state.cluster.routes())
         return out;
     const routing::caller_limits& limits =
-        this->state.known.routes()->source().limits;
+        this->state.cluster.routes()->source().limits;
     if (limits.head_bytes > 0)
         out.read.head_bytes = limits.head_bytes;
     if (limits.body_bytes > 0)
@@ -102,7 +102,7 @@
     return out;
 }
 
-base::ip_endpoint front::address() const
+base::ip_endpoint request_handler::address() const
 {
     const relay::tcp::endpoint own = this->acceptor.local_endpoint();
     return {own.address().to_string(), own.port()};
@@ -110,18 +110,18 @@
 
 // ---- Requests -------------------------------------------------------------
 
-std::optional<relay::own_answer> front::admit(const relay::request_head& head,
+std::optional<relay::own_answer> request_handler::admit(const relay::request_head& head,
                                               base::duration waited,
-                                              admitted& out)
+                                              request_properties& out)
 {
     using relay::own_answer;
     if (auto fault = platform::read_request_marks(head, out.origin.marks))
         return own_answer{400, std::move(*fault), {}};
     if (out.origin.marks.attempt.empty())
         return own_answer{400, "no request id", {}};
-    const routing::route_table_ptr& table = this->state.known.routes();
+    const routing::route_table_ptr& table = this->state.cluster.routes();
     if (!table)
-        return own_answer{503, "not_configured", until_configured};
+        return own_answer{503, "not_configured", retry_after_unconfigured};
     const auto host = relay::find_header(head.headers, "Host").value_or("");
     const routing::route* route = table->find_route(host, path_of(head.target));
     if (route == nullptr)
@@ -138,14 +138,14 @@
     return std::nullopt;
 }
 
-void front::fill_facts(const routing::route& route,
+void request_handler::fill_facts(const routing::route& route,
                        const routing::workspace* owner,
                        base::duration waited,
-                       admitted& out)
+                       request_properties& out)
 {
     const platform::request_marks& marks = out.origin.marks;
     const double draw =
-        std::uniform_real_distribution<double>(0.0, 1.0)(this->dice);
+        std::uniform_real_distribution<double>(0.0, 1.0)(this->random_engine);
     const routing::route_target& target =
         routing::route_table::pick_target(route, draw);
     traffic::request_facts& facts = out.facts;
@@ -153,14 +153,14 @@
     facts.kind = route.id;
     facts.rule = route.rule;
     facts.stream = route.stream;
-    facts.priority = this->state.known.routes()->urgency(route, owner);
+    facts.priority = this->state.cluster.routes()->urgency(route, owner);
     facts.sends_max = route.sends_max;
     facts.homes = routing::homes_of(route, owner, this->state.regions);
     facts.objective = route.objective;
     facts.gap_objective = route.gap_objective;
     facts.prompt_tokens = marks.prompt_tokens.value_or(0);
     facts.output_tokens =
-        marks.expected_tokens.value_or(marks.output_tokens / output_part);
+        marks.expected_tokens.value_or(marks.output_tokens / output_divisor);
     base::duration left = marks.time_left.value_or(default_time_left) - waited;
     if (route.timeout.count() > 0)
         left = std::min(left, route.timeout - waited);
@@ -182,12 +182,12 @@
     out.cost = owner->limit.in_tokens ? tokens : 1;
 }
 
-void front::on_request(const relay::caller_ptr& from, base::duration waited)
+void request_handler::on_request(const relay::caller_ptr& from, base::duration waited)
 {
     const base::instant now = this->state.clock();
     if (this->state.stopping)
         from->set_closing();
-    admitted request;
+    request_properties request;
     const auto refusal = this->admit(from->head(), waited, request);
     const std::string attempt = request.origin.marks.attempt;
     if (refusal)
@@ -195,9 +195,9 @@
     const relay::request_head& head = from->head();
     request.facts.digest = base::digest_of_request(
         request.origin.workspace, head.method, head.target, from->body());
-    const bool counted = !this->state.delegating;
-    const auto over =
-        counted
+    const bool counted_here = !this->state.delegating;
+    const auto retry_after =
+        counted_here
             ? this->state.limiter.take(
                   request.workspace, request.cost, request.facts.priority, now)
             : std::nullopt;
@@ -211,67 +211,67 @@
          {"workspace", request.origin.workspace},
          {"priority", request.facts.priority},
          {"prompt_tokens", request.facts.prompt_tokens},
-         {"time_left_ms", milliseconds(request.facts.time_left)},
-         {"config_version", this->state.known.configuration_version()},
+         {"time_left_ms", to_milliseconds(request.facts.time_left)},
+         {"config_version", this->state.cluster.configuration_version()},
          {"cost", request.cost},
          {"limit_level",
           this->state.limiter.view(request.workspace, now).level}});
-    if (over) {
-        this->note_over_limit(
-            request.workspace, request.cost, request.facts.priority, *over);
+    if (retry_after) {
+        this->log_over_limit(
+            request.workspace, request.cost, request.facts.priority, *retry_after);
         return this->refuse(
-            from, attempt, relay::own_answer{429, "limit_reached", over});
+            from, attempt, relay::own_answer{429, "limit_reached", retry_after});
     }
     const base::request_id id{this->next_request++};
     request.origin.id = id;
-    accepted& fresh = this->requests[id];
-    fresh.arrived = now - waited;
-    fresh.workspace = request.workspace;
-    fresh.cost = request.cost;
-    fresh.priority = request.facts.priority;
-    fresh.counted = counted;
-    fresh.series = request.series;
-    fresh.digest = request.facts.digest;
-    fresh.objective = request.facts.objective;
-    fresh.gap_objective = request.facts.gap_objective;
-    fresh.wire = this->make_exchange(from, std::move(request.origin));
+    active_request& active = this->requests[id];
+    active.arrived = now - waited;
+    active.workspace = request.workspace;
+    active.cost = request.cost;
+    active.priority = request.facts.priority;
+    active.counted_here = counted_here;
+    active.series = request.series;
+    active.digest = request.facts.digest;
+    active.objective = request.facts.objective;
+    active.gap_objective = request.facts.gap_objective;
+    active.http_exchange = this->make_exchange(from, std::move(request.origin));
     this->by_caller[from.get()] = id;
-    this->told(traffic::request_arrived{id, request.facts});
+    this->submit_event(traffic::request_arrived{id, request.facts});
     if (this->state.delegating)
-        this->uses_changed();
+        this->on_load_changed();
 }
 
-void front::refuse(const relay::caller_ptr& from,
+void request_handler::refuse(const relay::caller_ptr& from,
                    const std::string& attempt,
-                   const relay::own_answer& what)
+                   const relay::own_answer& answer)
 {
     this->state.log.write(
         this->state.clock(),
         "front",
         "request_refused",
         {{"request", attempt},
-         {"status", what.status},
-         {"why", what.reason},
-         {"config_version", this->state.known.configuration_version()},
+         {"status", answer.status},
+         {"why", answer.reason},
+         {"config_version", this->state.cluster.configuration_version()},
          {"retry_after_ms",
-          milliseconds(what.retry_after.value_or(base::duration(0)))}});
-    from->answer(what);
+          to_milliseconds(answer.retry_after.value_or(base::duration(0)))}});
+    from->answer(answer);
 }
 
-std::shared_ptr<exchange> front::make_exchange(const relay::caller_ptr& from,
+std::shared_ptr<exchange> request_handler::make_exchange(const relay::caller_ptr& from,
                                                request_info origin)
 {
     exchange::owner_events owner;
     const base::request_id id = origin.id;
-    owner.on_event = [this](const traffic::event& what) { this->told(what); };
-    owner.on_send_ended = [this, id](const send_outcome& what) {
-        this->reported(id, what);
+    owner.on_event = [this](const traffic::event& event) { this->submit_event(event); };
+    owner.on_send_ended = [this, id](const send_outcome& report) {
+        this->log_send_report(id, report);
     };
     return std::make_shared<exchange>(
         this->context, from, std::move(origin), std::move(owner));
 }
 
-void front::on_left(const relay::caller_ptr& from)
+void request_handler::on_caller_left(const relay::caller_ptr& from)
 {
     const auto found = this->by_caller.find(from.get());
     if (found == this->by_caller.end())
@@ -281,44 +281,44 @@
     const auto request = this->requests.find(id);
     if (request == this->requests.end())
         return;
-    const std::shared_ptr<exchange> wire = request->second.wire;
+    const std::shared_ptr<exchange> http_exchange = request->second.http_exchange;
     this->state.log.write(
         this->state.clock(),
         "front",
         "caller_left",
-        {{"request", wire->info().marks.attempt},
+        {{"request", http_exchange->info().marks.attempt},
          {"after_ms",
-          milliseconds(this->state.clock() - request->second.arrived)}});
-    wire->abandon();
+          to_milliseconds(this->state.clock() - request->second.arrived)}});
+    http_exchange->abandon();
     if (!request->second.sent_at)
-        this->return_cost(request->second);
+        this->refund_cost(request->second);
     this->requests.erase(request);
     this->sent_to.erase(id);
-    this->told(traffic::caller_left{id});
+    this->submit_event(traffic::caller_left{id});
     if (this->state.delegating)
-        this->uses_changed();
+        this->on_load_changed();
 }
 
-void front::place()
+void request_handler::place_waiting_requests()
 {
-    if (this->working)
+    if (this->processing_events)
         return;
-    this->working = true;
-    traffic::actions orders;
-    this->state.scheduler.place(this->state.clock(), orders);
-    this->carry_out(orders);
-    this->decide_backlog();
-    this->working = false;
+    this->processing_events = true;
+    traffic::actions actions;
+    this->state.scheduler.place(this->state.clock(), actions);
+    this->execute(actions);
+    this->process_pending_events();
+    this->processing_events = false;
 }
 
-void front::tick()
+void request_handler::tick()
 {
-    this->working = true;
-    traffic::actions orders;
-    this->state.scheduler.tick(this->state.clock(), orders);
-    this->carry_out(orders);
-    this->decide_backlog();
-    this->working = false;
+    this->processing_events = true;
+    traffic::actions actions;
+    this->state.scheduler.tick(this->state.clock(), actions);
+    this->execute(actions);
+    this->process_pending_events();
+    this->processing_events = false;
     const base::instant now = this->state.clock();
     const std::vector<relay::caller_ptr> all(this->callers.begin(),
                                              this->callers.end());
@@ -326,18 +326,18 @@
     for (const relay::caller_ptr& one : all)
         one->check_time(now, limits);
     for (auto& [id, request] : this->requests)
-        request.wire->resume_reading();
+        request.http_exchange->resume_reading();
 }
 
 // ---- Stopping -------------------------------------------------------------
 
-void front::begin_stop()
+void request_handler::begin_stop()
 {
     for (const relay::caller_ptr& one : this->callers)
         one->set_closing();
 }
 
-void front::stop_accepting()
+void request_handler::stop_accepting()
 {
     relay::error_code ignored; // closed either way
     this->acceptor.close(ignored);
--- a/src/greengagedrum/entry/front.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -4,7 +4,7 @@
 #include <greengagedrum/dispatch/dispatcher_book.hpp>
 #include <greengagedrum/dispatch/send_journal.hpp>
 #include <greengagedrum/entry/cluster_state.hpp>
-#include <greengagedrum/entry/decision_log.hpp>
+#include <greengagedrum/entry/rate_limited_log.hpp>
 #include <greengagedrum/entry/exchange.hpp>
 #include <greengagedrum/entry/settings.hpp>
 #include <greengagedrum/quota/usage_limiter.hpp>
@@ -24,10 +24,10 @@
 // What the parts of an entry share; they all run on its one loop.
 struct shared_state {
     std::function<base::instant()> clock;
-    cluster_state known;
+    cluster_state cluster;
     quota::usage_limiter limiter;
     traffic::scheduler scheduler;
-    decision_log log;
+    rate_limited_log log;
     telemetry::registry metrics;
     bool stopping = false;
     // Another entry places this one's requests and counts them against their
@@ -37,27 +37,27 @@
 };
 
 // What a dispatcher knows of limits, as it tells the entries next in line.
-struct handed_limits {
-    base::slot_id from;
-    base::incarnation life;
-    std::vector<quota::workspace_use> uses;
-    bool stopping = false; // it has none but its own requests from then on
-    base::instant told_at;
+struct limit_handover {
+    base::slot_id sender;
+    base::incarnation incarnation;
+    std::vector<quota::workspace_use> usage;
+    bool sender_stopping = false; // it has none but its own requests from then on
+    base::instant received_at;
 };
 
-class front
+class request_handler
 {
 public:
-    front(relay::asio::io_context& context,
+    request_handler(relay::asio::io_context& context,
           const base::ip_endpoint& address,
           shared_state& state);
 
     // Something was learnt, or time has passed.
     void tick();
     // Places may be free for what waits.
-    void place();
+    void place_waiting_requests();
 
-    void upstreams_changed(const cluster_changes& changes);
+    void apply_upstream_changes(const cluster_changes& changes);
 
     // Answers say that their connections close from now on.
     void begin_stop();
@@ -68,41 +68,41 @@
     base::ip_endpoint address() const;
 
     std::size_t in_flight() const { return this->requests.size(); }
-    std::size_t callers_open() const { return this->callers.size(); }
+    std::size_t open_connections() const { return this->callers.size(); }
 
     // Told when the places taken on upstreams have changed, or what waits for
     // them.
-    std::function<void()> uses_changed = [] {};
+    std::function<void()> on_load_changed = [] {};
 
     // ---- Where one entry of a data centre places for all --------------------
 
     // Another entry places from now on, or this one does again; of so many
     // others it can't hear what they let through. `known`, if there is any, is
     // what the one that placed knew of limits.
-    void delegate();
-    void place_alone(std::size_t unheard, const handed_limits* known);
+    void start_delegating();
+    void place_locally(std::size_t unheard, const limit_handover* known);
     // To whoever places, and what it replied.
-    dispatch::member_report report_to_dispatcher() const;
-    void replied(const dispatch::dispatcher_reply& what);
+    dispatch::member_report make_member_report() const;
+    void on_dispatcher_reply(const dispatch::dispatcher_reply& what);
 
     // What a member reported, and that it is gone.
-    void member_reported(base::slot_id member,
+    void on_member_report(base::slot_id member,
                          base::incarnation life,
                          const dispatch::member_report& told,
                          std::span<const traffic::upstream_use> uses);
-    void member_lost(base::slot_id member);
-    dispatch::dispatcher_book& book() { return this->members; }
+    void on_member_lost(base::slot_id member);
+    dispatch::dispatcher_book& member_requests() { return this->members; }
 
 private:
-    struct accepted {
-        std::shared_ptr<exchange> wire;
+    struct active_request {
+        std::shared_ptr<exchange> http_exchange;
         base::instant arrived;
         base::instant end_at;
         base::workspace_id workspace;
         base::request_digest digest;
         double cost = 0; // counted against its workspace's limit
         std::uint32_t priority = 0;
-        bool counted = true; // here, and not where it is placed
+        bool counted_here = true; // here, and not where it is placed
         telemetry::series_key series;
         base::duration objective{0};
         base::duration gap_objective{0}; // between events; 0: none
@@ -113,11 +113,11 @@
         base::instant last_event_at;
         base::duration longest_gap{0}; // between events
 
-        bool in_time(base::instant first) const;
+        bool in_time(base::instant first_event) const;
     };
 
     // What was found out about a request before it is decided on.
-    struct admitted {
+    struct request_properties {
         request_info origin;
         traffic::request_facts facts;
         base::workspace_id workspace;
@@ -127,48 +127,48 @@
 
     void accept();
     void on_request(const relay::caller_ptr& from, base::duration waited);
-    void on_left(const relay::caller_ptr& from);
+    void on_caller_left(const relay::caller_ptr& from);
     // The answer of a request that is not let in; else `out` is filled.
     std::optional<relay::own_answer> admit(const relay::request_head& head,
                                            base::duration waited,
-                                           admitted& out);
+                                           request_properties& out);
     void fill_facts(const routing::route& route,
                     const routing::workspace* owner,
                     base::duration waited,
-                    admitted& out);
+                    request_properties& out);
     void refuse(const relay::caller_ptr& from,
                 const std::string& attempt,
-                const relay::own_answer& what);
+                const relay::own_answer& answer);
     std::shared_ptr<exchange> make_exchange(const relay::caller_ptr& from,
                                             request_info origin);
-    void told(const traffic::event& what);
-    void decide_backlog();
-    void reported(base::request_id id, const send_outcome& what);
-    void note_progress(const traffic::event& what);
-    void misdirected(base::upstream_id upstream);
-    void note_misdirection(const traffic::event& what);
-    void carry_out(const traffic::actions& orders);
-    void carry_out_one(const traffic::send_request& order);
-    void carry_out_one(const traffic::stop_send& order);
-    void carry_out_one(const traffic::deliver_answer& order);
-    void carry_out_one(const traffic::end_request& order);
-    void carry_out_one(const traffic::check_upstream& order);
-    void carry_out_one(const traffic::trust_changed& change);
-    void carry_out_one(const quarantine::standing_change& change);
-    void grant(const traffic::send_request& order);
-    void decline(const traffic::end_request& order);
-    void take(const dispatch::request_changes& news);
+    void submit_event(const traffic::event& event);
+    void process_pending_events();
+    void log_send_report(base::request_id id, const send_outcome& report);
+    void record_progress(const traffic::event& event);
+    void mark_misdirected(base::upstream_id upstream);
+    void handle_misdirection(const traffic::event& event);
+    void execute(const traffic::actions& actions);
+    void execute_action(const traffic::send_request& action);
+    void execute_action(const traffic::stop_send& action);
+    void execute_action(const traffic::deliver_answer& action);
+    void execute_action(const traffic::end_request& action);
+    void execute_action(const traffic::check_upstream& action);
+    void execute_action(const traffic::trust_changed& change);
+    void execute_action(const quarantine::standing_change& change);
+    void grant_slot(const traffic::send_request& action);
+    void decline_slot(const traffic::end_request& action);
+    void apply_member_changes(const dispatch::request_changes& news);
     routing::homes homes_of(const traffic::request_facts& facts) const;
-    void arrived_at_member(base::request_id id,
+    void add_member_request(base::request_id id,
                            const dispatch::slot_request& wanted);
-    void count_waiting();
-    void refuse_waiting(base::request_id id, base::duration retry_after);
-    void note_over_limit(base::workspace_id workspace,
+    void count_waiting_requests();
+    void refuse_waiting_request(base::request_id id, base::duration retry_after);
+    void log_over_limit(base::workspace_id workspace,
                          double cost,
                          std::uint32_t priority,
                          base::duration retry_after);
     // The request did not run: its workspace may use the cost for others.
-    void return_cost(const accepted& request);
+    void refund_cost(const active_request& request);
     void finish(base::request_id id, const base::verdict* failed);
     relay::caller_bounds bounds() const;
 
@@ -177,16 +177,16 @@
     shared_state& state;
     relay::caller_events events;
     std::unordered_set<relay::caller_ptr> callers;
-    std::unordered_map<base::request_id, accepted> requests;
+    std::unordered_map<base::request_id, active_request> requests;
     std::unordered_map<relay::caller_connection*, base::request_id> by_caller;
     std::unordered_map<base::request_id, base::upstream_id> sent_to;
     std::unordered_set<base::upstream_id> checked; // just now
     dispatch::dispatcher_book members;
     dispatch::send_journal journal;
     std::uint64_t next_request = 1;
-    std::mt19937_64 dice;
-    bool working = false; // events told meanwhile wait in `backlog`
-    std::vector<traffic::event> backlog;
+    std::mt19937_64 random_engine;
+    bool processing_events = false; // events told meanwhile wait in `backlog`
+    std::vector<traffic::event> pending_events;
 };
 
 } // namespace greengagedrum::entry
--- /dev/null
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -0,0 +1,286 @@
+// How facts about requests reach the scheduler, and its orders the sockets.
+#include <greengagedrum/entry/request_handler.hpp>
+#include <greengagedrum/entry/to_milliseconds.hpp>
+#include <greengagedrum/entry/crash_suspect_log.hpp>
+#include <greengagedrum/relay/connect_check.hpp>
+
+#include <algorithm>
+
+namespace greengagedrum::entry
+{
+
+namespace
+{
+
+// A process that ends may close its listening socket after its connections.
+constexpr base::duration connect_check_delay = std::chrono::milliseconds(20);
+
+} // namespace
+
+// ---- Decisions ------------------------------------------------------------
+
+// Carrying out a decision may tell the next fact at once; it is decided on
+// after all orders of the first were carried out.
+void request_handler::submit_event(const traffic::event& event)
+{
+    this->pending_events.push_back(event);
+    if (this->processing_events)
+        return;
+    this->processing_events = true;
+    this->process_pending_events();
+    this->processing_events = false;
+}
+
+void request_handler::process_pending_events()
+{
+    while (!this->pending_events.empty()) {
+        const traffic::event event = this->pending_events.front();
+        this->pending_events.erase(this->pending_events.begin());
+        this->record_progress(event);
+        this->handle_misdirection(event);
+        if (this->state.delegating)
+            this->journal.note(event);
+        traffic::actions actions;
+        this->state.scheduler.step(event, this->state.clock(), actions);
+        this->execute(actions);
+    }
+}
+
+void request_handler::record_progress(const traffic::event& event)
+{
+    const auto* progress = std::get_if<traffic::progressed>(&event);
+    if (progress == nullptr)
+        return;
+    const auto found = this->requests.find(progress->request);
+    if (found == this->requests.end())
+        return;
+    active_request& request = found->second;
+    const base::instant now = this->state.clock();
+    if (!request.first_event_at)
+        request.first_event_at = now;
+    else
+        request.longest_gap =
+            std::max(request.longest_gap, now - request.last_event_at);
+    request.last_event_at = now;
+}
+
+bool request_handler::active_request::in_time(base::instant first_event) const
+{
+    const bool steady = this->gap_objective.count() == 0 ||
+                        this->longest_gap <= this->gap_objective;
+    return steady && first_event - this->arrived <= this->objective;
+}
+
+void request_handler::handle_misdirection(const traffic::event& event)
+{
+    const auto* turned_away = std::get_if<traffic::turned_away>(&event);
+    if (turned_away == nullptr || turned_away->why != traffic::turn_away::misdirected)
+        return;
+    const auto found = this->sent_to.find(turned_away->request);
+    if (found != this->sent_to.end())
+        this->mark_misdirected(found->second);
+}
+
+void request_handler::mark_misdirected(base::upstream_id upstream)
+{
+    this->apply_upstream_changes(this->state.cluster.mark_misdirected(upstream));
+}
+
+void request_handler::apply_upstream_changes(const cluster_changes& changes)
+{
+    const base::instant now = this->state.clock();
+    for (const removed_upstream& one : changes.removed)
+        this->state.scheduler.upstream_left(one.id);
+    // The same news may have taken away what it brought.
+    for (const routing::published_upstream& one : changes.added) {
+        if (this->state.cluster.upstreams().find(one.id) != nullptr)
+            this->state.scheduler.upstream_joined(one, now);
+    }
+}
+
+void request_handler::execute(const traffic::actions& actions)
+{
+    for (const traffic::action& one : actions)
+        std::visit([this](const auto& action) { this->execute_action(action); },
+                   one);
+    if (!actions.empty())
+        this->on_load_changed();
+}
+
+void request_handler::execute_action(const traffic::send_request& action)
+{
+    if (dispatch::dispatcher_book::is_members(action.request))
+        return this->grant_slot(action);
+    active_request& request = this->requests.at(action.request);
+    const base::instant now = this->state.clock();
+    const routing::published_upstream* to =
+        this->state.cluster.upstreams().find(action.upstream);
+    if (to == nullptr) {
+        // It left within this very turn.
+        return this->submit_event(traffic::not_sent{action.request, action.send});
+    }
+    this->sent_to[action.request] = action.upstream;
+    request.last_sent_at = now;
+    request.upstream = to->name;
+    if (!request.sent_at) {
+        request.sent_at = now;
+        if (request.counted_here)
+            this->state.limiter.sent(request.workspace, request.cost, now);
+    }
+    const std::shared_ptr<exchange> http_exchange = request.http_exchange;
+    this->state.log.write(now,
+                          "scheduler",
+                          "request_sent",
+                          {{"request", http_exchange->info().marks.attempt},
+                           {"send", action.send},
+                           {"upstream", to->name},
+                           {"waited_ms", to_milliseconds(action.why.waited)},
+                           {"own", action.why.own},
+                           {"others", action.why.others},
+                           {"places", action.why.places},
+                           {"told_age_ms", to_milliseconds(action.why.told_age)},
+                           {"expected_ms", to_milliseconds(action.why.first_event)},
+                           {"gap_ms", to_milliseconds(action.why.gap)},
+                           {"suits", action.why.suits},
+                           {"store_revision", this->state.cluster.store_revision()}});
+    http_exchange->send(action.send, *to, action.end_at - now);
+}
+
+void request_handler::execute_action(const traffic::stop_send& action)
+{
+    const auto found = this->requests.find(action.request);
+    if (found == this->requests.end())
+        return;
+    found->second.http_exchange->stop_send();
+    this->log_send_report(action.request, {action.send, 0, 0, "cancelled by the scheduler"});
+}
+
+void request_handler::execute_action(const traffic::deliver_answer& action)
+{
+    const auto found = this->requests.find(action.request);
+    if (found == this->requests.end())
+        return;
+    const std::shared_ptr<exchange> http_exchange = found->second.http_exchange;
+    this->finish(action.request, nullptr);
+    http_exchange->deliver(this->state.stopping);
+}
+
+void request_handler::execute_action(const traffic::end_request& action)
+{
+    if (dispatch::dispatcher_book::is_members(action.request))
+        return this->decline_slot(action);
+    const auto found = this->requests.find(action.request);
+    if (found == this->requests.end())
+        return;
+    const std::shared_ptr<exchange> http_exchange = found->second.http_exchange;
+    if (action.verdict.run == base::run_state::not_run)
+        this->refund_cost(found->second);
+    this->finish(action.request, &action.verdict);
+    http_exchange->fail(action.verdict);
+}
+
+// One connect for all whose connections to it were lost.
+void request_handler::execute_action(const traffic::check_upstream& action)
+{
+    const routing::published_upstream* to =
+        this->state.cluster.upstreams().find_alive(action.upstream);
+    if (to == nullptr)
+        return this->submit_event(traffic::upstream_checked{action.upstream, false});
+    if (!this->connect_checks.insert(action.upstream).second)
+        return;
+    const auto check = std::make_shared<relay::connect_check>(
+        this->context, [this, upstream = action.upstream](bool accepts) {
+            this->connect_checks.erase(upstream);
+            this->submit_event(traffic::upstream_checked{upstream, accepts});
+        });
+    check->start(to->address, connect_check_delay);
+}
+
+void request_handler::execute_action(const traffic::trust_changed& change)
+{
+    const routing::published_upstream* of =
+        this->state.cluster.upstreams().find_alive(change.upstream);
+    this->state.log.write(
+        this->state.clock(),
+        "scheduler",
+        change.suspected ? "upstream_suspected" : "upstream_cleared",
+        {{"upstream", of == nullptr ? std::string() : of->name},
+         {"cause", change.cause},
+         {"bad_share", change.bad_share}});
+}
+
+void request_handler::execute_action(const quarantine::standing_change& change)
+{
+    log_crash_suspect(this->state, change, "own");
+}
+
+void request_handler::finish(base::request_id id, const base::verdict* failed)
+{
+    const auto found = this->requests.find(id);
+    const active_request& request = found->second;
+    const base::instant now = this->state.clock();
+    const base::duration total = now - request.arrived;
+    const std::shared_ptr<exchange>& http_exchange = request.http_exchange;
+    telemetry::request_ended ended;
+    ended.series = request.series;
+    if (failed != nullptr)
+        ended.failed = *failed;
+    const base::instant first = request.first_event_at.value_or(now);
+    ended.in_time = request.in_time(first);
+    ended.total = total;
+    if (request.sent_at)
+        ended.queue_wait = *request.sent_at - request.arrived;
+    if (request.first_event_at)
+        ended.first_token = first - request.arrived;
+    this->state.metrics.add(ended);
+    if (failed == nullptr)
+        this->state.log.write(
+            now,
+            "front",
+            "request_answered",
+            {{"request", http_exchange->info().marks.attempt},
+             {"status", http_exchange->status()},
+             {"total_ms", to_milliseconds(total)},
+             {"first_ms", to_milliseconds(first - request.arrived)},
+             {"longest_gap_ms", to_milliseconds(request.longest_gap)},
+             {"objective_ms", to_milliseconds(request.objective)},
+             {"gap_objective_ms", to_milliseconds(request.gap_objective)},
+             {"in_time", ended.in_time}});
+    else
+        this->state.log.write(
+            now,
+            "scheduler",
+            "request_ended",
+            {{"request", http_exchange->info().marks.attempt},
+             {"verdict", base::to_string(failed->run)},
+             {"why", base::to_string(failed->why)},
+             {"total_ms", to_milliseconds(total)},
+             {"waiting", this->state.scheduler.waiting()},
+             {"retry_after_ms",
+              to_milliseconds(failed->retry_after.value_or(base::duration(0)))}});
+    this->by_caller.erase(http_exchange->caller_connection().get());
+    this->sent_to.erase(id);
+    this->requests.erase(found);
+}
+
+void request_handler::log_send_report(base::request_id id, const send_outcome& report)
+{
+    const auto found = this->requests.find(id);
+    if (found == this->requests.end())
+        return;
+    const active_request& request = found->second;
+    const base::instant now = this->state.clock();
+    this->state.log.write(now,
+                          "exchange",
+                          report.error.empty() ? "send_answered" : "send_failed",
+                          {{"request", request.http_exchange->info().marks.attempt},
+                           {"digest", base::to_hex(request.digest)},
+                           {"send", report.send_number},
+                           {"upstream", request.upstream},
+                           {"ran_ms", to_milliseconds(now - request.last_sent_at)},
+                           {"status", report.status},
+                           {"events", report.event_count},
+                           {"why", report.error}});
+}
+
+} // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/store_reader.hpp
+++ b/src/greengagedrum/entry/store_reader.hpp
@@ -1,10 +1,9 @@
-// Reads the store: all items once, then what changes, by one watch at a time
-// with a pause after each.
+// Reads the store: first all items, then changes, by one watch at a time with a
+// pause after each.
 //
-// Every upstream reports several times in a few seconds, so a watch returns at
-// once whenever it is asked; the pause bounds what is asked of the store. A
-// watch waits for half a second at most, so that a connection which has gone
-// silent is noticed.
+// Every upstream reports several times within a few seconds, so a watch nearly
+// always returns at once; the pause bounds the load on the store. A watch waits
+// for half a second at most, so that a dead connection is noticed.
 #pragma once
 
 #include <greengagedrum/base/ip_address.hpp>
@@ -21,17 +20,17 @@
 {
 
 struct store_events {
-    // All items (`whole`) or what changed since the last call.
+    // All items (`whole`), or those changed since the last call.
     std::function<void(
         const routing::item_list& items, std::uint64_t as_of, bool whole)>
-        news;
-    // Some of all items, before the rest of them has come: true of them, and no
-    // sign that anything else is known.
-    std::function<void(const routing::item_list& items)> part;
-    std::function<void(const std::string& why)> failed;
-    std::function<void()> answered;
-    // True while another entry reads for this one.
-    std::function<bool()> may_rest;
+        items_received;
+    // A part of all items, reported before the rest is read. The items are
+    // valid, but the call does not mean that anything else is up to date.
+    std::function<void(const routing::item_list& items)> page_received;
+    std::function<void(const std::string& why)> call_failed;
+    std::function<void()> call_answered;
+    // True while another entry reads the store for this one.
+    std::function<bool()> peer_reads_store;
 };
 
 class store_reader
@@ -41,46 +40,49 @@
                  const base::ip_endpoint& store,
                  store_events events);
 
-    // Between two watches, of the time in which a change is to be in force.
-    static base::duration pause_of(base::duration bound);
-    void set_bound(base::duration bound) { this->pause = pause_of(bound); }
+    // The pause between two watches if changes must be in force within `bound`.
+    static base::duration poll_interval_for(base::duration bound);
+    void set_update_bound(base::duration bound)
+    {
+        this->poll_interval = poll_interval_for(bound);
+    }
 
     void start();
 
-    // Ask now: what is known may be old.
-    void hurry();
+    // Calls the store now, for example when the known state may be outdated.
+    void poll_now();
 
-    // A peer has passed all up to that revision.
-    void known_up_to(std::uint64_t as_of);
+    // All items up to this revision were received from a peer.
+    void skip_to_revision(std::uint64_t as_of);
 
-    // The last call failed.
+    // True if the last call failed.
     bool failing() const { return this->failures > 0; }
 
     void stop();
 
 private:
-    void ask();
-    void ask_page();
-    void ask_watch();
-    void on_page(const relay::fetched& got);
-    void on_watch(const relay::fetched& got);
-    void on_part(routing::item_list& items);
-    void watch_failed(const std::string& why);
-    void again_after(base::duration pause);
-    bool rests() const;
-    void failed(const std::string& why);
+    void start_call();
+    void request_page();
+    void request_watch();
+    void on_page(const relay::fetched& response);
+    void on_watch(const relay::fetched& response);
+    void on_partial_page(routing::item_list& items);
+    void on_watch_failed(const std::string& why);
+    void schedule_next_call(base::duration pause);
+    bool is_idle() const;
+    void on_failure(const std::string& why);
 
     relay::asio::steady_timer timer;
     std::shared_ptr<relay::http_get> client;
     base::ip_endpoint store;
     store_events events;
-    routing::item_list pages; // of a whole reading under way
+    routing::item_list pages; // the pages of a full listing in progress
     std::string last_key;
-    std::uint64_t pages_as_of = 0;
-    base::duration pause{0}; // between watches
-    std::uint64_t after = 0; // revision read up to; 0: all is to be read
+    std::uint64_t pages_revision = 0;
+    base::duration poll_interval{0}; // pause between watches
+    std::uint64_t last_revision = 0; // 0: all items are to be read
     std::uint32_t failures = 0;
-    bool asking = false;
+    bool call_in_progress = false;
     bool stopped = false;
 };
 
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -1,4 +1,4 @@
-// What an entry takes from the store and from peers, in any order.
+// Applying items from the store and from peers, in any order.
 #include <greengagedrum/entry/cluster_state.hpp>
 
 #include <doctest/doctest.h>
@@ -57,7 +57,7 @@
 }
 
 routing::published_item
-born_item(const char* name, std::uint64_t born, std::uint64_t revision)
+item_with_birth(const char* name, std::uint64_t born, std::uint64_t revision)
 {
     routing::published_item out = upstream_item(name, revision);
     out.value.back() = ',';
@@ -67,166 +67,183 @@
 
 struct cluster_state_fixture {
     base::instant now{1h};
-    cluster_state known;
+    cluster_state cluster;
 
-    cluster_changes whole(const routing::item_list& items, std::uint64_t as_of)
+    cluster_changes apply_listing(const routing::item_list& items,
+                                  std::uint64_t as_of)
     {
-        return this->known.learn(items, as_of, true, this->now);
+        return this->cluster.apply(items, as_of, true, this->now);
     }
-    cluster_changes news(const routing::item_list& items, std::uint64_t as_of)
+    cluster_changes apply_changes(const routing::item_list& items,
+                                  std::uint64_t as_of)
     {
-        return this->known.learn(items, as_of, false, this->now);
+        return this->cluster.apply(items, as_of, false, this->now);
     }
 };
 
 } // namespace
 
-// An evacuated data centre's upstreams are given work.
+// Guards against sending requests to the upstreams of an evacuated data centre.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "evacuated_upstreams_leave_and_come_back")
 {
-    this->whole({upstream_item("i-1", 4)}, 4);
+    this->apply_listing({upstream_item("i-1", 4)}, 4);
     const base::upstream_id id("i-1");
-    const auto begun = this->news({evacuation_item(6)}, 6);
-    CHECK(begun.left.size() == 1);
+    const auto begun = this->apply_changes({evacuation_item(6)}, 6);
+    CHECK(begun.removed.size() == 1);
     REQUIRE(begun.evacuations.size() == 1);
     CHECK(begun.evacuations.front().data_centre == "hall");
-    CHECK(this->known.upstreams().find(id) == nullptr);
-    CHECK(this->known.upstreams().find_alive(id) != nullptr);
-    // Reports of its load go on, and bring it back no sooner.
-    CHECK(this->news({upstream_item("i-1", 8)}, 8).joined.empty());
-    const auto over = this->news({{"op/evacuate/hall", "", 9, true}}, 9);
-    CHECK(over.joined.size() == 1);
-    CHECK(this->known.upstreams().find(id) != nullptr);
+    CHECK(this->cluster.upstreams().find(id) == nullptr);
+    CHECK(this->cluster.upstreams().find_alive(id) != nullptr);
+    // Load reports go on during the evacuation and must not end it.
+    CHECK(this->apply_changes({upstream_item("i-1", 8)}, 8).added.empty());
+    const auto over =
+        this->apply_changes({{"op/evacuate/hall", "", 9, true}}, 9);
+    CHECK(over.added.size() == 1);
+    CHECK(this->cluster.upstreams().find(id) != nullptr);
 }
 
-// Upstreams cool down while they are evacuated, and say so later.
-TEST_CASE_FIXTURE(cluster_state_fixture, "upstreams_taken_back_count_as_cold")
+// Upstreams become cold while evacuated, but publish that only later.
+TEST_CASE_FIXTURE(cluster_state_fixture,
+                  "upstreams_after_an_evacuation_count_as_cold")
 {
-    this->whole({service_item(2), upstream_item("i-1", 4), evacuation_item(5)},
-                6);
-    const auto over = this->news({{"op/evacuate/hall", "", 9, true}}, 9);
-    REQUIRE(over.joined.size() == 1);
-    CHECK(over.joined.front().warmup == 3s);
+    this->apply_listing(
+        {service_item(2), upstream_item("i-1", 4), evacuation_item(5)}, 6);
+    const auto over =
+        this->apply_changes({{"op/evacuate/hall", "", 9, true}}, 9);
+    REQUIRE(over.added.size() == 1);
+    CHECK(over.added.front().warmup == 3s);
 }
 
-// Only its first report says that an upstream is cold; members ask their
-// dispatcher by digest.
+// Only the first report of an upstream says that it is cold. Members detect the
+// change by the digest that their dispatcher sends.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "upstream_that_turns_cold_or_warm_is_news")
+                  "upstream_turning_cold_or_warm_is_a_change")
 {
-    this->whole({upstream_item("i-1", 4)}, 4);
-    const std::uint64_t warm = this->known.digest();
-    const auto cold = this->news({cold_item("i-1", 2500, 6)}, 6);
-    REQUIRE(cold.joined.size() == 1);
-    CHECK(cold.joined.front().warmup == 2500ms);
-    CHECK(this->known.digest() != warm);
-    CHECK(this->news({cold_item("i-1", 1300, 8)}, 8).joined.size() == 1);
-    CHECK(this->news({upstream_item("i-1", 10)}, 10).joined.size() == 1);
-    CHECK(this->known.digest() == warm);
-    CHECK(this->known.changed_at() == 10);
-    CHECK(this->news({upstream_item("i-1", 12)}, 12).joined.empty());
+    this->apply_listing({upstream_item("i-1", 4)}, 4);
+    const std::uint64_t warm = this->cluster.content_digest();
+    const auto cold = this->apply_changes({cold_item("i-1", 2500, 6)}, 6);
+    REQUIRE(cold.added.size() == 1);
+    CHECK(cold.added.front().warmup == 2500ms);
+    CHECK(this->cluster.content_digest() != warm);
+    CHECK(this->apply_changes({cold_item("i-1", 1300, 8)}, 8).added.size() ==
+          1);
+    CHECK(this->apply_changes({upstream_item("i-1", 10)}, 10).added.size() ==
+          1);
+    CHECK(this->cluster.content_digest() == warm);
+    CHECK(this->cluster.last_change_revision() == 10);
+    CHECK(this->apply_changes({upstream_item("i-1", 12)}, 12).added.empty());
 }
 
-// A started entry is told of upstreams and evacuations at once, in any order.
+// An entry that has just started receives upstreams and evacuations in one
+// listing, in any order.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "upstream_listed_with_its_evacuation_is_out")
+                  "upstream_listed_with_its_evacuation_is_not_added")
 {
     const auto changes =
-        this->whole({upstream_item("i-1", 4), evacuation_item(3)}, 6);
-    CHECK(changes.joined.empty());
-    CHECK(this->known.upstreams().usable_count() == 0);
+        this->apply_listing({upstream_item("i-1", 4), evacuation_item(3)}, 6);
+    CHECK(changes.added.empty());
+    CHECK(this->cluster.upstreams().usable_count() == 0);
 }
 
-// A watch was lost: the next whole reading shows that the order is gone.
+// The watch that reported the end of the evacuation was lost; the next full
+// listing no longer holds the item.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "evacuation_missing_from_a_whole_reading_is_over")
+                  "evacuation_missing_from_a_full_listing_has_ended")
 {
-    this->whole({upstream_item("i-1", 4), evacuation_item(5)}, 6);
-    const auto changes = this->whole({upstream_item("i-1", 4)}, 9);
-    CHECK(changes.joined.size() == 1);
-    CHECK(this->known.upstreams().usable_count() == 1);
+    this->apply_listing({upstream_item("i-1", 4), evacuation_item(5)}, 6);
+    const auto changes = this->apply_listing({upstream_item("i-1", 4)}, 9);
+    CHECK(changes.added.size() == 1);
+    CHECK(this->cluster.upstreams().usable_count() == 1);
 }
 
-// A peer that is behind takes an evacuation back, or orders it once more.
+// A peer that is behind must neither end an evacuation nor start one again.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "older_news_of_an_evacuation_changes_nothing")
+                  "older_evacuation_item_changes_nothing")
 {
-    this->whole({upstream_item("i-1", 4)}, 4);
-    this->news({{"op/evacuate/hall", "", 9, true}}, 9);
-    CHECK(this->news({evacuation_item(7)}, 9).left.empty());
-    this->news({evacuation_item(12)}, 12);
-    CHECK(this->news({{"op/evacuate/hall", "", 10, true}}, 12).joined.empty());
-    CHECK(this->known.upstreams().usable_count() == 0);
+    this->apply_listing({upstream_item("i-1", 4)}, 4);
+    this->apply_changes({{"op/evacuate/hall", "", 9, true}}, 9);
+    CHECK(this->apply_changes({evacuation_item(7)}, 9).removed.empty());
+    this->apply_changes({evacuation_item(12)}, 12);
+    CHECK(this->apply_changes({{"op/evacuate/hall", "", 10, true}}, 12)
+              .added.empty());
+    CHECK(this->cluster.upstreams().usable_count() == 0);
 }
 
-// Two entries that differ in an evacuation only take each other for alike.
+// Guards against a digest that leaves out evacuations: two entries that differ
+// only in one would take themselves to be in the same state.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "evacuation_reaches_those_that_ask_a_peer")
+                  "evacuation_is_passed_to_peers_that_ask")
 {
-    this->whole({upstream_item("i-1", 4)}, 4);
+    this->apply_listing({upstream_item("i-1", 4)}, 4);
     cluster_state behind;
-    behind.learn(this->known.items_since(0), this->now);
-    CHECK(behind.digest() == this->known.digest());
-    this->news({evacuation_item(6)}, 6);
-    CHECK(behind.digest() != this->known.digest());
-    CHECK(behind.changed_at() < this->known.changed_at());
-    CHECK(behind.learn(this->known.items_since(4), this->now).left.size() == 1);
-    CHECK(behind.digest() == this->known.digest());
+    behind.apply(this->cluster.items_after_revision(0), this->now);
+    CHECK(behind.content_digest() == this->cluster.content_digest());
+    this->apply_changes({evacuation_item(6)}, 6);
+    CHECK(behind.content_digest() != this->cluster.content_digest());
+    CHECK(behind.last_change_revision() < this->cluster.last_change_revision());
+    CHECK(behind.apply(this->cluster.items_after_revision(4), this->now)
+              .removed.size() == 1);
+    CHECK(behind.content_digest() == this->cluster.content_digest());
 }
 
-// Thousands of removed items push out the order that an empty value carries.
+// An evacuation item has an empty value and must not be dropped like a removed
+// item when thousands of removed items are kept.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "evacuation_outlasts_many_removed_items")
+                  "evacuation_survives_many_removed_items")
 {
-    this->whole({upstream_item("i-1", 4), evacuation_item(5)}, 6);
+    this->apply_listing({upstream_item("i-1", 4), evacuation_item(5)}, 6);
     for (std::uint64_t number = 10; number < 5000; ++number)
-        this->news({{"servers/x-" + std::to_string(number), "", number, true}},
-                   number);
-    const auto passed = this->known.items_since(0);
-    CHECK(std::any_of(
-        passed.items.begin(), passed.items.end(), [](const auto& one) {
+        this->apply_changes(
+            {{"servers/x-" + std::to_string(number), "", number, true}},
+            number);
+    const auto sent = this->cluster.items_after_revision(0);
+    CHECK(
+        std::any_of(sent.items.begin(), sent.items.end(), [](const auto& one) {
             return one.key == "op/evacuate/hall" && !one.removed;
         }));
 }
 
-// An entry is fed by a peer that is behind the store: a change that was in
-// force must not be taken back.
-TEST_CASE_FIXTURE(cluster_state_fixture, "older_configuration_never_comes_back")
+// An entry receives items from a peer that is behind the store. A change that
+// was in force must not be reverted.
+TEST_CASE_FIXTURE(cluster_state_fixture, "older_configuration_is_ignored")
 {
-    CHECK(this->whole({config_item(3, 10)}, 10).configuration);
-    CHECK(this->news({config_item(5, 14)}, 14).configuration);
-    CHECK_FALSE(this->whole({config_item(3, 10)}, 12).configuration);
-    CHECK(this->known.configuration_version() == 5);
-    CHECK(this->known.as_of() == 14);
+    CHECK(this->apply_listing({config_item(3, 10)}, 10).configuration_changed);
+    CHECK(this->apply_changes({config_item(5, 14)}, 14).configuration_changed);
+    CHECK_FALSE(
+        this->apply_listing({config_item(3, 10)}, 12).configuration_changed);
+    CHECK(this->cluster.configuration_version() == 5);
+    CHECK(this->cluster.store_revision() == 14);
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "unreadable_configuration_leaves_the_last_good")
+                  "unreadable_configuration_keeps_the_last_valid_one")
 {
-    this->whole({config_item(3, 10)}, 10);
-    const auto changes = this->news({{"op/config", "{", 11, false}}, 11);
-    CHECK_FALSE(changes.configuration);
-    CHECK(changes.faults.size() == 1);
-    CHECK(this->known.configuration_version() == 3);
+    this->apply_listing({config_item(3, 10)}, 10);
+    const auto changes =
+        this->apply_changes({{"op/config", "{", 11, false}}, 11);
+    CHECK_FALSE(changes.configuration_changed);
+    CHECK(changes.unreadable_items.size() == 1);
+    CHECK(this->cluster.configuration_version() == 3);
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "upstream_missing_from_a_whole_reading_is_gone")
+                  "upstream_missing_from_a_full_listing_is_removed")
 {
-    this->whole({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
-    this->news({upstream_item("i-3", 9)}, 9);
-    const auto changes = this->whole({upstream_item("i-2", 5)}, 8);
-    CHECK(changes.left.size() == 1);
-    CHECK(this->known.upstreams().usable_count() == 2); // i-3 is newer
+    this->apply_listing({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
+    this->apply_changes({upstream_item("i-3", 9)}, 9);
+    const auto changes = this->apply_listing({upstream_item("i-2", 5)}, 8);
+    CHECK(changes.removed.size() == 1);
+    CHECK(this->cluster.upstreams().usable_count() ==
+          2); // i-3 is newer than the listing
 }
 
-// Another writer replaces an upstream's entry, and puts a thousand of its own
-// beside it. That one gets no more work; the others go on.
+// Another program overwrites an upstream's item and adds a thousand items of
+// its own. That upstream gets no more work; the others are unaffected.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "items_of_another_writer_name_no_upstream")
+                  "items_of_another_program_are_no_upstreams")
 {
-    this->whole({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
+    this->apply_listing({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
     routing::item_list foreign = {
         {"servers/i-1", R"({"state": "ready"})", 7, false}};
     for (int one = 0; one < 1'000; ++one)
@@ -234,154 +251,167 @@
                            std::string(10'000, 'x'),
                            8 + static_cast<std::uint64_t>(one),
                            false});
-    const auto changes = this->news(foreign, 2'000);
-    CHECK(changes.faults.size() == foreign.size());
-    REQUIRE(changes.left.size() == 1);
-    CHECK(changes.left.front().name == "i-1");
-    CHECK(this->known.upstreams().usable_count() == 1);
-    // Nor does an entry carry them about.
+    const auto changes = this->apply_changes(foreign, 2'000);
+    CHECK(changes.unreadable_items.size() == foreign.size());
+    REQUIRE(changes.removed.size() == 1);
+    CHECK(changes.removed.front().name == "i-1");
+    CHECK(this->cluster.upstreams().usable_count() == 1);
+    // The foreign values are not stored.
     std::size_t bytes = 0;
-    for (const auto& one : this->known.items_since(0).items)
+    for (const auto& one : this->cluster.items_after_revision(0).items)
         bytes += one.value.size();
     CHECK(bytes < 1'000);
-    // Its next report brings it back.
-    CHECK(this->news({upstream_item("i-1", 2'001)}, 2'001).joined.size() == 1);
+    // The upstream's next report adds it again.
+    CHECK(this->apply_changes({upstream_item("i-1", 2'001)}, 2'001)
+              .added.size() == 1);
 }
 
-// An upstream's next life takes the place of the one before, which is told as
-// one that has left.
+// A restarted upstream replaces its previous incarnation, which is reported as
+// removed.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "upstream_that_starts_again_leaves_and_joins")
+                  "restarted_upstream_is_removed_and_added")
 {
-    this->whole({born_item("i-1", 1'000, 4)}, 6);
-    const auto changes = this->news({born_item("i-1", 2'000, 7)}, 7);
-    REQUIRE(changes.left.size() == 1);
-    REQUIRE(changes.joined.size() == 1);
-    CHECK(changes.left.front().id != changes.joined.front().id);
-    // Where upstreams tell their birth, one that doesn't is another writer's.
-    CHECK(this->news({upstream_item("i-2", 9)}, 9).joined.empty());
+    this->apply_listing({item_with_birth("i-1", 1'000, 4)}, 6);
+    const auto changes =
+        this->apply_changes({item_with_birth("i-1", 2'000, 7)}, 7);
+    REQUIRE(changes.removed.size() == 1);
+    REQUIRE(changes.added.size() == 1);
+    CHECK(changes.removed.front().id != changes.added.front().id);
+    // Once upstreams publish a time of birth, an item without one is not an
+    // upstream's.
+    CHECK(this->apply_changes({upstream_item("i-2", 9)}, 9).added.empty());
 }
 
-// Upstreams come and go for weeks, and another writer's keys are never the
-// same. What peers are still told of those that are gone has an end.
+// Upstreams come and go for weeks, and other programs' keys are always new. The
+// number of removed items kept for peers is bounded.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "removed_and_unreadable_items_are_bounded")
 {
     for (std::uint64_t one = 1; one <= 10'000; ++one) {
         const std::string key = "servers/x-" + std::to_string(one);
-        this->news({{key, "", one, one % 2 == 0}}, one);
+        this->apply_changes({{key, "", one, one % 2 == 0}}, one);
     }
-    CHECK(this->known.items_since(1).items.size() < 5'000);
+    CHECK(this->cluster.items_after_revision(1).items.size() < 5'000);
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "entry_without_birth_read_first_is_dropped_later")
+                  "upstream_without_birth_is_removed_once_births_are_published")
 {
-    this->whole({upstream_item("i-1", 4)}, 4);
-    const auto changes = this->news({born_item("i-2", 2'000, 7)}, 7);
-    CHECK(changes.left.size() == 1);
-    CHECK(this->known.upstreams().usable_count() == 1);
+    this->apply_listing({upstream_item("i-1", 4)}, 4);
+    const auto changes =
+        this->apply_changes({item_with_birth("i-2", 2'000, 7)}, 7);
+    CHECK(changes.removed.size() == 1);
+    CHECK(this->cluster.upstreams().usable_count() == 1);
 }
 
-// The store was away for longer than the leases last. On its return it tells of
-// every upstream that it is gone; those that live report within two seconds.
+// The store was unreachable for longer than the leases last and then reports
+// every upstream as removed. Live upstreams report again within two seconds.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "upstreams_lapsed_in_an_outage_are_waited_for")
+                  "removals_after_a_store_outage_are_deferred")
 {
-    this->whole({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
-    this->known.store_failed(this->now);
+    this->apply_listing({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
+    this->cluster.on_store_failed(this->now);
     this->now += 5s;
-    this->known.store_answered(this->now);
-    CHECK(this->whole({}, 20).left.empty());
+    this->cluster.on_store_answered(this->now);
+    CHECK(this->apply_listing({}, 20).removed.empty());
     this->now += 1s;
-    this->news({upstream_item("i-1", 25)}, 25);
+    this->apply_changes({upstream_item("i-1", 25)}, 25);
     this->now += 1s;
-    CHECK(this->known.expire(this->now).left.size() == 1);
-    CHECK(this->known.upstreams().find(base::upstream_id("i-1")) != nullptr);
+    CHECK(this->cluster.expire(this->now).removed.size() == 1);
+    CHECK(this->cluster.upstreams().find(base::upstream_id("i-1")) != nullptr);
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "upstream_removed_on_a_calm_day_is_gone_at_once")
+                  "removal_without_a_store_outage_takes_effect_at_once")
 {
-    this->whole({upstream_item("i-1", 4)}, 6);
-    this->known.store_failed(this->now);
+    this->apply_listing({upstream_item("i-1", 4)}, 6);
+    this->cluster.on_store_failed(this->now);
     this->now += 300ms; // one answer was lost
-    this->known.store_answered(this->now);
-    CHECK(this->news({{"servers/i-1", "", 9, true}}, 9).left.size() == 1);
+    this->cluster.on_store_answered(this->now);
+    CHECK(
+        this->apply_changes({{"servers/i-1", "", 9, true}}, 9).removed.size() ==
+        1);
 }
 
-TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "peer_that_knows_some_is_given_the_rest")
+TEST_CASE_FIXTURE(cluster_state_fixture, "peer_with_some_items_gets_the_rest")
 {
-    this->whole({config_item(3, 2), upstream_item("i-1", 4)}, 6);
-    this->news({{"servers/i-1", "", 9, true}, upstream_item("i-2", 8)}, 9);
-    const auto some = this->known.items_since(6);
+    this->apply_listing({config_item(3, 2), upstream_item("i-1", 4)}, 6);
+    this->apply_changes({{"servers/i-1", "", 9, true}, upstream_item("i-2", 8)},
+                        9);
+    const auto some = this->cluster.items_after_revision(6);
     CHECK_FALSE(some.whole);
     CHECK(some.store_revision == 9);
     CHECK(some.items.size() == 2);
-    const auto all = this->known.items_since(0);
+    const auto all = this->cluster.items_after_revision(0);
     CHECK(all.whole);
-    CHECK(all.items.size() == 2); // no removed ones
+    CHECK(all.items.size() == 2); // without the removed one
 
     cluster_state other;
-    other.learn(all.items, all.store_revision, all.whole, this->now);
+    other.apply(all.items, all.store_revision, all.whole, this->now);
     CHECK(other.configuration_version() == 3);
     CHECK(other.upstreams().usable_count() == 1);
 }
 
-// A store that lost its history tells of a configuration of revision 15 after
-// reports of revision 20. An entry that learnt from a peer "as of 20" is to get
-// it from that peer all the same.
+// A store that lost its history delivers a configuration of revision 15 after
+// reports of revision 20. A peer that has all items up to revision 20 must
+// still get the configuration.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "change_heard_of_late_reaches_a_follower")
+                  "late_configuration_reaches_a_follower")
 {
-    this->whole({config_item(3, 5), upstream_item("i-1", 4)}, 6);
-    this->news({upstream_item("i-1", 20)}, 20); // a report, no change
-    CHECK(this->known.changed_at() == 5);
+    this->apply_listing({config_item(3, 5), upstream_item("i-1", 4)}, 6);
+    this->apply_changes({upstream_item("i-1", 20)},
+                        20); // a load report, which changes nothing
+    CHECK(this->cluster.last_change_revision() == 5);
     cluster_state follower;
-    follower.learn(this->known.items_since(0), this->now);
-    CHECK(follower.as_of() == 20);
-
-    this->whole({config_item(4, 15), upstream_item("i-1", 24)}, 25);
-    CHECK(this->known.configuration_revision() >
-          follower.configuration_revision()); // so it asks
-    follower.learn(this->known.items_since(follower.configuration_revision()),
-                   this->now);
+    follower.apply(this->cluster.items_after_revision(0), this->now);
+    CHECK(follower.store_revision() == 20);
+
+    this->apply_listing({config_item(4, 15), upstream_item("i-1", 24)}, 25);
+    CHECK(this->cluster.configuration_revision() >
+          follower.configuration_revision()); // so the follower asks for items
+    follower.apply(
+        this->cluster.items_after_revision(follower.configuration_revision()),
+        this->now);
     CHECK(follower.configuration_version() == 4);
 }
 
-// A store that had lost its history tells of a change late, under a revision
-// below that of others. Whoever asked for what is above the newest revision
-// that it knows would never hear of it.
-TEST_CASE_FIXTURE(cluster_state_fixture, "change_told_late_is_passed_on")
+// A store that lost its history delivers a change late, with a revision below
+// those of other changes. A peer that asks for items above the newest revision
+// it knows would never get it.
+TEST_CASE_FIXTURE(cluster_state_fixture,
+                  "late_change_of_lower_revision_is_passed_on")
 {
-    this->news({upstream_item("i-1", 20)}, 20);
-    const std::uint64_t passed = this->known.changes();
-    this->news({upstream_item("i-2", 9)}, 20);
-    CHECK(this->known.items_since(this->known.changed_at()).items.empty());
-    const auto after = this->known.items_after(passed);
+    this->apply_changes({upstream_item("i-1", 20)}, 20);
+    const std::uint64_t sent = this->cluster.change_count();
+    this->apply_changes({upstream_item("i-2", 9)}, 20);
+    CHECK(
+        this->cluster.items_after_revision(this->cluster.last_change_revision())
+            .items.empty());
+    const auto after = this->cluster.items_after_change(sent);
     REQUIRE(after.items.size() == 1);
     CHECK(after.items[0].key == "servers/i-2");
-    CHECK(this->known.items_after(this->known.changes()).items.empty());
-    CHECK(this->known.items_after(0).whole);
+    CHECK(this->cluster.items_after_change(this->cluster.change_count())
+              .items.empty());
+    CHECK(this->cluster.items_after_change(0).whole);
 }
 
-// Entries hear the same in another order, and of reports at other times. They
-// have to see that they believe the same, or each would go on asking.
+// Entries receive the same items in different orders and load reports at
+// different times. Their digests must be equal, or they would keep asking each
+// other for items.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "same_cluster_states_have_the_same_digest")
 {
     cluster_state other;
-    other.learn({upstream_item("i-2", 9)}, 9, false, this->now);
-    other.learn({upstream_item("i-3", 10)}, 10, false, this->now);
-    this->news({upstream_item("i-1", 5)}, 5);
-    this->news({upstream_item("i-2", 3)}, 5);
-    this->news({upstream_item("i-3", 6)}, 6);
-    CHECK(this->known.digest() != other.digest());
-    this->news({{"servers/i-1", "", 8, true}}, 8);
-    CHECK(this->known.digest() == other.digest());
-    this->news({upstream_item("i-3", 12)}, 12);
-    CHECK(this->known.digest() == other.digest());
+    other.apply({upstream_item("i-2", 9)}, 9, false, this->now);
+    other.apply({upstream_item("i-3", 10)}, 10, false, this->now);
+    this->apply_changes({upstream_item("i-1", 5)}, 5);
+    this->apply_changes({upstream_item("i-2", 3)}, 5);
+    this->apply_changes({upstream_item("i-3", 6)}, 6);
+    CHECK(this->cluster.content_digest() != other.content_digest());
+    this->apply_changes({{"servers/i-1", "", 8, true}}, 8);
+    CHECK(this->cluster.content_digest() == other.content_digest());
+    this->apply_changes({upstream_item("i-3", 12)}, 12);
+    CHECK(this->cluster.content_digest() == other.content_digest());
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/test/entry_fixture.cpp
+++ b/src/greengagedrum/entry/test/entry_fixture.cpp
@@ -64,31 +64,32 @@
                {"burst", limit_per_second}}}}};
 }
 
-settings settings_for(int store_port, const entry_options& wanted)
+settings settings_for(int store_port, const fixture_options& options)
 {
     settings out;
     out.instance = "entry-1";
     out.data_centre = "hall";
     out.ip = "127.0.0.1";
-    out.callers = out.readiness = out.control = out.metrics = {"127.0.0.1", 0};
-    out.store = {"127.0.0.1", static_cast<std::uint16_t>(store_port)};
-    out.bounds.stop = 1s;
+    out.caller_address = out.readiness_address = out.control_address =
+        out.metrics_address = {"127.0.0.1", 0};
+    out.store_address = {"127.0.0.1", static_cast<std::uint16_t>(store_port)};
+    out.bounds.stop_timeout = 1s;
     out.bounds.usage_overshoot = 0.25;
-    out.peer_port = wanted.peer_port;
-    out.seeds = wanted.seeds;
+    out.peer_port = options.peer_port;
+    out.seeds = options.seeds;
     return out;
 }
 
 } // namespace
 
-stand_in::stand_in()
+fake_http_server::fake_http_server()
 {
     this->server.set_tcp_nodelay(true);
-    // Its stop waits for kept connections.
+    // Stopping the server waits for kept-alive connections.
     this->server.set_keep_alive_timeout(1);
 }
 
-void stand_in::start()
+void fake_http_server::start()
 {
     this->port = this->server.bind_to_any_port("127.0.0.1");
     this->thread = std::thread([this] { this->server.listen_after_bind(); });
@@ -96,65 +97,66 @@
         std::this_thread::sleep_for(1ms);
 }
 
-void stand_in::stop()
+void fake_http_server::stop()
 {
     this->server.stop();
     if (this->thread.joinable())
         this->thread.join();
 }
 
-stand_in::~stand_in()
+fake_http_server::~fake_http_server()
 {
     this->stop();
 }
 
-entry_fixture::entry_fixture(const entry_options& wanted)
+entry_fixture::entry_fixture(const fixture_options& options)
 {
-    const auto take = [this](const httplib::Request& asked,
-                             httplib::Response& given) {
+    const auto handle = [this](const httplib::Request& request,
+                               httplib::Response& response) {
         handler chosen;
         {
             const std::lock_guard lock(this->mutex);
-            this->requests.push_back(asked);
-            chosen = this->upstream;
+            this->requests.push_back(request);
+            chosen = this->upstream_handler;
         }
-        chosen(asked, given);
+        chosen(request, response);
         const std::lock_guard lock(this->mutex);
     };
-    this->engine.server.Post(".*", take);
-    this->engine.server.Get(".*", take);
-    this->engine.start();
-    this->publish(wanted);
-    this->store.start();
-    this->tested = std::make_unique<entry>(
-        settings_for(this->store.port, wanted), [] { return std::nullopt; });
-    this->thread = std::thread([this] { this->tested->run(); });
+    this->upstream_server.server.Post(".*", handle);
+    this->upstream_server.server.Get(".*", handle);
+    this->upstream_server.start();
+    this->publish(options);
+    this->store_server.start();
+    this->entry_under_test =
+        std::make_unique<entry>(settings_for(this->store_server.port, options),
+                                [] { return std::nullopt; });
+    this->thread = std::thread([this] { this->entry_under_test->run(); });
     this->wait_until_configured();
     const std::lock_guard lock(this->mutex);
 }
 
 entry_fixture::~entry_fixture()
 {
-    this->tested->stop();
+    this->entry_under_test->stop();
     this->thread.join();
-    this->engine.stop();
-    this->store.stop();
+    this->upstream_server.stop();
+    this->store_server.stop();
     const std::lock_guard lock(this->mutex);
 }
 
-void entry_fixture::answer_with(handler what)
+void entry_fixture::set_upstream_handler(handler chosen)
 {
     const std::lock_guard lock(this->mutex);
-    this->upstream = std::move(what);
+    this->upstream_handler = std::move(chosen);
 }
 
-void entry_fixture::publish(const entry_options& wanted)
+void entry_fixture::publish(const fixture_options& options)
 {
     json entries = {
-        item("op/config", configuration(wanted.limit_per_second), 1)};
-    std::vector<int> ports = wanted.upstream_ports;
+        item("op/config", configuration(options.limit_per_second), 1)};
+    std::vector<int> ports = options.upstream_ports;
     if (ports.empty())
-        ports = {this->engine.port};
+        ports = {this->upstream_server.port};
     for (std::size_t at = 0; at < ports.size(); ++at)
         entries.push_back(
             item("servers/i-" + std::to_string(at + 1),
@@ -169,25 +171,26 @@
                  2));
     const std::string page =
         json{{"entries", entries}, {"hasMore", false}, {"at", 2}}.dump();
-    this->store.server.Get(
-        "/kv-range", [page](const httplib::Request&, httplib::Response& given) {
-            given.set_content(page, "application/json");
+    this->store_server.server.Get(
+        "/kv-range",
+        [page](const httplib::Request&, httplib::Response& response) {
+            response.set_content(page, "application/json");
         });
-    this->store.server.Get(
+    this->store_server.server.Get(
         "/kv-watch",
-        [this](const httplib::Request& asked, httplib::Response& given) {
+        [this](const httplib::Request& request, httplib::Response& response) {
             std::this_thread::sleep_for(20ms);
             const std::lock_guard lock(this->mutex);
-            const bool behind = std::stoi(asked.get_param_value("after")) <
+            const bool behind = std::stoi(request.get_param_value("after")) <
                                 this->store_revision;
-            given.set_content(
+            response.set_content(
                 "{\"events\": [" + (behind ? this->store_events : "") +
                     "], \"at\": " + std::to_string(this->store_revision) + "}",
                 "application/json");
         });
 }
 
-void entry_fixture::evacuate(bool evacuated)
+void entry_fixture::set_evacuated(bool evacuated)
 {
     const std::lock_guard lock(this->mutex);
     this->store_revision += 1;
@@ -203,22 +206,23 @@
 void entry_fixture::wait_until_configured() const
 {
     for (int tries = 0; tries < 500; ++tries) {
-        auto asked = this->client();
-        const auto got = asked.Get("/nowhere/", headers());
+        auto request = this->client();
+        const auto got = request.Get("/nowhere/", headers());
         if (got && got->status == 404)
             return;
         std::this_thread::sleep_for(10ms);
     }
-    FAIL("the entry has no configuration");
+    FAIL("the entry did not get its configuration in time");
 }
 
-void entry_fixture::signed_answer(const httplib::Request& asked,
-                                  httplib::Response& given,
-                                  const std::string& body)
+void entry_fixture::write_signed_answer(const httplib::Request& request,
+                                        httplib::Response& response,
+                                        const std::string& body)
 {
-    given.set_header("X-Attempt-Id", asked.get_header_value("X-Attempt-Id"));
-    given.set_header("X-Response-Signature", "signed");
-    given.set_content(body, "text/plain");
+    response.set_header("X-Attempt-Id",
+                        request.get_header_value("X-Attempt-Id"));
+    response.set_header("X-Response-Signature", "signed");
+    response.set_content(body, "text/plain");
 }
 
 httplib::Headers entry_fixture::headers()
@@ -231,17 +235,18 @@
 
 httplib::Client entry_fixture::client() const
 {
-    const base::ip_endpoint address = this->tested->caller_address();
+    const base::ip_endpoint address = this->entry_under_test->caller_address();
     httplib::Client out(address.ip, address.port);
     out.set_keep_alive(false);
     return out;
 }
 
-std::string entry_fixture::raw_exchange(const std::string& bytes) const
+std::string entry_fixture::send_raw(const std::string& bytes) const
 {
     relay::asio::io_context context;
     relay::tcp::socket socket(context);
-    socket.connect(relay::tcp_endpoint(this->tested->caller_address()));
+    socket.connect(
+        relay::tcp_endpoint(this->entry_under_test->caller_address()));
     relay::asio::write(socket, relay::asio::buffer(bytes));
     std::string out;
     std::array<char, 4096> piece{};
@@ -254,7 +259,7 @@
     return out;
 }
 
-std::vector<httplib::Request> entry_fixture::received() const
+std::vector<httplib::Request> entry_fixture::received_requests() const
 {
     const std::lock_guard lock(this->mutex);
     return this->requests;
--- a/src/greengagedrum/entry/test/store_reader_test.cpp
+++ b/src/greengagedrum/entry/test/store_reader_test.cpp
@@ -1,4 +1,4 @@
-// What a reader makes of a store that holds other writers' items.
+// Reading a store that holds other programs' items.
 #include <greengagedrum/entry/store_reader.hpp>
 #include <greengagedrum/entry/test/entry_fixture.hpp>
 
@@ -12,7 +12,7 @@
 
 constexpr const char* json_type = "application/json";
 
-// "e30=" is an empty object.
+// "e30=" is an empty JSON object in Base64.
 const std::string config_page =
     R"({"entries": [{"key": "op/config", "value": "e30=", "revision": 1}],)"
     R"( "hasMore": true, "at": 2})";
@@ -33,22 +33,24 @@
     void start()
     {
         this->store.start();
-        store_events told;
-        told.news = [this](const routing::item_list&, std::uint64_t, bool) {
-            this->news += 1;
-        };
-        told.part = [this](const routing::item_list& items) {
-            this->parts += 1;
+        store_events callbacks;
+        callbacks.items_received = [this](const routing::item_list&,
+                                          std::uint64_t,
+                                          bool) { this->listings += 1; };
+        callbacks.page_received = [this](const routing::item_list& items) {
+            this->partial_pages += 1;
             CHECK(items.front().key == "op/config");
         };
-        told.failed = [this](const std::string&) { this->failures += 1; };
-        told.answered = [] {};
-        told.may_rest = [] { return false; };
+        callbacks.call_failed = [this](const std::string&) {
+            this->failures += 1;
+        };
+        callbacks.call_answered = [] {};
+        callbacks.peer_reads_store = [] { return false; };
         this->reader = std::make_unique<store_reader>(
             this->context,
             base::ip_endpoint{"127.0.0.1",
                               static_cast<std::uint16_t>(this->store.port)},
-            std::move(told));
+            std::move(callbacks));
         this->reader->start();
     }
 
@@ -59,73 +61,78 @@
     }
 
     relay::asio::io_context context;
-    stand_in store;
+    fake_http_server store;
     std::unique_ptr<store_reader> reader;
-    int news = 0;
-    int parts = 0;
+    int listings = 0;
+    int partial_pages = 0;
     int failures = 0;
-    std::atomic<int> lists{0};
+    std::atomic<int> range_calls{0};
 };
 
 } // namespace
 
-// A thousand pages of another writer's items follow the first one. Requests are
-// refused until the configuration is known, which is on that first page; and a
-// part of a list is no news of what has changed since a pause.
+// A thousand pages of another program's items follow the first page. Requests
+// are refused until the configuration is known, which is on that first page. A
+// part of the listing must not count as an update of the whole state after a
+// pause.
 TEST_CASE_FIXTURE(reader_fixture,
                   "configuration_does_not_wait_for_the_last_page")
 {
     this->store.server.Get(
         "/kv-range",
-        [this](const httplib::Request& asked, httplib::Response& given) {
-            this->lists += 1;
-            if (asked.has_param("after"))
-                given.status = 503;
+        [this](const httplib::Request& request, httplib::Response& response) {
+            this->range_calls += 1;
+            if (request.has_param("after"))
+                response.status = 503;
             else
-                given.set_content(config_page, json_type);
+                response.set_content(config_page, json_type);
         });
     this->start();
     this->run_until([this] { return this->failures > 0; });
-    CHECK(this->parts > 0);
-    CHECK(this->news == 0);
+    CHECK(this->partial_pages > 0);
+    CHECK(this->listings == 0);
 }
 
-// The store answers every page with the same items and says that more follow.
-// Asked for the next one at once, it would be asked for ever.
-TEST_CASE_FIXTURE(reader_fixture, "pages_that_do_not_go_on_are_given_up")
+// The store returns the same items for every page and says that more follow. A
+// reader that asks for the next page at once would never stop.
+TEST_CASE_FIXTURE(reader_fixture, "listing_whose_pages_repeat_is_given_up")
 {
     this->store.server.Get(
-        "/kv-range", [this](const httplib::Request&, httplib::Response& given) {
-            this->lists += 1;
-            given.set_content(config_page, json_type);
+        "/kv-range",
+        [this](const httplib::Request&, httplib::Response& response) {
+            this->range_calls += 1;
+            response.set_content(config_page, json_type);
         });
     this->start();
-    this->run_until([this] { return this->failures > 0 || this->lists > 50; });
+    this->run_until(
+        [this] { return this->failures > 0 || this->range_calls > 50; });
     CHECK(this->failures > 0);
-    CHECK(this->lists < 10);
+    CHECK(this->range_calls < 10);
 }
 
-// Another writer put so much into the store that one answer would hold tens of
-// megabytes. It is not taken into memory, and what has changed is read in
-// pages.
+// Another program wrote so much into the store that one response would hold
+// tens of megabytes. The response is not read into memory; the changes are read
+// in pages instead.
 TEST_CASE_FIXTURE(reader_fixture, "watch_too_large_is_read_in_pages")
 {
     this->store.server.Get(
-        "/kv-range", [this](const httplib::Request&, httplib::Response& given) {
-            this->lists += 1;
-            given.set_content(last_page, json_type);
+        "/kv-range",
+        [this](const httplib::Request&, httplib::Response& response) {
+            this->range_calls += 1;
+            response.set_content(last_page, json_type);
         });
-    // The handler's own: the store goes on answering until the fixture ends.
+    // The handler owns the text: the store responds until the fixture is
+    // destroyed.
     this->store.server.Get(
         "/kv-watch",
         [large = std::string(relay::fetched_bytes_most + (1U << 20U), ' ')](
-            const httplib::Request&, httplib::Response& given) {
-            given.set_content(large, json_type);
+            const httplib::Request&, httplib::Response& response) {
+            response.set_content(large, json_type);
         });
     this->start();
-    this->run_until([this] { return this->lists > 1; });
-    CHECK(this->lists > 1);
-    CHECK(this->news > 0);
+    this->run_until([this] { return this->range_calls > 1; });
+    CHECK(this->range_calls > 1);
+    CHECK(this->listings > 0);
 }
 
 } // namespace greengagedrum::entry
