--- a/src/greengagedrum/entry/peer_link.hpp
+++ b/src/greengagedrum/entry/peer_link.hpp
@@ -170,7 +170,7 @@
         base::instant heard_at;
     };
 
-    gossip::succession order;
+    gossip::dispatcher_election order;
     base::instant began;       // this process
     base::instant awake_since; // without a pause
     base::instant counted_at;
--- a/src/greengagedrum/gossip/dispatcher_search.cpp
+++ b/src/greengagedrum/gossip/dispatcher_search.cpp
@@ -30,11 +30,11 @@
 // Failure guarded against: the strongest entries of another data centre were
 // restarted and left the one that had followed them in place. Whoever asked
 // only them who places there, again and again, never heard of that one.
-void succession::try_strongest(base::data_centre_id of,
-                               std::size_t most,
-                               std::optional<ip_number> before,
-                               base::instant now,
-                               std::vector<ip_number>& out)
+void dispatcher_election::try_strongest(base::data_centre_id of,
+                                        std::size_t most,
+                                        std::optional<ip_number> before,
+                                        base::instant now,
+                                        std::vector<ip_number>& out)
 {
     std::size_t count = 0;
     for (const ip_number address : this->ranked(of, now)) {
@@ -55,7 +55,7 @@
 // Failure guarded against: a data centre is cut in two, and those on one side
 // that go first in line are all on the other. Asked three at a time, it takes
 // seconds to pass them over, in which each entry places by itself.
-std::size_t succession::tried_now(base::instant now) const
+std::size_t dispatcher_election::tried_now(base::instant now) const
 {
     if (!this->searching_since || now - *this->searching_since > wide_search)
         return tried_at_once;
@@ -63,7 +63,7 @@
     return tried_at_once << std::min<std::int64_t>(steps, search_steps);
 }
 
-std::vector<ip_number> succession::to_try(base::instant now)
+std::vector<ip_number> dispatcher_election::to_try(base::instant now)
 {
     std::vector<ip_number> out;
     const auto placing = this->dispatcher(now);
@@ -80,7 +80,7 @@
     return out;
 }
 
-std::vector<ip_number> succession::far_dispatchers(base::instant now)
+std::vector<ip_number> dispatcher_election::far_dispatchers(base::instant now)
 {
     std::set<base::data_centre_id> data_centres;
     std::vector<ip_number> out;
@@ -102,7 +102,8 @@
     return out;
 }
 
-std::vector<ip_number> succession::silent_nearby(base::instant now) const
+std::vector<ip_number>
+dispatcher_election::silent_nearby(base::instant now) const
 {
     std::vector<ip_number> out;
     for (const auto& [address, one] : this->others) {
--- a/src/greengagedrum/gossip/succession.cpp
+++ b/src/greengagedrum/gossip/succession.cpp
@@ -49,25 +49,25 @@
 } // namespace
 
 // The strongest goes first, and among equals the lowest address.
-bool succession::goes_before_own(ip_number address) const
+bool dispatcher_election::goes_before_own(ip_number address) const
 {
     const std::uint32_t other = this->others.at(address).strength;
     return other != this->strength ? other > this->strength
                                    : address < this->own;
 }
 
-bool succession::is_heard(const candidate& one, base::instant now)
+bool dispatcher_election::is_heard(const candidate& one, base::instant now)
 {
     return one.heard_at && now - *one.heard_at <= heard_for;
 }
 
 // It was heard, and places requests: its own, and those of whoever asks it.
-bool succession::places(const candidate& one, base::instant now)
+bool dispatcher_election::places(const candidate& one, base::instant now)
 {
     return is_heard(one, now) && !one.delegating && !one.stopping;
 }
 
-void succession::heard(const message& told, base::instant now)
+void dispatcher_election::heard(const message& told, base::instant now)
 {
     if (told.address == this->own)
         return;
@@ -100,7 +100,7 @@
     }
 }
 
-void succession::told(ip_number address, base::instant now)
+void dispatcher_election::told(ip_number address, base::instant now)
 {
     const auto found = this->others.find(address);
     if (found == this->others.end() || is_heard(found->second, now))
@@ -114,7 +114,7 @@
     one.passed_over_until = now + passed_over;
 }
 
-std::size_t succession::size(base::instant now) const
+std::size_t dispatcher_election::size(base::instant now) const
 {
     return 1 + static_cast<std::size_t>(std::count_if(
                    this->others.begin(),
@@ -124,15 +124,15 @@
                    }));
 }
 
-bool succession::is_large(base::instant now)
+bool dispatcher_election::is_large(base::instant now)
 {
     const std::size_t count = this->size(now);
     this->large = this->large ? count >= large_until : count >= large_from;
     return this->large;
 }
 
-std::vector<ip_number> succession::ranked(base::data_centre_id of,
-                                          base::instant now) const
+std::vector<ip_number> dispatcher_election::ranked(base::data_centre_id of,
+                                                   base::instant now) const
 {
     std::vector<std::pair<std::uint32_t, ip_number>> known;
     for (const auto& [address, one] : this->others) {
@@ -151,7 +151,7 @@
     return out;
 }
 
-std::optional<ip_number> succession::dispatcher(base::instant now)
+std::optional<ip_number> dispatcher_election::dispatcher(base::instant now)
 {
     const auto first = this->first_before_own(now);
     this->chosen = first ? first : this->left_in_place(now);
@@ -162,7 +162,8 @@
 // strong one that is back takes the place of the one that had followed it: two
 // changes for each stop, the second to a process that knows nothing of
 // upstreams.
-std::optional<ip_number> succession::first_before_own(base::instant now) const
+std::optional<ip_number>
+dispatcher_election::first_before_own(base::instant now) const
 {
     const bool served = this->is_well_served(now);
     for (const ip_number address : this->ranked(this->data_centre, now)) {
@@ -176,7 +177,8 @@
 }
 
 // One that goes after this entry and is to go on.
-std::optional<ip_number> succession::left_in_place(base::instant now) const
+std::optional<ip_number>
+dispatcher_election::left_in_place(base::instant now) const
 {
     const bool young = is_young(this->started, now);
     if (this->chosen && this->is_settled(*this->chosen, now)) {
@@ -195,13 +197,13 @@
     return std::nullopt;
 }
 
-bool succession::is_young(base::instant started, base::instant now)
+bool dispatcher_election::is_young(base::instant started, base::instant now)
 {
     return now - started < young_for;
 }
 
 // It places for others, and its process has seen enough to do it well.
-bool succession::is_settled(ip_number address, base::instant now) const
+bool dispatcher_election::is_settled(ip_number address, base::instant now) const
 {
     const auto found = this->others.find(address);
     if (found == this->others.end())
@@ -210,14 +212,15 @@
     return one.serving && places(one, now) && !is_young(one.started_at, now);
 }
 
-bool succession::is_well_served(base::instant now) const
+bool dispatcher_election::is_well_served(base::instant now) const
 {
     if (this->chosen)
         return this->is_settled(*this->chosen, now);
     return this->serving && !is_young(this->started, now);
 }
 
-bool succession::is_replaced(ip_number address, base::instant now) const
+bool dispatcher_election::is_replaced(ip_number address,
+                                      base::instant now) const
 {
     const auto found = this->others.find(address);
     if (found == this->others.end())
@@ -232,7 +235,8 @@
         });
 }
 
-std::vector<ip_number> succession::next_in_line(base::instant now) const
+std::vector<ip_number>
+dispatcher_election::next_in_line(base::instant now) const
 {
     std::vector<ip_number> out;
     for (const ip_number address : this->ranked(this->data_centre, now)) {
@@ -244,7 +248,7 @@
     return out;
 }
 
-std::size_t succession::place_in_line(base::instant now) const
+std::size_t dispatcher_election::place_in_line(base::instant now) const
 {
     const std::vector<ip_number> all = this->ranked(this->data_centre, now);
     return static_cast<std::size_t>(
@@ -253,7 +257,7 @@
         }));
 }
 
-std::size_t succession::dispatchers(base::instant now) const
+std::size_t dispatcher_election::dispatchers(base::instant now) const
 {
     return static_cast<std::size_t>(std::count_if(
         this->others.begin(), this->others.end(), [&](const auto& entry) {
@@ -261,7 +265,7 @@
         }));
 }
 
-bool succession::is_placed_nearby(base::instant now) const
+bool dispatcher_election::is_placed_nearby(base::instant now) const
 {
     return std::any_of(
         this->others.begin(), this->others.end(), [&](const auto& entry) {
@@ -270,7 +274,7 @@
         });
 }
 
-std::size_t succession::unheard_data_centres(base::instant now) const
+std::size_t dispatcher_election::unheard_data_centres(base::instant now) const
 {
     std::set<base::data_centre_id> known;
     std::set<base::data_centre_id> ever_heard;
@@ -288,13 +292,13 @@
     return out;
 }
 
-std::size_t succession::known_nearby(base::instant now) const
+std::size_t dispatcher_election::known_nearby(base::instant now) const
 {
     return this->ranked(this->data_centre, now).size();
 }
 
-std::vector<known_entry> succession::to_name(base::data_centre_id to,
-                                             base::instant now)
+std::vector<known_entry> dispatcher_election::to_name(base::data_centre_id to,
+                                                      base::instant now)
 {
     std::vector<known_entry> out;
     const auto name = [&](ip_number address) {
--- a/src/greengagedrum/gossip/succession.hpp
+++ b/src/greengagedrum/gossip/succession.hpp
@@ -27,13 +27,13 @@
 namespace greengagedrum::gossip
 {
 
-class succession
+class dispatcher_election
 {
 public:
-    succession(ip_number own,
-               base::data_centre_id data_centre,
-               std::uint32_t strength,
-               base::instant started)
+    dispatcher_election(ip_number own,
+                        base::data_centre_id data_centre,
+                        std::uint32_t strength,
+                        base::instant started)
         : own(own), data_centre(data_centre), strength(strength),
           started(started)
     {
--- a/src/greengagedrum/gossip/test/succession_test.cpp
+++ b/src/greengagedrum/gossip/test/succession_test.cpp
@@ -26,7 +26,7 @@
 
 struct succession_fixture {
     base::instant now{std::chrono::hours(1)};
-    succession own{50, hall, weak, base::instant()};
+    dispatcher_election own{50, hall, weak, base::instant()};
 
     message from(ip_number address, std::uint32_t strength, const char* place)
     {
@@ -137,7 +137,7 @@
 TEST_CASE_FIXTURE(succession_fixture,
                   "weaker_entries_are_not_asked_by_the_strongest")
 {
-    succession best(1, hall, strong, base::instant());
+    dispatcher_election best(1, hall, strong, base::instant());
     best.heard(this->from(60, weak, "hall"), this->now);
     this->now += 1s;
     CHECK(best.to_try(this->now).empty());
@@ -231,7 +231,7 @@
 TEST_CASE_FIXTURE(succession_fixture,
                   "young_entry_leaves_a_dispatcher_in_place")
 {
-    succession best(1, hall, strong, this->now);
+    dispatcher_election best(1, hall, strong, this->now);
     message placing = this->from(70, weak, "hall");
     placing.lived_for = 1min;
     placing.serving = true;
@@ -248,7 +248,7 @@
 // Of two that are about as strong the one that places goes on.
 TEST_CASE_FIXTURE(succession_fixture, "dispatcher_as_strong_stays_for_good")
 {
-    succession next(1, hall, weak, this->now);
+    dispatcher_election next(1, hall, weak, this->now);
     message placing = this->from(70, weak, "hall");
     placing.lived_for = 1min;
     placing.serving = true;
@@ -294,7 +294,7 @@
 // After a start of all entries nobody has lived for long: the strongest places.
 TEST_CASE_FIXTURE(succession_fixture, "strongest_places_among_young_entries")
 {
-    succession best(1, hall, strong, this->now);
+    dispatcher_election best(1, hall, strong, this->now);
     message placing = this->from(70, weak, "hall");
     placing.lived_for = 500ms;
     best.heard(placing, this->now);
