--- a/src/greengagedrum/entry/fleet_test/fleet_trouble.cpp
+++ b/src/greengagedrum/entry/fleet_test/fleet_trouble.cpp
@@ -16,13 +16,14 @@
 
 } // namespace
 
-bool virtual_fleet::is_cut(gossip::ip_number from, gossip::ip_number to) const
+bool virtual_fleet::is_cut(gossip::ipv4_address from,
+                           gossip::ipv4_address to) const
 {
     const double at = this->seconds();
     if (at < this->plan.cut_from ||
         at >= this->plan.cut_from + this->plan.cut_for)
         return false;
-    const auto behind = [&](gossip::ip_number address) {
+    const auto behind = [&](gossip::ipv4_address address) {
         const std::size_t number = address - first_address;
         return number % this->plan.data_centres == 0 &&
                number < this->plan.entries / 2;
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
@@ -72,8 +72,8 @@
     out.data_centre =
         "centre-" + std::to_string(number % this->plan.data_centres);
     const auto address_of = [](std::size_t of) {
-        return relay::asio::ip::address_v4(first_address +
-                                           static_cast<gossip::ip_number>(of))
+        return relay::asio::ip::address_v4(
+                   first_address + static_cast<gossip::ipv4_address>(of))
             .to_string();
     };
     out.ip = address_of(number);
@@ -90,12 +90,12 @@
     this->nodes[number] = std::make_unique<node>(this->now);
     node& fresh = *this->nodes[number];
     fresh.number = number;
-    fresh.address = first_address + static_cast<gossip::ip_number>(number);
+    fresh.address = first_address + static_cast<gossip::ipv4_address>(number);
     fresh.state.clock = [this] { return this->now; };
     this->owner.configure(fresh);
     peer_transport transport;
     transport.send = [this, &fresh](std::string_view bytes,
-                                    gossip::ip_number to) {
+                                    gossip::ipv4_address to) {
         this->sent_bytes[fresh.number] += bytes.size();
         this->send(fresh.address, to, bytes);
     };
@@ -120,8 +120,8 @@
 
 // ---- Messages ---------------------------------------------------------------
 
-void virtual_fleet::send(gossip::ip_number from,
-                         gossip::ip_number to,
+void virtual_fleet::send(gossip::ipv4_address from,
+                         gossip::ipv4_address to,
                          std::string_view bytes)
 {
     if (this->is_cut(from, to))
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
@@ -15,7 +15,7 @@
 {
 
 // The address of the entry of number 0; the others follow.
-inline constexpr gossip::ip_number first_address = 0x0a000001; // 10.0.0.1
+inline constexpr gossip::ipv4_address first_address = 0x0a000001; // 10.0.0.1
 
 struct trouble_plan {
     std::size_t entries = 86;
@@ -47,7 +47,7 @@
         explicit node(base::instant now);
 
         std::size_t number = 0;
-        gossip::ip_number address = 0;
+        gossip::ipv4_address address = 0;
         shared_state state;
         std::unique_ptr<peer_link> link;
         std::optional<base::instant> wakes_at;
@@ -86,16 +86,17 @@
 private:
     struct datagram {
         base::instant arrives;
-        gossip::ip_number from = 0;
-        gossip::ip_number to = 0;
+        gossip::ipv4_address from = 0;
+        gossip::ipv4_address to = 0;
         std::string bytes;
     };
 
     void start(std::size_t number);
     settings settings_of(std::size_t number) const;
-    void
-    send(gossip::ip_number from, gossip::ip_number to, std::string_view bytes);
-    bool is_cut(gossip::ip_number from, gossip::ip_number to) const;
+    void send(gossip::ipv4_address from,
+              gossip::ipv4_address to,
+              std::string_view bytes);
+    bool is_cut(gossip::ipv4_address from, gossip::ipv4_address to) const;
     void deliver();
     void end(std::size_t number);
     void restart_due();
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -233,7 +233,7 @@
     out.instance = this->own.instance;
     out.data_centre = this->own.data_centre;
     out.address = relay::asio::ip::make_address_v4(this->own.ip).to_uint();
-    out.strength = strength_of(this->own);
+    out.cpu_millicores = strength_of(this->own);
     out.lived_for = now - this->began;
     out.stopping = this->state.stopping;
     out.configuration_revision = this->state.known.configuration_revision();
@@ -278,12 +278,12 @@
 {
     const base::instant now = this->state.clock();
     this->schedule.told(who, now);
-    const std::vector<gossip::ip_number> to_tell =
+    const std::vector<gossip::ipv4_address> to_tell =
         this->table.to_tell(who, now);
     if (to_tell.empty())
         return;
     const std::string bytes = gossip::encode(this->own_load(who));
-    for (const gossip::ip_number address : to_tell)
+    for (const gossip::ipv4_address address : to_tell)
         this->transport.send(bytes, address);
 }
 
@@ -327,7 +327,7 @@
                         now);
 }
 
-void peer_link::ask_for_items(gossip::ip_number of,
+void peer_link::ask_for_items(gossip::ipv4_address of,
                               const items_question& what,
                               base::instant now)
 {
--- a/src/greengagedrum/entry/peer_link.hpp
+++ b/src/greengagedrum/entry/peer_link.hpp
@@ -131,11 +131,11 @@
     void answer_members();
     void tell_far(base::instant now);
     void greet_silent(base::instant now);
-    void greet(const std::vector<gossip::ip_number>& to_greet,
+    void greet(const std::vector<gossip::ipv4_address>& to_greet,
                base::instant now);
     void look_for_silent(base::instant now);
     void ask_peer(base::instant now);
-    void ask_for_items(gossip::ip_number of,
+    void ask_for_items(gossip::ipv4_address of,
                        const items_question& what,
                        base::instant now);
 
@@ -166,7 +166,7 @@
     };
 
     struct member {
-        gossip::ip_number address = 0;
+        gossip::ipv4_address address = 0;
         base::instant heard_at;
     };
 
@@ -177,9 +177,9 @@
     base::instant half_since; // placing for half of its data centre, or more
     traffic::slow_start_share share; // of cold upstreams; none at first
     bool large = false;
-    std::optional<gossip::ip_number> dispatcher; // none: this entry
-    base::instant dispatcher_at;                 // when there was one last
-    base::instant placing_since;                 // this entry, by itself
+    std::optional<gossip::ipv4_address> dispatcher; // none: this entry
+    base::instant dispatcher_at;                    // when there was one last
+    base::instant placing_since;                    // this entry, by itself
     change_point passed; // to this entry, by whoever was asked last
     std::uint64_t dispatcher_digest = 0;
     base::instant reported_at;
@@ -193,14 +193,14 @@
     std::optional<handed_limits> limits;
     std::unordered_map<base::slot_id, member> members;
     // Others that place, of which the limiter was told.
-    std::unordered_map<base::slot_id, gossip::ip_number> counting;
+    std::unordered_map<base::slot_id, gossip::ipv4_address> counting;
     struct entry_counts {
         std::size_t dispatchers = 0;
         std::size_t unheard = 0;
         bool operator==(const entry_counts&) const = default;
     };
     entry_counts counts;
-    std::unordered_map<gossip::ip_number, base::instant> greetings_answered;
+    std::unordered_map<gossip::ipv4_address, base::instant> greetings_answered;
 };
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/peer_socket.cpp
+++ b/src/greengagedrum/entry/peer_socket.cpp
@@ -20,7 +20,7 @@
 peer_transport peer_socket::transport()
 {
     peer_transport out;
-    out.send = [this](std::string_view told, gossip::ip_number to) {
+    out.send = [this](std::string_view told, gossip::ipv4_address to) {
         this->send(told, to);
     };
     out.wake_after = [this](base::duration after) { this->wake_after(after); };
@@ -56,7 +56,7 @@
         });
 }
 
-void peer_socket::send(std::string_view told, gossip::ip_number to)
+void peer_socket::send(std::string_view told, gossip::ipv4_address to)
 {
     const relay::udp::endpoint receiver(relay::asio::ip::address_v4(to),
                                         this->port);
--- a/src/greengagedrum/entry/peer_socket.hpp
+++ b/src/greengagedrum/entry/peer_socket.hpp
@@ -30,7 +30,7 @@
 
 private:
     void receive();
-    void send(std::string_view bytes, gossip::ip_number to);
+    void send(std::string_view bytes, gossip::ipv4_address to);
     void wake_after(base::duration after);
 
     relay::udp::socket socket;
--- a/src/greengagedrum/entry/peer_telling.cpp
+++ b/src/greengagedrum/entry/peer_telling.cpp
@@ -115,7 +115,7 @@
 // report, so that the first of them to answer can begin.
 void peer_link::look_for_silent(base::instant now)
 {
-    const std::vector<gossip::ip_number> to_try = this->order.to_try(now);
+    const std::vector<gossip::ipv4_address> to_try = this->order.to_try(now);
     if (!to_try.empty()) {
         gossip::message out = this->own_message(gossip::message_kind::report);
         if (this->state.delegating && !this->dispatcher) {
@@ -123,7 +123,7 @@
             out.report = this->events.report();
         }
         const std::string bytes = gossip::encode(out);
-        for (const gossip::ip_number address : to_try) {
+        for (const gossip::ipv4_address address : to_try) {
             this->order.told(address, now);
             this->transport.send(bytes, address);
         }
@@ -135,9 +135,9 @@
 void peer_link::greet_silent(base::instant now)
 {
     this->greeted_at = now;
-    std::vector<gossip::ip_number> to_greet = this->table.silent_seeds(now);
+    std::vector<gossip::ipv4_address> to_greet = this->table.silent_seeds(now);
     if (!this->state.delegating) {
-        const std::vector<gossip::ip_number> silent =
+        const std::vector<gossip::ipv4_address> silent =
             this->order.silent_nearby(now);
         for (std::size_t count = 0;
              count < std::min(greeted_at_once, silent.size());
@@ -148,14 +148,14 @@
         this->greet(to_greet, now);
 }
 
-void peer_link::greet(const std::vector<gossip::ip_number>& to_greet,
+void peer_link::greet(const std::vector<gossip::ipv4_address>& to_greet,
                       base::instant now)
 {
     gossip::message out = this->own_message(gossip::message_kind::greeting);
     out.known =
         this->order.to_name(base::data_centre_id(this->own.data_centre), now);
     const std::string bytes = gossip::encode(out);
-    for (const gossip::ip_number address : to_greet)
+    for (const gossip::ipv4_address address : to_greet)
         this->transport.send(bytes, address);
 }
 
@@ -163,7 +163,8 @@
 {
     const std::vector<gossip::known_entry> known =
         this->order.to_name(base::data_centre_id(this->own.data_centre), now);
-    const std::vector<gossip::ip_number> next = this->order.next_in_line(now);
+    const std::vector<gossip::ipv4_address> next =
+        this->order.next_in_line(now);
     const auto suspects = this->suspects_for(this->suspects_to_members, now);
     for (const auto& [slot, one] : this->members) {
         if (now - one.heard_at > member_for)
@@ -196,14 +197,15 @@
     this->schedule.told(gossip::audience::others, now);
     if (this->state.delegating)
         this->farewells -= 1;
-    const std::vector<gossip::ip_number> far = this->order.far_dispatchers(now);
+    const std::vector<gossip::ipv4_address> far =
+        this->order.far_dispatchers(now);
     if (far.empty())
         return;
     gossip::message out = this->own_load(gossip::audience::others);
     out.known =
         this->order.to_name(base::data_centre_id(this->own.data_centre), now);
     const std::string bytes = gossip::encode(out);
-    for (const gossip::ip_number address : far) {
+    for (const gossip::ipv4_address address : far) {
         this->order.told(address, now);
         this->transport.send(bytes, address);
     }
--- a/src/greengagedrum/entry/peer_transport.hpp
+++ b/src/greengagedrum/entry/peer_transport.hpp
@@ -16,7 +16,7 @@
 
 struct peer_transport {
     // One that can't be sent is lost like any other datagram.
-    std::function<void(std::string_view bytes, gossip::ip_number to)> send;
+    std::function<void(std::string_view bytes, gossip::ipv4_address to)> send;
 
     // `wake` of the link is due so soon.
     std::function<void(base::duration after)> wake_after;
--- a/src/greengagedrum/entry/test/dispatch_test.cpp
+++ b/src/greengagedrum/entry/test/dispatch_test.cpp
@@ -11,9 +11,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr gossip::ip_number dispatcher_ip = 0x7f000002; // 127.0.0.2
-constexpr gossip::ip_number first_other = 0x0a000001;
-constexpr gossip::ip_number others = 40;
+constexpr gossip::ipv4_address dispatcher_ip = 0x7f000002; // 127.0.0.2
+constexpr gossip::ipv4_address first_other = 0x0a000001;
+constexpr gossip::ipv4_address others = 40;
 
 using decision = std::function<void(const dispatch::slot_request&,
                                     dispatch::dispatcher_reply&)>;
@@ -72,9 +72,9 @@
         out.instance = "strong";
         out.data_centre = "hall";
         out.address = dispatcher_ip;
-        out.strength = 5000;
+        out.cpu_millicores = 5000;
         out.store_age = 1h;
-        for (gossip::ip_number one = 0; one < others; ++one)
+        for (gossip::ipv4_address one = 0; one < others; ++one)
             out.known.push_back(
                 {first_other + one, 10ms, base::data_centre_id("hall"), 1});
         return out;
--- a/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
+++ b/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
@@ -11,10 +11,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr gossip::ip_number stopping_ip = 0x7f000002; // 127.0.0.2
-constexpr gossip::ip_number next_ip = 0x7f000003;
-constexpr gossip::ip_number first_other = 0x0a000001;
-constexpr gossip::ip_number others = 40;
+constexpr gossip::ipv4_address stopping_ip = 0x7f000002; // 127.0.0.2
+constexpr gossip::ipv4_address next_ip = 0x7f000003;
+constexpr gossip::ipv4_address first_other = 0x0a000001;
+constexpr gossip::ipv4_address others = 40;
 constexpr double limit_per_second = 12'000;
 
 // Any address of loopback but the entry's; its port is the fleet's.
@@ -29,7 +29,7 @@
 
     std::uint16_t port() const { return this->socket.local_endpoint().port(); }
 
-    gossip::message load_of(std::string instance, gossip::ip_number address)
+    gossip::message load_of(std::string instance, gossip::ipv4_address address)
     {
         gossip::message out;
         out.kind = gossip::message_kind::dispatcher_load;
@@ -38,9 +38,9 @@
         out.instance = std::move(instance);
         out.data_centre = "yard";
         out.address = address;
-        out.strength = 5000;
+        out.cpu_millicores = 5000;
         out.store_age = 1h;
-        for (gossip::ip_number one = 0; one < others; ++one)
+        for (gossip::ipv4_address one = 0; one < others; ++one)
             out.known.push_back(
                 {first_other + one, 10ms, base::data_centre_id("yard"), 1});
         return out;
--- a/src/greengagedrum/gossip/dispatcher_search.cpp
+++ b/src/greengagedrum/gossip/dispatcher_search.cpp
@@ -32,12 +32,12 @@
 // only them who places there, again and again, never heard of that one.
 void dispatcher_election::try_strongest(base::data_centre_id of,
                                         std::size_t most,
-                                        std::optional<ip_number> before,
+                                        std::optional<ipv4_address> before,
                                         base::instant now,
-                                        std::vector<ip_number>& out)
+                                        std::vector<ipv4_address>& out)
 {
     std::size_t count = 0;
-    for (const ip_number address : this->ranked(of, now)) {
+    for (const ipv4_address address : this->ranked(of, now)) {
         if (address == before || count == most)
             return;
         const candidate& one = this->others.at(address);
@@ -63,9 +63,9 @@
     return tried_at_once << std::min<std::int64_t>(steps, search_steps);
 }
 
-std::vector<ip_number> dispatcher_election::to_try(base::instant now)
+std::vector<ipv4_address> dispatcher_election::to_try(base::instant now)
 {
-    std::vector<ip_number> out;
+    std::vector<ipv4_address> out;
     const auto placing = this->dispatcher(now);
     if (placing)
         this->searching_since.reset();
@@ -74,16 +74,17 @@
     this->try_strongest(
         this->data_centre, this->tried_now(now), placing, now, out);
     if (!placing)
-        std::erase_if(out, [&](ip_number address) {
+        std::erase_if(out, [&](ipv4_address address) {
             return !this->goes_before_own(address);
         });
     return out;
 }
 
-std::vector<ip_number> dispatcher_election::far_dispatchers(base::instant now)
+std::vector<ipv4_address>
+dispatcher_election::far_dispatchers(base::instant now)
 {
     std::set<base::data_centre_id> data_centres;
-    std::vector<ip_number> out;
+    std::vector<ipv4_address> out;
     for (const auto& [address, one] : this->others) {
         if (one.data_centre == this->data_centre || one.data_centre.empty())
             continue;
@@ -92,8 +93,8 @@
             out.push_back(address);
     }
     for (const base::data_centre_id place : data_centres) {
-        std::optional<ip_number> strongest;
-        for (const ip_number address : this->ranked(place, now)) {
+        std::optional<ipv4_address> strongest;
+        for (const ipv4_address address : this->ranked(place, now)) {
             if (!strongest && places(this->others.at(address), now))
                 strongest = address;
         }
@@ -102,10 +103,10 @@
     return out;
 }
 
-std::vector<ip_number>
+std::vector<ipv4_address>
 dispatcher_election::silent_nearby(base::instant now) const
 {
-    std::vector<ip_number> out;
+    std::vector<ipv4_address> out;
     for (const auto& [address, one] : this->others) {
         if (one.data_centre == this->data_centre && !is_heard(one, now))
             out.push_back(address);
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -118,7 +118,7 @@
                           std::chrono::milliseconds(one->age_ms())};
         if (standings != nullptr && at < standings->size()) {
             named.data_centre.value = standings->Get(at)->data_centre();
-            named.strength = standings->Get(at)->strength();
+            named.cpu_millicores = standings->Get(at)->strength();
         }
         out.push_back(named);
     }
@@ -176,7 +176,7 @@
     std::vector<wire::Standing> standings;
     for (const auto& one : told.known) {
         known.emplace_back(one.address, milliseconds_of(one.age));
-        standings.emplace_back(one.data_centre.value, one.strength);
+        standings.emplace_back(one.data_centre.value, one.cpu_millicores);
     }
     flatbuffers::Offset<wire::Report> report;
     if (told.kind == message_kind::report)
@@ -205,7 +205,7 @@
                             builder.CreateVector(spent_waiting),
                             builder.CreateVector(spent_lately),
                             builder.CreateVector(spent_by_all),
-                            told.strength,
+                            told.cpu_millicores,
                             builder.CreateVectorOfStructs(standings),
                             static_cast<std::uint8_t>(told.kind),
                             told.delegating,
@@ -248,7 +248,7 @@
         out.workspace_uses = workspace_uses_of(*list, *root);
     if (const auto* list = root->known())
         out.known = known_of(*list, root->standings());
-    out.strength = root->strength();
+    out.cpu_millicores = root->strength();
     out.lived_for = std::chrono::milliseconds(root->lived_for_ms());
     out.kind = kind_of(root->kind());
     out.delegating = root->delegating();
--- a/src/greengagedrum/gossip/message.hpp
+++ b/src/greengagedrum/gossip/message.hpp
@@ -19,13 +19,13 @@
 {
 
 // An IPv4 address in the order of its digits: 10.1.0.25 is 0x0a010019.
-using ip_number = std::uint32_t;
+using ipv4_address = std::uint32_t;
 
 struct known_entry {
-    ip_number address = 0;
+    ipv4_address address = 0;
     base::duration age{0}; // since it was last heard
     base::data_centre_id data_centre{};
-    std::uint32_t strength = 0; // thousandths of a processor
+    std::uint32_t cpu_millicores = 0; // thousandths of a processor
 };
 
 enum class message_kind : std::uint8_t {
@@ -48,7 +48,7 @@
     std::uint64_t sequence = 0; // grows with each message of a life
     std::string instance;
     std::string data_centre;
-    ip_number address = 0;
+    ipv4_address address = 0;
     bool stopping = false;
     std::uint64_t configuration_revision = 0;
     std::uint64_t store_revision = 0; // as of which the upstreams are known
@@ -64,8 +64,8 @@
     std::vector<traffic::service_waiting> waiting;
     std::vector<quota::workspace_use> workspace_uses;
     std::vector<known_entry> known;
-    std::uint32_t strength = 0;  // thousandths of a processor
-    base::duration lived_for{0}; // the sender's process, at least
+    std::uint32_t cpu_millicores = 0; // thousandths of a processor
+    base::duration lived_for{0};      // the sender's process, at least
     dispatch::member_report report;
     dispatch::dispatcher_reply reply;
     std::vector<quarantine::suspect_report> suspects;
--- a/src/greengagedrum/gossip/peer_table.cpp
+++ b/src/greengagedrum/gossip/peer_table.cpp
@@ -34,7 +34,7 @@
     return one.heard_at && now - *one.heard_at <= alive_for;
 }
 
-void peer_table::add_seed(ip_number address)
+void peer_table::add_seed(ipv4_address address)
 {
     if (address != this->own)
         this->peers[address].seed = true;
@@ -55,7 +55,7 @@
     one.instance = told.instance;
     one.near = told.data_centre == this->data_centre;
     one.data_centre = base::data_centre_id(told.data_centre);
-    one.strength = told.strength;
+    one.cpu_millicores = told.cpu_millicores;
     one.life = told.life;
     one.sequence = told.sequence;
     one.heard_at = now;
@@ -73,10 +73,10 @@
     return was_alive ? peer_news::none : peer_news::found;
 }
 
-std::vector<ip_number> peer_table::to_tell(audience who, base::instant now)
+std::vector<ipv4_address> peer_table::to_tell(audience who, base::instant now)
 {
     const bool near = who == audience::own_data_centre;
-    std::vector<ip_number> out;
+    std::vector<ipv4_address> out;
     for (auto& [address, one] : this->peers) {
         const bool alive = is_alive(one, now);
         if ((alive && one.near) != near)
@@ -96,9 +96,9 @@
     return out;
 }
 
-std::vector<ip_number> peer_table::silent_seeds(base::instant now) const
+std::vector<ipv4_address> peer_table::silent_seeds(base::instant now) const
 {
-    std::vector<ip_number> out;
+    std::vector<ipv4_address> out;
     for (const auto& [address, one] : this->peers) {
         if (one.seed && !is_alive(one, now))
             out.push_back(address);
@@ -123,7 +123,7 @@
             out.push_back({next->first,
                            now - *next->second.heard_at,
                            next->second.data_centre,
-                           next->second.strength});
+                           next->second.cpu_millicores});
         ++next;
         if (out.size() == named_at_once)
             break;
--- a/src/greengagedrum/gossip/peer_table.hpp
+++ b/src/greengagedrum/gossip/peer_table.hpp
@@ -32,21 +32,23 @@
 class peer_table
 {
 public:
-    peer_table(ip_number own, std::string data_centre, base::incarnation life)
+    peer_table(ipv4_address own,
+               std::string data_centre,
+               base::incarnation life)
         : own(own), data_centre(std::move(data_centre)), life(life)
     {
     }
 
-    void add_seed(ip_number address);
+    void add_seed(ipv4_address address);
 
     peer_news heard(const message& told, base::instant now);
 
     // Addresses to be told now: those that are alive, of the own data centre
     // or of the others, and with the others once in a while those that may be.
-    std::vector<ip_number> to_tell(audience who, base::instant now);
+    std::vector<ipv4_address> to_tell(audience who, base::instant now);
 
     // Seeds that are not alive.
-    std::vector<ip_number> silent_seeds(base::instant now) const;
+    std::vector<ipv4_address> silent_seeds(base::instant now) const;
 
     // For the own message: those heard lately, a few at a time in turn.
     std::vector<known_entry> some_known(audience who, base::instant now);
@@ -71,7 +73,7 @@
     nearby_order nearby_lately(base::instant now) const;
 
     struct source {
-        ip_number address = 0;
+        ipv4_address address = 0;
         bool near = false;
         std::uint64_t configuration_revision = 0;
         std::uint64_t change_revision = 0;
@@ -91,7 +93,7 @@
     struct peer {
         std::string instance;
         base::data_centre_id data_centre;
-        std::uint32_t strength = 0;
+        std::uint32_t cpu_millicores = 0;
         bool near = false; // of the own data centre
         base::incarnation life;
         std::uint64_t sequence = 0;
@@ -108,11 +110,11 @@
 
     static bool is_alive(const peer& one, base::instant now);
 
-    ip_number own;
+    ipv4_address own;
     std::string data_centre;
     base::incarnation life;
-    std::map<ip_number, peer> peers;
-    ip_number next_named = 0;
+    std::map<ipv4_address, peer> peers;
+    ipv4_address next_named = 0;
     // When others were named last, to each audience.
     base::instant named_near_at;
     base::instant named_far_at;
--- a/src/greengagedrum/gossip/succession.cpp
+++ b/src/greengagedrum/gossip/succession.cpp
@@ -49,11 +49,11 @@
 } // namespace
 
 // The strongest goes first, and among equals the lowest address.
-bool dispatcher_election::goes_before_own(ip_number address) const
+bool dispatcher_election::goes_before_own(ipv4_address address) const
 {
-    const std::uint32_t other = this->others.at(address).strength;
-    return other != this->strength ? other > this->strength
-                                   : address < this->own;
+    const std::uint32_t other = this->others.at(address).cpu_millicores;
+    return other != this->cpu_millicores ? other > this->cpu_millicores
+                                         : address < this->own;
 }
 
 bool dispatcher_election::is_heard(const candidate& one, base::instant now)
@@ -73,7 +73,7 @@
         return;
     candidate& sender = this->others[told.address];
     sender.data_centre = base::data_centre_id(told.data_centre);
-    sender.strength = told.strength;
+    sender.cpu_millicores = told.cpu_millicores;
     sender.seen_at = now;
     sender.started_at = now - told.lived_for;
     sender.heard_at = now;
@@ -96,11 +96,11 @@
         if (one.heard_at)
             continue;
         one.data_centre = named.data_centre;
-        one.strength = named.strength;
+        one.cpu_millicores = named.cpu_millicores;
     }
 }
 
-void dispatcher_election::told(ip_number address, base::instant now)
+void dispatcher_election::told(ipv4_address address, base::instant now)
 {
     const auto found = this->others.find(address);
     if (found == this->others.end() || is_heard(found->second, now))
@@ -131,19 +131,19 @@
     return this->large;
 }
 
-std::vector<ip_number> dispatcher_election::ranked(base::data_centre_id of,
-                                                   base::instant now) const
+std::vector<ipv4_address> dispatcher_election::ranked(base::data_centre_id of,
+                                                      base::instant now) const
 {
-    std::vector<std::pair<std::uint32_t, ip_number>> known;
+    std::vector<std::pair<std::uint32_t, ipv4_address>> known;
     for (const auto& [address, one] : this->others) {
         if (one.data_centre == of && !one.stopping &&
             now - one.seen_at <= forgotten_after)
-            known.emplace_back(one.strength, address);
+            known.emplace_back(one.cpu_millicores, address);
     }
     std::sort(known.begin(), known.end(), [](const auto& a, const auto& b) {
         return a.first != b.first ? a.first > b.first : a.second < b.second;
     });
-    std::vector<ip_number> out(known.size());
+    std::vector<ipv4_address> out(known.size());
     std::transform(known.begin(),
                    known.end(),
                    out.begin(),
@@ -151,7 +151,7 @@
     return out;
 }
 
-std::optional<ip_number> dispatcher_election::dispatcher(base::instant now)
+std::optional<ipv4_address> dispatcher_election::dispatcher(base::instant now)
 {
     const auto first = this->first_before_own(now);
     this->chosen = first ? first : this->left_in_place(now);
@@ -162,11 +162,11 @@
 // strong one that is back takes the place of the one that had followed it: two
 // changes for each stop, the second to a process that knows nothing of
 // upstreams.
-std::optional<ip_number>
+std::optional<ipv4_address>
 dispatcher_election::first_before_own(base::instant now) const
 {
     const bool served = this->is_well_served(now);
-    for (const ip_number address : this->ranked(this->data_centre, now)) {
+    for (const ipv4_address address : this->ranked(this->data_centre, now)) {
         if (!this->goes_before_own(address))
             return std::nullopt;
         const candidate& one = this->others.at(address);
@@ -177,20 +177,21 @@
 }
 
 // One that goes after this entry and is to go on.
-std::optional<ip_number>
+std::optional<ipv4_address>
 dispatcher_election::left_in_place(base::instant now) const
 {
     const bool young = is_young(this->started, now);
     if (this->chosen && this->is_settled(*this->chosen, now)) {
-        const std::uint32_t other = this->others.at(*this->chosen).strength;
+        const std::uint32_t other =
+            this->others.at(*this->chosen).cpu_millicores;
         const bool much_stronger =
-            2 * this->strength >= stronger_halves * other;
+            2 * this->cpu_millicores >= stronger_halves * other;
         if (young || !much_stronger)
             return this->chosen;
     }
     if (!young)
         return std::nullopt;
-    for (const ip_number address : this->ranked(this->data_centre, now)) {
+    for (const ipv4_address address : this->ranked(this->data_centre, now)) {
         if (this->is_settled(address, now))
             return address;
     }
@@ -203,7 +204,8 @@
 }
 
 // It places for others, and its process has seen enough to do it well.
-bool dispatcher_election::is_settled(ip_number address, base::instant now) const
+bool dispatcher_election::is_settled(ipv4_address address,
+                                     base::instant now) const
 {
     const auto found = this->others.find(address);
     if (found == this->others.end())
@@ -219,7 +221,7 @@
     return this->serving && !is_young(this->started, now);
 }
 
-bool dispatcher_election::is_replaced(ip_number address,
+bool dispatcher_election::is_replaced(ipv4_address address,
                                       base::instant now) const
 {
     const auto found = this->others.find(address);
@@ -235,11 +237,11 @@
         });
 }
 
-std::vector<ip_number>
+std::vector<ipv4_address>
 dispatcher_election::next_in_line(base::instant now) const
 {
-    std::vector<ip_number> out;
-    for (const ip_number address : this->ranked(this->data_centre, now)) {
+    std::vector<ipv4_address> out;
+    for (const ipv4_address address : this->ranked(this->data_centre, now)) {
         if (out.size() == successors)
             break;
         if (is_heard(this->others.at(address), now))
@@ -250,9 +252,9 @@
 
 std::size_t dispatcher_election::place_in_line(base::instant now) const
 {
-    const std::vector<ip_number> all = this->ranked(this->data_centre, now);
+    const std::vector<ipv4_address> all = this->ranked(this->data_centre, now);
     return static_cast<std::size_t>(
-        std::count_if(all.begin(), all.end(), [&](ip_number address) {
+        std::count_if(all.begin(), all.end(), [&](ipv4_address address) {
             return this->goes_before_own(address);
         }));
 }
@@ -301,12 +303,12 @@
                                                       base::instant now)
 {
     std::vector<known_entry> out;
-    const auto name = [&](ip_number address) {
+    const auto name = [&](ipv4_address address) {
         const candidate& one = this->others.at(address);
         out.push_back(
-            {address, now - one.seen_at, one.data_centre, one.strength});
+            {address, now - one.seen_at, one.data_centre, one.cpu_millicores});
     };
-    for (const ip_number address : this->ranked(to, now)) {
+    for (const ipv4_address address : this->ranked(to, now)) {
         if (out.size() == strongest_named)
             break;
         if (now - this->others.at(address).seen_at <= answer_bound)
--- a/src/greengagedrum/gossip/succession.hpp
+++ b/src/greengagedrum/gossip/succession.hpp
@@ -30,18 +30,18 @@
 class dispatcher_election
 {
 public:
-    dispatcher_election(ip_number own,
+    dispatcher_election(ipv4_address own,
                         base::data_centre_id data_centre,
                         std::uint32_t strength,
                         base::instant started)
-        : own(own), data_centre(data_centre), strength(strength),
+        : own(own), data_centre(data_centre), cpu_millicores(strength),
           started(started)
     {
     }
 
     void heard(const message& told, base::instant now);
     // A message was sent to it, which it is to answer.
-    void told(ip_number address, base::instant now);
+    void told(ipv4_address address, base::instant now);
 
     // Entries with any sign of life lately, this one included.
     std::size_t size(base::instant now) const;
@@ -52,24 +52,24 @@
     void set_serving(bool serving) { this->serving = serving; }
 
     // Who places this entry's requests; none: itself.
-    std::optional<ip_number> dispatcher(base::instant now);
+    std::optional<ipv4_address> dispatcher(base::instant now);
 
     // Those that would go before the dispatcher, or before this entry, and may
     // be there: to be asked whether they are.
-    std::vector<ip_number> to_try(base::instant now);
+    std::vector<ipv4_address> to_try(base::instant now);
 
     // Entries that place for other data centres, as far as is known, and
     // those that may.
-    std::vector<ip_number> far_dispatchers(base::instant now);
+    std::vector<ipv4_address> far_dispatchers(base::instant now);
 
     // Entries of the own data centre that were not heard for a while.
-    std::vector<ip_number> silent_nearby(base::instant now) const;
+    std::vector<ipv4_address> silent_nearby(base::instant now) const;
 
     // It does not place any more, and another one of its data centre does.
-    bool is_replaced(ip_number address, base::instant now) const;
+    bool is_replaced(ipv4_address address, base::instant now) const;
 
     // Entries that are first in line after this one, as long as it places.
-    std::vector<ip_number> next_in_line(base::instant now) const;
+    std::vector<ipv4_address> next_in_line(base::instant now) const;
 
     // Entries of the own data centre that would place before this one.
     std::size_t place_in_line(base::instant now) const;
@@ -92,7 +92,7 @@
 private:
     struct candidate {
         base::data_centre_id data_centre;
-        std::uint32_t strength = 0;
+        std::uint32_t cpu_millicores = 0;
         base::instant seen_at;    // by anyone
         base::instant started_at; // its process
         std::optional<base::instant> heard_at;
@@ -103,34 +103,34 @@
         bool serving = false;    // it places for others
     };
 
-    using candidates = std::map<ip_number, candidate>;
+    using candidates = std::map<ipv4_address, candidate>;
 
-    bool goes_before_own(ip_number address) const;
-    std::optional<ip_number> first_before_own(base::instant now) const;
-    std::optional<ip_number> left_in_place(base::instant now) const;
-    bool is_settled(ip_number address, base::instant now) const;
+    bool goes_before_own(ipv4_address address) const;
+    std::optional<ipv4_address> first_before_own(base::instant now) const;
+    std::optional<ipv4_address> left_in_place(base::instant now) const;
+    bool is_settled(ipv4_address address, base::instant now) const;
     bool is_well_served(base::instant now) const;
     static bool is_young(base::instant started, base::instant now);
     static bool is_heard(const candidate& one, base::instant now);
     static bool places(const candidate& one, base::instant now);
-    std::vector<ip_number> ranked(base::data_centre_id of,
-                                  base::instant now) const;
+    std::vector<ipv4_address> ranked(base::data_centre_id of,
+                                     base::instant now) const;
     std::size_t tried_now(base::instant now) const;
     void try_strongest(base::data_centre_id of,
                        std::size_t most,
-                       std::optional<ip_number> before,
+                       std::optional<ipv4_address> before,
                        base::instant now,
-                       std::vector<ip_number>& out);
+                       std::vector<ipv4_address>& out);
 
-    ip_number own;
+    ipv4_address own;
     base::data_centre_id data_centre;
-    std::uint32_t strength; // thousandths of a processor
+    std::uint32_t cpu_millicores; // thousandths of a processor
     base::instant started;
     bool serving = false;
-    std::optional<ip_number> chosen; // the dispatcher, when last asked
+    std::optional<ipv4_address> chosen; // the dispatcher, when last asked
     std::optional<base::instant> searching_since; // none was found since then
     candidates others;
-    ip_number next_named = 0;
+    ipv4_address next_named = 0;
     bool large = false;
 };
 
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -13,12 +13,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr ip_number own_address = 0x0a010001;
-constexpr ip_number seed = 0x0a020001;
-constexpr ip_number other = 0x0a030001;
+constexpr ipv4_address own_address = 0x0a010001;
+constexpr ipv4_address seed = 0x0a020001;
+constexpr ipv4_address other = 0x0a030001;
 
 message
-message_from(ip_number address, std::uint64_t life, std::uint64_t sequence)
+message_from(ipv4_address address, std::uint64_t life, std::uint64_t sequence)
 {
     message out;
     out.address = address;
@@ -33,7 +33,7 @@
     base::instant now{1h};
     peer_table table{own_address, "hall", base::incarnation{1}};
 
-    bool told(ip_number address)
+    bool told(ipv4_address address)
     {
         auto all = this->table.to_tell(audience::others, this->now);
         const auto near =
@@ -92,7 +92,7 @@
 {
     message told = message_from(seed, 7, 9);
     told.kind = message_kind::report;
-    told.strength = 500;
+    told.cpu_millicores = 500;
     told.delegating = true;
     told.known = {{other, 250ms, base::data_centre_id("yard"), 120}};
     dispatch::slot_request wanted;
@@ -121,10 +121,10 @@
     const auto read = decode_message(encode(told));
     REQUIRE(read);
     CHECK(read->kind == message_kind::report);
-    CHECK(read->strength == 500);
+    CHECK(read->cpu_millicores == 500);
     CHECK(read->delegating);
     CHECK(read->known.at(0).data_centre == base::data_centre_id("yard"));
-    CHECK(read->known.at(0).strength == 120);
+    CHECK(read->known.at(0).cpu_millicores == 120);
     REQUIRE(read->report.wanted.size() == 1);
     const dispatch::slot_request& got = read->report.wanted[0];
     CHECK(got.name == wanted.name);
--- a/src/greengagedrum/gossip/test/succession_test.cpp
+++ b/src/greengagedrum/gossip/test/succession_test.cpp
@@ -19,7 +19,7 @@
 const base::data_centre_id hall("hall");
 const base::data_centre_id yard("yard");
 
-bool contains(const std::vector<ip_number>& list, ip_number address)
+bool contains(const std::vector<ipv4_address>& list, ipv4_address address)
 {
     return std::find(list.begin(), list.end(), address) != list.end();
 }
@@ -28,16 +28,17 @@
     base::instant now{std::chrono::hours(1)};
     dispatcher_election own{50, hall, weak, base::instant()};
 
-    message from(ip_number address, std::uint32_t strength, const char* place)
+    message
+    from(ipv4_address address, std::uint32_t strength, const char* place)
     {
         message out;
         out.address = address;
-        out.strength = strength;
+        out.cpu_millicores = strength;
         out.data_centre = place;
         return out;
     }
 
-    void hear(ip_number address, std::uint32_t strength = weak)
+    void hear(ipv4_address address, std::uint32_t strength = weak)
     {
         this->own.heard(this->from(address, strength, "hall"), this->now);
     }
@@ -55,10 +56,10 @@
 TEST_CASE_FIXTURE(succession_fixture,
                   "few_entries_have_no_need_of_a_dispatcher")
 {
-    for (ip_number one = 100; one < 124; ++one)
+    for (ipv4_address one = 100; one < 124; ++one)
         this->hear(one);
     CHECK_FALSE(this->own.is_large(this->now));
-    for (ip_number one = 124; one < 140; ++one)
+    for (ipv4_address one = 124; one < 140; ++one)
         this->hear(one);
     CHECK(this->own.is_large(this->now));
 }
@@ -66,11 +67,11 @@
 // An entry more or less must not turn the whole fleet's way of placing round.
 TEST_CASE_FIXTURE(succession_fixture, "fleet_at_the_bound_keeps_its_way")
 {
-    for (ip_number one = 100; one < 132; ++one)
+    for (ipv4_address one = 100; one < 132; ++one)
         this->hear(one);
     CHECK(this->own.is_large(this->now));
     this->now += 29s;
-    for (ip_number one = 100; one < 126; ++one)
+    for (ipv4_address one = 100; one < 126; ++one)
         this->hear(one);
     this->now += 2s;
     CHECK(this->own.is_large(this->now));
@@ -154,7 +155,8 @@
     CHECK(contains(first, 10));
     CHECK(this->own.unheard_data_centres(this->now) == 1);
     this->own.heard(this->from(11, strong, "yard"), this->now);
-    CHECK(this->own.far_dispatchers(this->now) == std::vector<ip_number>{11});
+    CHECK(this->own.far_dispatchers(this->now) ==
+          std::vector<ipv4_address>{11});
     CHECK(this->own.unheard_data_centres(this->now) == 0);
 }
 
@@ -163,10 +165,10 @@
 TEST_CASE_FIXTURE(succession_fixture,
                   "dispatcher_behind_those_that_decline_found")
 {
-    for (const ip_number address : {10U, 11U, 12U, 13U})
+    for (const ipv4_address address : {10U, 11U, 12U, 13U})
         this->name({address, 100ms, yard, address < 12 ? strong : weak});
     CHECK_FALSE(contains(this->own.far_dispatchers(this->now), 12));
-    for (const ip_number address : {10U, 11U}) {
+    for (const ipv4_address address : {10U, 11U}) {
         message declining = this->from(address, strong, "yard");
         declining.delegating = true;
         this->own.heard(declining, this->now);
@@ -182,13 +184,13 @@
 TEST_CASE_FIXTURE(succession_fixture, "many_first_in_line_silent_next_is_found")
 {
     message told = this->from(200, weak, "yard");
-    for (ip_number address = 10; address < 50; ++address)
+    for (ipv4_address address = 10; address < 50; ++address)
         told.known.push_back({address, 100ms, hall, strong});
     this->own.heard(told, this->now);
-    std::set<ip_number> asked;
+    std::set<ipv4_address> asked;
     for (const base::instant until = this->now + 500ms; this->now < until;
          this->now += 100ms) {
-        for (const ip_number address : this->own.to_try(this->now)) {
+        for (const ipv4_address address : this->own.to_try(this->now)) {
             this->own.told(address, this->now);
             asked.insert(address);
         }
@@ -352,14 +354,15 @@
     message stopping = this->from(64, strong, "hall");
     stopping.stopping = true;
     this->own.heard(stopping, this->now);
-    CHECK(this->own.next_in_line(this->now) == std::vector<ip_number>{63, 49});
+    CHECK(this->own.next_in_line(this->now) ==
+          std::vector<ipv4_address>{63, 49});
 }
 
 // An entry that has just started must hear who places where it is, whoever it
 // asks.
 TEST_CASE_FIXTURE(succession_fixture, "strongest_of_a_place_is_always_named")
 {
-    for (ip_number one = 100; one < 300; ++one)
+    for (ipv4_address one = 100; one < 300; ++one)
         this->hear(one);
     this->name({11, 100ms, yard, strong});
     for (int count = 0; count < 40; ++count) {
