--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -154,7 +154,7 @@
     out.member_reported = [this](base::slot_id member,
                                  const gossip::message& told) {
         this->callers->member_reported(
-            member, told.life, told.report, told.uses);
+            member, told.incarnation, told.report, told.uses);
     };
     out.member_lost = [this](base::slot_id member) {
         this->callers->member_lost(member);
@@ -241,7 +241,7 @@
         asked->life ? this->state.known.items_after(
                           *asked->life == this->life ? asked->number : 0)
                     : this->state.known.items_since(asked->number);
-    out.life = this->life;
+    out.incarnation = this->life;
     return {200, "application/octet-stream", gossip::encode(out)};
 }
 
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -228,13 +228,13 @@
     out.kind = kind;
     out.delegating = this->state.delegating;
     out.serving = this->is_serving();
-    out.life = this->life;
+    out.incarnation = this->life;
     out.sequence = ++this->sequence;
     out.instance = this->own.instance;
     out.data_centre = this->own.data_centre;
     out.address = relay::asio::ip::make_address_v4(this->own.ip).to_uint();
     out.cpu_millicores = strength_of(this->own);
-    out.lived_for = now - this->began;
+    out.uptime = now - this->began;
     out.stopping = this->state.stopping;
     out.configuration_revision = this->state.known.configuration_revision();
     out.store_revision = this->state.known.as_of();
@@ -343,7 +343,7 @@
             this->asking = false;
             if (got && got->status == relay::status_ok) {
                 if (const auto items = gossip::decode_items(got->body)) {
-                    this->passed = {items->life, items->changes};
+                    this->passed = {items->incarnation, items->changes};
                     return this->events.items(*items);
                 }
             }
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -82,7 +82,7 @@
         this->counting[slot] = told.address;
     this->state.scheduler.peer_told(slot, told.uses, told.waiting, now);
     this->state.limiter.peer_told(
-        slot, told.life, told.workspace_uses, told.stopping, now);
+        slot, told.incarnation, told.workspace_uses, told.stopping, now);
     if (this->state.scheduler.waiting() > 0)
         this->events.load_changed();
 }
@@ -126,12 +126,13 @@
         return;
     if (!this->state.delegating) {
         this->state.limiter.peer_told(
-            slot, told.life, told.workspace_uses, told.stopping, now);
+            slot, told.incarnation, told.workspace_uses, told.stopping, now);
         if (told.delegating)
             this->state.limiter.forget_peer(slot);
         return;
     }
-    this->limits = {slot, told.life, told.workspace_uses, told.stopping, now};
+    this->limits = {
+        slot, told.incarnation, told.workspace_uses, told.stopping, now};
 }
 
 void peer_link::answer_greeting(const gossip::message& told, base::instant now)
@@ -155,7 +156,7 @@
 {
     this->dispatcher_digest = told.digest;
     if (told.digest == this->state.known.digest())
-        this->passed = {told.life, told.changes};
+        this->passed = {told.incarnation, told.changes};
     else if (!this->asking && now - this->asked_at >= follow_gap)
         this->ask_dispatcher(told, now);
 }
@@ -163,8 +164,8 @@
 void peer_link::ask_dispatcher(const gossip::message& told, base::instant now)
 {
     const std::uint64_t known =
-        this->passed.life == told.life ? this->passed.changes : 0;
-    this->ask_for_items(told.address, {known, told.life}, now);
+        this->passed.life == told.incarnation ? this->passed.changes : 0;
+    this->ask_for_items(told.address, {known, told.incarnation}, now);
 }
 
 // Failure guarded against: the store turns the dispatcher away, or it hangs. A
--- a/src/greengagedrum/entry/test/dispatch_test.cpp
+++ b/src/greengagedrum/entry/test/dispatch_test.cpp
@@ -67,7 +67,7 @@
     {
         gossip::message out;
         out.kind = gossip::message_kind::reply;
-        out.life = {1};
+        out.incarnation = {1};
         out.sequence = ++this->sequence;
         out.instance = "strong";
         out.data_centre = "hall";
--- a/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
+++ b/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
@@ -33,7 +33,7 @@
     {
         gossip::message out;
         out.kind = gossip::message_kind::dispatcher_load;
-        out.life = {1};
+        out.incarnation = {1};
         out.sequence = ++this->sequence;
         out.instance = std::move(instance);
         out.data_centre = "yard";
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -187,7 +187,7 @@
     const suspect_offsets suspects = write_suspects(builder, told.suspects);
     const auto root =
         wire::CreateMessage(builder,
-                            told.life.value,
+                            told.incarnation.value,
                             told.sequence,
                             builder.CreateString(told.instance),
                             builder.CreateString(told.data_centre),
@@ -213,7 +213,7 @@
                             told.digest,
                             report,
                             reply,
-                            milliseconds_of(told.lived_for),
+                            milliseconds_of(told.uptime),
                             told.serving,
                             suspects.requests,
                             suspects.crashes);
@@ -228,7 +228,7 @@
         return std::nullopt;
     const auto* root = flatbuffers::GetRoot<wire::Message>(bytes.data());
     message out;
-    out.life.value = root->life();
+    out.incarnation.value = root->life();
     out.sequence = root->sequence();
     out.instance = text_of(root->instance());
     out.data_centre = text_of(root->data_centre());
@@ -249,7 +249,7 @@
     if (const auto* list = root->known())
         out.known = known_of(*list, root->standings());
     out.cpu_millicores = root->strength();
-    out.lived_for = std::chrono::milliseconds(root->lived_for_ms());
+    out.uptime = std::chrono::milliseconds(root->lived_for_ms());
     out.kind = kind_of(root->kind());
     out.delegating = root->delegating();
     out.serving = root->serving();
@@ -279,7 +279,7 @@
                                         passed.whole,
                                         builder.CreateVector(items),
                                         passed.change_revision,
-                                        passed.life.value,
+                                        passed.incarnation.value,
                                         passed.changes);
     builder.Finish(root);
     return bytes_of(builder);
@@ -295,7 +295,7 @@
     out.store_revision = root->store_revision();
     out.whole = root->whole();
     out.change_revision = root->change_revision();
-    out.life.value = root->life();
+    out.incarnation.value = root->life();
     out.changes = root->changes();
     if (root->items() == nullptr)
         return out;
--- a/src/greengagedrum/gossip/message.hpp
+++ b/src/greengagedrum/gossip/message.hpp
@@ -44,7 +44,7 @@
     bool delegating = false;
     // The sender places requests of others.
     bool serving = false;
-    base::incarnation life;
+    base::incarnation incarnation;
     std::uint64_t sequence = 0; // grows with each message of a life
     std::string instance;
     std::string data_centre;
@@ -65,7 +65,7 @@
     std::vector<quota::workspace_use> workspace_uses;
     std::vector<known_entry> known;
     std::uint32_t cpu_millicores = 0; // thousandths of a processor
-    base::duration lived_for{0};      // the sender's process, at least
+    base::duration uptime{0};         // the sender's process, at least
     dispatch::member_report report;
     dispatch::dispatcher_reply reply;
     std::vector<quarantine::suspect_report> suspects;
@@ -75,7 +75,7 @@
 struct item_transfer {
     std::uint64_t store_revision = 0;
     std::uint64_t change_revision = 0; // as in a message
-    base::incarnation life;            // of the sender
+    base::incarnation incarnation;     // of the sender
     std::uint64_t changes = 0;         // of it
     bool whole = false; // all that there is; what is missing was removed
     routing::item_list items;
--- a/src/greengagedrum/gossip/peer_table.cpp
+++ b/src/greengagedrum/gossip/peer_table.cpp
@@ -48,7 +48,7 @@
         return peer_news::outdated;
     peer& one = this->peers[told.address];
     const bool known = one.heard_at.has_value();
-    const bool same_life = known && one.life == told.life;
+    const bool same_life = known && one.incarnation == told.incarnation;
     if (same_life && told.sequence <= one.sequence)
         return peer_news::outdated;
     const bool was_alive = one.alive_told;
@@ -56,7 +56,7 @@
     one.near = told.data_centre == this->data_centre;
     one.data_centre = base::data_centre_id(told.data_centre);
     one.cpu_millicores = told.cpu_millicores;
-    one.life = told.life;
+    one.incarnation = told.incarnation;
     one.sequence = told.sequence;
     one.heard_at = now;
     one.alive_told = true;
--- a/src/greengagedrum/gossip/peer_table.hpp
+++ b/src/greengagedrum/gossip/peer_table.hpp
@@ -35,7 +35,7 @@
     peer_table(ipv4_address own,
                std::string data_centre,
                base::incarnation life)
-        : own(own), data_centre(std::move(data_centre)), life(life)
+        : own(own), data_centre(std::move(data_centre)), incarnation(life)
     {
     }
 
@@ -95,7 +95,7 @@
         base::data_centre_id data_centre;
         std::uint32_t cpu_millicores = 0;
         bool near = false; // of the own data centre
-        base::incarnation life;
+        base::incarnation incarnation;
         std::uint64_t sequence = 0;
         std::optional<base::instant> heard_at; // empty: only named by others
         base::instant named_at;
@@ -112,7 +112,7 @@
 
     ipv4_address own;
     std::string data_centre;
-    base::incarnation life;
+    base::incarnation incarnation;
     std::map<ipv4_address, peer> peers;
     ipv4_address next_named = 0;
     // When others were named last, to each audience.
--- a/src/greengagedrum/gossip/succession.cpp
+++ b/src/greengagedrum/gossip/succession.cpp
@@ -75,7 +75,7 @@
     sender.data_centre = base::data_centre_id(told.data_centre);
     sender.cpu_millicores = told.cpu_millicores;
     sender.seen_at = now;
-    sender.started_at = now - told.lived_for;
+    sender.started_at = now - told.uptime;
     sender.heard_at = now;
     sender.asked_at.reset();
     sender.passed_over_until = now;
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -22,7 +22,7 @@
 {
     message out;
     out.address = address;
-    out.life.value = life;
+    out.incarnation.value = life;
     out.sequence = sequence;
     out.instance = "entry-" + std::to_string(address);
     out.store_revision = 1;
@@ -64,7 +64,7 @@
     told.known = {{other, 250ms}};
     const auto read = decode_message(encode(told));
     REQUIRE(read);
-    CHECK(read->life == told.life);
+    CHECK(read->incarnation == told.incarnation);
     CHECK(read->sequence == 9);
     CHECK(read->instance == told.instance);
     CHECK(read->data_centre == "hall");
--- a/src/greengagedrum/gossip/test/succession_test.cpp
+++ b/src/greengagedrum/gossip/test/succession_test.cpp
@@ -235,7 +235,7 @@
 {
     dispatcher_election best(1, hall, strong, this->now);
     message placing = this->from(70, weak, "hall");
-    placing.lived_for = 1min;
+    placing.uptime = 1min;
     placing.serving = true;
     for (int second = 0; second < 9; ++second) {
         best.heard(placing, this->now);
@@ -252,7 +252,7 @@
 {
     dispatcher_election next(1, hall, weak, this->now);
     message placing = this->from(70, weak, "hall");
-    placing.lived_for = 1min;
+    placing.uptime = 1min;
     placing.serving = true;
     next.heard(placing, this->now);
     CHECK(next.dispatcher(this->now) == 70);
@@ -274,7 +274,7 @@
     CHECK_FALSE(this->own.dispatcher(this->now));
     this->now += 10s;
     message told = this->from(70, strong, "hall");
-    told.lived_for = 10s;
+    told.uptime = 10s;
     this->own.heard(told, this->now);
     CHECK(this->own.dispatcher(this->now) == 70);
 }
@@ -282,7 +282,7 @@
 TEST_CASE_FIXTURE(succession_fixture, "members_leave_a_young_entry_aside")
 {
     message placing = this->from(40, weak, "hall");
-    placing.lived_for = 1min;
+    placing.uptime = 1min;
     placing.serving = true;
     this->own.heard(placing, this->now);
     CHECK(this->own.dispatcher(this->now) == 40);
@@ -298,7 +298,7 @@
 {
     dispatcher_election best(1, hall, strong, this->now);
     message placing = this->from(70, weak, "hall");
-    placing.lived_for = 500ms;
+    placing.uptime = 500ms;
     best.heard(placing, this->now);
     CHECK_FALSE(best.dispatcher(this->now));
 }
