--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -155,7 +155,7 @@
     out.report_received = [this](base::slot_id member,
                                  const gossip::message& told) {
         this->handler->on_member_report(
-            member, told.life, told.report, told.uses);
+            member, told.incarnation, told.report, told.uses);
     };
     out.member_lost = [this](base::slot_id member) {
         this->handler->on_member_lost(member);
@@ -243,7 +243,7 @@
             ? this->state.cluster.items_after_change(
                   *asked->incarnation == this->incarnation ? asked->position : 0)
             : this->state.cluster.items_after_revision(asked->position);
-    out.life = this->incarnation;
+    out.incarnation = this->incarnation;
     return {200, "application/octet-stream", gossip::encode(out)};
 }
 
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
@@ -97,7 +97,7 @@
     out.report_received = [this, &of](base::slot_id member,
                                       const gossip::message& told) {
         this->processes[of.number].book.report(
-            member, told.life, told.report, told.uses);
+            member, told.incarnation, told.report, told.uses);
     };
     out.member_lost = [this, &of](base::slot_id member) {
         this->processes[of.number].book.lost(member);
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -118,7 +118,7 @@
                           std::chrono::milliseconds(one->age_ms())};
         if (standings != nullptr && at < standings->size()) {
             named.data_centre.value = standings->Get(at)->data_centre();
-            named.strength = standings->Get(at)->strength();
+            named.cpu_millicores = standings->Get(at)->strength();
         }
         out.push_back(named);
     }
@@ -176,7 +176,7 @@
     std::vector<wire::Standing> standings;
     for (const auto& one : told.known) {
         known.emplace_back(one.address, milliseconds_of(one.age));
-        standings.emplace_back(one.data_centre.value, one.strength);
+        standings.emplace_back(one.data_centre.value, one.cpu_millicores);
     }
     flatbuffers::Offset<wire::Report> report;
     if (told.kind == message_kind::report)
@@ -187,7 +187,7 @@
     const suspect_offsets suspects = write_suspects(builder, told.suspects);
     const auto root =
         wire::CreateMessage(builder,
-                            told.life.value,
+                            told.incarnation.value,
                             told.sequence,
                             builder.CreateString(told.instance),
                             builder.CreateString(told.data_centre),
@@ -205,7 +205,7 @@
                             builder.CreateVector(spent_waiting),
                             builder.CreateVector(spent_lately),
                             builder.CreateVector(spent_by_all),
-                            told.strength,
+                            told.cpu_millicores,
                             builder.CreateVectorOfStructs(standings),
                             static_cast<std::uint8_t>(told.kind),
                             told.delegating,
@@ -213,7 +213,7 @@
                             told.digest,
                             report,
                             reply,
-                            milliseconds_of(told.lived_for),
+                            milliseconds_of(told.uptime),
                             told.serving,
                             suspects.requests,
                             suspects.crashes);
@@ -228,7 +228,7 @@
         return std::nullopt;
     const auto* root = flatbuffers::GetRoot<wire::Message>(bytes.data());
     message out;
-    out.life.value = root->life();
+    out.incarnation.value = root->life();
     out.sequence = root->sequence();
     out.instance = text_of(root->instance());
     out.data_centre = text_of(root->data_centre());
@@ -248,8 +248,8 @@
         out.workspace_uses = workspace_uses_of(*list, *root);
     if (const auto* list = root->known())
         out.known = known_of(*list, root->standings());
-    out.strength = root->strength();
-    out.lived_for = std::chrono::milliseconds(root->lived_for_ms());
+    out.cpu_millicores = root->strength();
+    out.uptime = std::chrono::milliseconds(root->lived_for_ms());
     out.kind = kind_of(root->kind());
     out.delegating = root->delegating();
     out.serving = root->serving();
@@ -279,7 +279,7 @@
                                         passed.whole,
                                         builder.CreateVector(items),
                                         passed.change_revision,
-                                        passed.life.value,
+                                        passed.incarnation.value,
                                         passed.changes);
     builder.Finish(root);
     return bytes_of(builder);
@@ -295,7 +295,7 @@
     out.store_revision = root->store_revision();
     out.whole = root->whole();
     out.change_revision = root->change_revision();
-    out.life.value = root->life();
+    out.incarnation.value = root->life();
     out.changes = root->changes();
     if (root->items() == nullptr)
         return out;
