--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -167,7 +167,7 @@
     facts.time_left = std::max(left, base::duration(0));
     out.origin.route = route.name;
     out.origin.stream = route.stream;
-    out.origin.repeatable = route.rule != routing::repeat_rule::at_most_once;
+    out.origin.repeatable = route.rule != routing::retry_policy::at_most_once;
     out.series = {"", tier_of(facts.priority), route.name};
     if (owner == nullptr)
         return;
--- a/src/greengagedrum/gossip/dispatch_codec.cpp
+++ b/src/greengagedrum/gossip/dispatch_codec.cpp
@@ -55,7 +55,7 @@
     for (const base::upstream_id id : one.tried)
         tried.push_back(id.value);
     const traffic::request_facts& facts = one.facts;
-    const bool at_most_once = facts.rule == routing::repeat_rule::at_most_once;
+    const bool at_most_once = facts.rule == routing::retry_policy::at_most_once;
     return wire::CreateWanted(builder,
                               one.name.request.value,
                               one.name.send,
@@ -89,8 +89,8 @@
     facts.prompt_tokens = from.prompt_tokens();
     facts.output_tokens = from.output_tokens();
     facts.stream = from.stream();
-    facts.rule = from.at_most_once() ? routing::repeat_rule::at_most_once
-                                     : routing::repeat_rule::idempotent;
+    facts.rule = from.at_most_once() ? routing::retry_policy::at_most_once
+                                     : routing::retry_policy::idempotent;
     facts.objective = base::duration(from.objective_us());
     facts.gap_objective = base::duration(from.gap_objective_us());
     facts.time_left = base::duration(from.time_left_us());
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -100,7 +100,7 @@
     wanted.facts.service = base::class_id("models");
     wanted.facts.workspace = base::workspace_id("gate");
     wanted.facts.kind = base::kind_id("dossier");
-    wanted.facts.rule = routing::repeat_rule::idempotent;
+    wanted.facts.rule = routing::retry_policy::idempotent;
     wanted.facts.stream = true;
     wanted.facts.priority = 3;
     wanted.facts.prompt_tokens = 1000;
@@ -131,7 +131,7 @@
     CHECK(got.facts.service == wanted.facts.service);
     CHECK(got.facts.workspace == wanted.facts.workspace);
     CHECK(got.facts.kind == wanted.facts.kind);
-    CHECK(got.facts.rule == routing::repeat_rule::idempotent);
+    CHECK(got.facts.rule == routing::retry_policy::idempotent);
     CHECK(got.facts.stream);
     CHECK(got.facts.priority == 3);
     CHECK(got.facts.prompt_tokens == 1000);
--- a/src/greengagedrum/platform/documents.cpp
+++ b/src/greengagedrum/platform/documents.cpp
@@ -54,14 +54,14 @@
     return out;
 }
 
-routing::repeat_rule read_rule(const json& from)
+routing::retry_policy read_rule(const json& from)
 {
     const auto type = from.value("routeType", "non_idempotent"s);
     if (type == "idempotent")
-        return routing::repeat_rule::idempotent;
+        return routing::retry_policy::idempotent;
     if (type == "streaming" && from.value("streamResume", false))
-        return routing::repeat_rule::resumable;
-    return routing::repeat_rule::at_most_once;
+        return routing::retry_policy::resumable;
+    return routing::retry_policy::at_most_once;
 }
 
 routing::route read_route(const json& from)
--- a/src/greengagedrum/routing/configuration.hpp
+++ b/src/greengagedrum/routing/configuration.hpp
@@ -18,7 +18,7 @@
 {
 
 // How often a request may be run.
-enum class repeat_rule : std::uint8_t {
+enum class retry_policy : std::uint8_t {
     idempotent,   // again, after any failure
     at_most_once, // once in all
     resumable     // a stream; again, from its last event on
@@ -35,7 +35,7 @@
     base::kind_id id;
     std::string host;   // lower case, without port
     std::string prefix; // begins and ends with a slash
-    repeat_rule rule = repeat_rule::at_most_once;
+    retry_policy rule = retry_policy::at_most_once;
     bool stream = false;
     bool anonymous = false;      // needs no key
     std::uint32_t priority = 0;  // 0 is the most urgent
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -27,7 +27,7 @@
     base::workspace_id workspace;
     base::kind_id kind;          // its route
     base::request_digest digest; // empty: not known here
-    routing::repeat_rule rule = routing::repeat_rule::at_most_once;
+    routing::retry_policy rule = routing::retry_policy::at_most_once;
     bool stream = false;
     std::uint32_t priority = 0; // 0 is the most urgent
     std::uint32_t prompt_tokens = 0;
--- a/src/greengagedrum/traffic/patience.cpp
+++ b/src/greengagedrum/traffic/patience.cpp
@@ -49,7 +49,7 @@
 
 bool scheduler::may_repeat(const request& item) const
 {
-    return item.facts.rule != routing::repeat_rule::at_most_once;
+    return item.facts.rule != routing::retry_policy::at_most_once;
 }
 
 // Another upstream, within the route's bound, the retries that all entries may
--- a/src/greengagedrum/traffic/test/delegation_test.cpp
+++ b/src/greengagedrum/traffic/test/delegation_test.cpp
@@ -50,7 +50,7 @@
 TEST_CASE_FIXTURE(delegating_fixture, "place_granted_twice_is_taken_once")
 {
     request_facts once = stream_facts();
-    once.rule = routing::repeat_rule::at_most_once;
+    once.rule = routing::retry_policy::at_most_once;
     const auto id = this->arrive(once);
     this->step(this->granted(id));
     this->step(this->granted(id));
@@ -105,7 +105,7 @@
 TEST_CASE_FIXTURE(delegating_fixture, "decline_after_a_send_is_no_promise")
 {
     request_facts again = stream_facts();
-    again.rule = routing::repeat_rule::idempotent;
+    again.rule = routing::retry_policy::idempotent;
     again.sends_max = 2;
     const auto id = this->arrive(again);
     this->step(this->granted(id));
@@ -144,7 +144,7 @@
     request_facts facts = stream_facts();
     facts.delegated = true;
     facts.patience = 2s;
-    facts.rule = routing::repeat_rule::idempotent;
+    facts.rule = routing::retry_policy::idempotent;
     const auto id = this->arrive(facts);
     REQUIRE(this->order<send_request>() != nullptr);
     this->step(broken{id, 1});
--- a/src/greengagedrum/traffic/test/scheduler_test.cpp
+++ b/src/greengagedrum/traffic/test/scheduler_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-request_facts facts_of(routing::repeat_rule rule, std::uint32_t sends_max)
+request_facts facts_of(routing::retry_policy rule, std::uint32_t sends_max)
 {
     request_facts out = stream_facts();
     out.rule = rule;
@@ -18,9 +18,9 @@
     return out;
 }
 
-constexpr auto idempotent = routing::repeat_rule::idempotent;
-constexpr auto at_most_once = routing::repeat_rule::at_most_once;
-constexpr auto resumable = routing::repeat_rule::resumable;
+constexpr auto idempotent = routing::retry_policy::idempotent;
+constexpr auto at_most_once = routing::retry_policy::at_most_once;
+constexpr auto resumable = routing::retry_policy::resumable;
 
 } // namespace
 
