--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -27,7 +27,7 @@
 // heard of it, are dropped.
 constexpr std::size_t spent_most = 4096;
 
-bool is_evacuation(const routing::published_item& item)
+bool is_evacuation(const routing::store_item& item)
 {
     return !platform::evacuated_data_centre(item.key).empty();
 }
@@ -44,24 +44,24 @@
 
 } // namespace
 
-cluster_changes cluster_state::learn(const routing::item_list& news,
+cluster_changes cluster_state::learn(const routing::store_item_list& news,
                                      std::uint64_t as_of,
                                      bool whole,
                                      base::instant now)
 {
     cluster_changes out;
     // Evacuations first: an upstream that is listed with them is not to join.
-    for (const routing::published_item& one : news) {
+    for (const routing::store_item& one : news) {
         if (is_evacuation(one))
             this->take(one, now, out);
     }
-    for (const routing::published_item& one : news) {
+    for (const routing::store_item& one : news) {
         if (!is_evacuation(one))
             this->take(one, now, out);
     }
     if (whole) {
         std::set<std::string_view> listed;
-        for (const routing::published_item& one : news)
+        for (const routing::store_item& one : news)
             listed.insert(one.key);
         std::vector<std::string> missing;
         for (const auto& [key, item] : this->items) {
@@ -85,7 +85,7 @@
     return out;
 }
 
-void cluster_state::take(const routing::published_item& item,
+void cluster_state::take(const routing::store_item& item,
                          base::instant now,
                          cluster_changes& out)
 {
@@ -104,7 +104,7 @@
     }
     const bool readable = configuration ? this->take_configuration(item, out)
                                         : this->take_upstream(item, now, out);
-    routing::published_item& kept = this->items[item.key];
+    routing::store_item& kept = this->items[item.key];
     kept = item;
     // Whatever another writer put there is neither kept nor passed on.
     if (!readable && !configuration)
@@ -118,7 +118,7 @@
 {
     auto oldest = this->items.end();
     for (auto one = this->items.begin(); one != this->items.end(); ++one) {
-        const routing::published_item& item = one->second;
+        const routing::store_item& item = one->second;
         const bool spent =
             item.removed || (item.value.empty() && !is_evacuation(item));
         if (spent && (oldest == this->items.end() ||
@@ -133,7 +133,7 @@
     this->items.erase(oldest);
 }
 
-bool cluster_state::take_configuration(const routing::published_item& item,
+bool cluster_state::take_configuration(const routing::store_item& item,
                                        cluster_changes& out)
 {
     if (item.removed)
@@ -168,7 +168,7 @@
     return out;
 }
 
-void cluster_state::take_evacuation(const routing::published_item& item,
+void cluster_state::take_evacuation(const routing::store_item& item,
                                     cluster_changes& out)
 {
     const std::string data_centre(platform::evacuated_data_centre(item.key));
@@ -190,7 +190,7 @@
 
 // What can't be read as an upstream's is another writer's: whatever stood under
 // that key before no longer counts, and the others hold.
-bool cluster_state::take_upstream(const routing::published_item& item,
+bool cluster_state::take_upstream(const routing::store_item& item,
                                   base::instant now,
                                   cluster_changes& out)
 {
@@ -237,8 +237,7 @@
 
 // Where upstreams tell when they were born, one that doesn't is none.
 tl::expected<routing::published_upstream, std::string>
-cluster_state::read_life(const routing::published_item& item,
-                         cluster_changes& out)
+cluster_state::read_life(const routing::store_item& item, cluster_changes& out)
 {
     auto read = platform::read_upstream(item);
     if (!read)
--- a/src/greengagedrum/entry/cluster_state.hpp
+++ b/src/greengagedrum/entry/cluster_state.hpp
@@ -46,7 +46,7 @@
 public:
     // `whole`: all items that there are as of that revision; what is known and
     // not among them was removed.
-    cluster_changes learn(const routing::item_list& items,
+    cluster_changes learn(const routing::store_item_list& items,
                           std::uint64_t as_of,
                           bool whole,
                           base::instant now);
@@ -89,17 +89,16 @@
     gossip::item_transfer items_after(std::uint64_t changes) const;
 
 private:
-    void take(const routing::published_item& item,
+    void take(const routing::store_item& item,
               base::instant now,
               cluster_changes& out);
     // False for what can't be read.
-    bool take_configuration(const routing::published_item& item,
+    bool take_configuration(const routing::store_item& item,
                             cluster_changes& out);
-    bool take_upstream(const routing::published_item& item,
+    bool take_upstream(const routing::store_item& item,
                        base::instant now,
                        cluster_changes& out);
-    void take_evacuation(const routing::published_item& item,
-                         cluster_changes& out);
+    void take_evacuation(const routing::store_item& item, cluster_changes& out);
     routing::published_upstream
     taken_back(const routing::published_upstream& one) const;
     void note_upstream(const std::string& name,
@@ -107,14 +106,14 @@
                        std::optional<base::upstream_id> before,
                        cluster_changes& out);
     tl::expected<routing::published_upstream, std::string>
-    read_life(const routing::published_item& item, cluster_changes& out);
+    read_life(const routing::store_item& item, cluster_changes& out);
     void drop_unborn(cluster_changes& out);
     void note_change(const std::string& key);
     void note_meaning(const std::string& key, std::uint64_t meaning);
     void drop_oldest_spent();
     std::optional<base::instant> lapse_bound(base::instant now) const;
 
-    std::map<std::string, routing::published_item, std::less<>> items;
+    std::map<std::string, routing::store_item, std::less<>> items;
     routing::route_table_ptr table;
     routing::upstream_directory directory;
     std::uint64_t revision = 0;
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -88,12 +88,12 @@
         },
         [this] { this->peers->wake(); });
     store_events store_told;
-    store_told.news = [this](const routing::item_list& items,
+    store_told.news = [this](const routing::store_item_list& items,
                              std::uint64_t as_of,
                              bool whole) {
         this->on_news(items, as_of, whole, "store");
     };
-    store_told.part = [this](const routing::item_list& items) {
+    store_told.part = [this](const routing::store_item_list& items) {
         this->apply(
             this->state.known.learn(items, 0, false, this->state.clock()),
             "store");
--- a/src/greengagedrum/entry/entry.hpp
+++ b/src/greengagedrum/entry/entry.hpp
@@ -51,7 +51,7 @@
     void notice_pause(base::instant now);
     void end_pause(const char* why);
     void check_settings();
-    void on_news(const routing::item_list& items,
+    void on_news(const routing::store_item_list& items,
                  std::uint64_t as_of,
                  bool whole,
                  const char* source);
--- a/src/greengagedrum/entry/store_reader.cpp
+++ b/src/greengagedrum/entry/store_reader.cpp
@@ -109,26 +109,26 @@
                             : std::min(this->pages_as_of, page->as_of);
     if (page->more)
         return this->on_part(page->items);
-    for (routing::published_item& one : page->items)
+    for (routing::store_item& one : page->items)
         this->pages.push_back(std::move(one));
     this->failures = 0;
     this->after = this->pages_as_of;
     this->last_key.clear();
     this->events.answered();
-    const routing::item_list all = std::exchange(this->pages, {});
+    const routing::store_item_list all = std::exchange(this->pages, {});
     this->events.news(all, this->after, true);
     this->again_after(this->pause);
 }
 
 // Failure guarded against: another writer's items fill a thousand pages. The
 // configuration, on the first of them, doesn't wait for the last.
-void store_reader::on_part(routing::item_list& items)
+void store_reader::on_part(routing::store_item_list& items)
 {
     if (items.empty() || items.back().key <= this->last_key)
         return this->failed("pages that don't go on");
     this->events.part(items);
     this->last_key = items.back().key;
-    for (routing::published_item& one : items)
+    for (routing::store_item& one : items)
         this->pages.push_back(std::move(one));
     this->ask();
 }
--- a/src/greengagedrum/entry/store_reader.hpp
+++ b/src/greengagedrum/entry/store_reader.hpp
@@ -10,7 +10,7 @@
 #include <greengagedrum/base/ip_address.hpp>
 #include <greengagedrum/base/time.hpp>
 #include <greengagedrum/relay/http_get.hpp>
-#include <greengagedrum/routing/published_item.hpp>
+#include <greengagedrum/routing/store_item.hpp>
 
 #include <cstdint>
 #include <functional>
@@ -23,11 +23,11 @@
 struct store_events {
     // All items (`whole`) or what changed since the last call.
     std::function<void(
-        const routing::item_list& items, std::uint64_t as_of, bool whole)>
+        const routing::store_item_list& items, std::uint64_t as_of, bool whole)>
         news;
     // Some of all items, before the rest of them has come: true of them, and no
     // sign that anything else is known.
-    std::function<void(const routing::item_list& items)> part;
+    std::function<void(const routing::store_item_list& items)> part;
     std::function<void(const std::string& why)> failed;
     std::function<void()> answered;
     // True while another entry reads for this one.
@@ -64,7 +64,7 @@
     void ask_watch();
     void on_page(const relay::fetched& got);
     void on_watch(const relay::fetched& got);
-    void on_part(routing::item_list& items);
+    void on_part(routing::store_item_list& items);
     void watch_failed(const std::string& why);
     void again_after(base::duration pause);
     bool rests() const;
@@ -74,7 +74,7 @@
     std::shared_ptr<relay::http_get> client;
     base::ip_endpoint store;
     store_events events;
-    routing::item_list pages; // of a whole reading under way
+    routing::store_item_list pages; // of a whole reading under way
     std::string last_key;
     std::uint64_t pages_as_of = 0;
     base::duration pause{0}; // between watches
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-routing::published_item config_item(int version, std::uint64_t revision)
+routing::store_item config_item(int version, std::uint64_t revision)
 {
     return {"op/config",
             R"({"version": )" + std::to_string(version) + R"(, "routes": []})",
@@ -21,7 +21,7 @@
             false};
 }
 
-routing::published_item upstream_item(const char* name, std::uint64_t revision)
+routing::store_item upstream_item(const char* name, std::uint64_t revision)
 {
     return {std::string("servers/") + name,
             R"({"service": "s", "address": "10.0.0.1:80", "zone": "hall",
@@ -31,10 +31,10 @@
             false};
 }
 
-routing::published_item
+routing::store_item
 cold_item(const char* name, int remaining_ms, std::uint64_t revision)
 {
-    routing::published_item out = upstream_item(name, revision);
+    routing::store_item out = upstream_item(name, revision);
     const std::string field = R"("warmupRemainingMs": )";
     out.value.replace(out.value.find(field),
                       field.size() + 1,
@@ -42,7 +42,7 @@
     return out;
 }
 
-routing::published_item service_item(std::uint64_t revision)
+routing::store_item service_item(std::uint64_t revision)
 {
     return {"op/config",
             R"({"version": 1, "routes": [], "services": [{"name": "s",
@@ -51,15 +51,15 @@
             false};
 }
 
-routing::published_item evacuation_item(std::uint64_t revision)
+routing::store_item evacuation_item(std::uint64_t revision)
 {
     return {"op/evacuate/hall", "", revision, false};
 }
 
-routing::published_item
+routing::store_item
 born_item(const char* name, std::uint64_t born, std::uint64_t revision)
 {
-    routing::published_item out = upstream_item(name, revision);
+    routing::store_item out = upstream_item(name, revision);
     out.value.back() = ',';
     out.value += R"("born": )" + std::to_string(born) + "}";
     return out;
@@ -69,11 +69,13 @@
     base::instant now{1h};
     cluster_state known;
 
-    cluster_changes whole(const routing::item_list& items, std::uint64_t as_of)
+    cluster_changes whole(const routing::store_item_list& items,
+                          std::uint64_t as_of)
     {
         return this->known.learn(items, as_of, true, this->now);
     }
-    cluster_changes news(const routing::item_list& items, std::uint64_t as_of)
+    cluster_changes news(const routing::store_item_list& items,
+                         std::uint64_t as_of)
     {
         return this->known.learn(items, as_of, false, this->now);
     }
@@ -227,7 +229,7 @@
                   "items_of_another_writer_name_no_upstream")
 {
     this->whole({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
-    routing::item_list foreign = {
+    routing::store_item_list foreign = {
         {"servers/i-1", R"({"state": "ready"})", 7, false}};
     for (int one = 0; one < 1'000; ++one)
         foreign.push_back({"servers/x-" + std::to_string(one),
--- a/src/greengagedrum/entry/test/store_reader_test.cpp
+++ b/src/greengagedrum/entry/test/store_reader_test.cpp
@@ -34,10 +34,10 @@
     {
         this->store.start();
         store_events told;
-        told.news = [this](const routing::item_list&, std::uint64_t, bool) {
-            this->news += 1;
-        };
-        told.part = [this](const routing::item_list& items) {
+        told.news = [this](const routing::store_item_list&,
+                           std::uint64_t,
+                           bool) { this->news += 1; };
+        told.part = [this](const routing::store_item_list& items) {
             this->parts += 1;
             CHECK(items.front().key == "op/config");
         };
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -34,7 +34,7 @@
 
 // ---- News -----------------------------------------------------------------
 
-void entry::on_news(const routing::item_list& items,
+void entry::on_news(const routing::store_item_list& items,
                     std::uint64_t as_of,
                     bool whole,
                     const char* source)
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -268,7 +268,7 @@
 {
     flatbuffers::FlatBufferBuilder builder;
     std::vector<flatbuffers::Offset<wire::Item>> items;
-    for (const routing::published_item& one : passed.items)
+    for (const routing::store_item& one : passed.items)
         items.push_back(wire::CreateItem(builder,
                                          builder.CreateString(one.key),
                                          builder.CreateString(one.value),
--- a/src/greengagedrum/gossip/message.hpp
+++ b/src/greengagedrum/gossip/message.hpp
@@ -6,7 +6,7 @@
 #include <greengagedrum/dispatch/messages.hpp>
 #include <greengagedrum/quarantine/messages.hpp>
 #include <greengagedrum/quota/usage_limiter.hpp>
-#include <greengagedrum/routing/published_item.hpp>
+#include <greengagedrum/routing/store_item.hpp>
 #include <greengagedrum/traffic/scheduler.hpp>
 
 #include <cstdint>
@@ -78,7 +78,7 @@
     base::incarnation life;            // of the sender
     std::uint64_t changes = 0;         // of it
     bool whole = false; // all that there is; what is missing was removed
-    routing::item_list items;
+    routing::store_item_list items;
 };
 
 std::string encode(const message& told);
--- a/src/greengagedrum/platform/documents.cpp
+++ b/src/greengagedrum/platform/documents.cpp
@@ -213,7 +213,7 @@
 }
 
 tl::expected<routing::configuration, std::string>
-read_configuration(const routing::published_item& item)
+read_configuration(const routing::store_item& item)
 {
     try {
         const json from = json::parse(item.value);
@@ -234,7 +234,7 @@
 }
 
 tl::expected<routing::published_upstream, std::string>
-read_upstream(const routing::published_item& item)
+read_upstream(const routing::store_item& item)
 {
     if (item.value.size() > upstream_bytes_most)
         return tl::unexpected(std::string("too large"));
--- a/src/greengagedrum/platform/documents.hpp
+++ b/src/greengagedrum/platform/documents.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include <greengagedrum/routing/configuration.hpp>
-#include <greengagedrum/routing/published_item.hpp>
+#include <greengagedrum/routing/store_item.hpp>
 #include <greengagedrum/routing/upstream_directory.hpp>
 
 #include <tl/expected.hpp>
@@ -28,7 +28,7 @@
 
 // A fault says what could not be read.
 tl::expected<routing::configuration, std::string>
-read_configuration(const routing::published_item& item);
+read_configuration(const routing::store_item& item);
 
 // An upstream's own entry is some 300 bytes; a larger one is another writer's.
 inline constexpr std::size_t upstream_bytes_most = 64U << 10U;
@@ -36,6 +36,6 @@
 // Every documented field has to be there, of its type and within its range: an
 // entry of another writer names no upstream.
 tl::expected<routing::published_upstream, std::string>
-read_upstream(const routing::published_item& item);
+read_upstream(const routing::store_item& item);
 
 } // namespace greengagedrum::platform
--- a/src/greengagedrum/platform/store_calls.cpp
+++ b/src/greengagedrum/platform/store_calls.cpp
@@ -73,9 +73,9 @@
     }
 }
 
-routing::published_item read_item(const json& from)
+routing::store_item read_item(const json& from)
 {
-    routing::published_item out;
+    routing::store_item out;
     out.key = from.at("key").get<std::string>();
     out.revision = bounded_number<std::uint64_t>(from.at("revision"));
     out.removed = from.value("deleted", false);
@@ -86,7 +86,7 @@
 }
 
 // What has no key or no revision can't be told from anything else: left out.
-std::optional<routing::published_item> readable_item(const json& from)
+std::optional<routing::store_item> readable_item(const json& from)
 {
     try {
         return read_item(from);
--- a/src/greengagedrum/platform/store_calls.hpp
+++ b/src/greengagedrum/platform/store_calls.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include <greengagedrum/base/time.hpp>
-#include <greengagedrum/routing/published_item.hpp>
+#include <greengagedrum/routing/store_item.hpp>
 
 #include <cstdint>
 #include <optional>
@@ -28,7 +28,7 @@
 
 // A page of items, or the changes of a watch.
 struct store_answer {
-    routing::item_list items;
+    routing::store_item_list items;
     std::uint64_t as_of = 0; // the store's revision
     bool more = false;       // another page follows
 };
--- a/src/greengagedrum/routing/published_item.hpp
+++ b/src/greengagedrum/routing/store_item.hpp
@@ -9,13 +9,13 @@
 namespace greengagedrum::routing
 {
 
-struct published_item {
+struct store_item {
     std::string key;
     std::string value;
     std::uint64_t revision = 0; // of its last change
     bool removed = false;
 };
 
-using item_list = std::vector<published_item>;
+using store_item_list = std::vector<store_item>;
 
 } // namespace greengagedrum::routing
