--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -153,7 +153,8 @@
     facts.kind = route.id;
     facts.rule = route.rule;
     facts.stream = route.stream;
-    facts.priority = this->state.known.routes()->urgency(route, owner);
+    facts.priority =
+        this->state.known.routes()->effective_priority(route, owner);
     facts.sends_max = route.sends_max;
     facts.homes = routing::homes_of(route, owner, this->state.regions);
     facts.objective = route.objective;
--- a/src/greengagedrum/routing/route_table.cpp
+++ b/src/greengagedrum/routing/route_table.cpp
@@ -69,8 +69,8 @@
     sort_steps(this->workspace_steps);
 }
 
-std::uint32_t route_table::urgency(const route& of,
-                                   const workspace* owner) const
+std::uint32_t route_table::effective_priority(const route& of,
+                                              const workspace* owner) const
 {
     const std::uint32_t own = step_of(this->route_steps, of.priority);
     if (owner == nullptr)
--- a/src/greengagedrum/routing/route_table.hpp
+++ b/src/greengagedrum/routing/route_table.hpp
@@ -36,7 +36,8 @@
     // 0 is the most urgent. A workspace's own priority goes before the
     // route's, which orders the requests of workspaces alike; steps that no
     // workspace or route uses are left out.
-    std::uint32_t urgency(const route& of, const workspace* owner) const;
+    std::uint32_t effective_priority(const route& of,
+                                     const workspace* owner) const;
 
     // `draw` in [0, 1) picks a target by weight.
     static const route_target& pick_target(const route& from, double draw);
--- a/src/greengagedrum/routing/test/routing_test.cpp
+++ b/src/greengagedrum/routing/test/routing_test.cpp
@@ -109,9 +109,9 @@
     const workspace* owner = table.find_workspace("gate-key");
     REQUIRE(owner != nullptr);
     const auto& routes = this->config.routes;
-    CHECK(table.urgency(routes[0], owner) == 0);
-    CHECK(table.urgency(routes[2], owner) == 1);
-    CHECK(table.urgency(routes[1], owner) == 2);
+    CHECK(table.effective_priority(routes[0], owner) == 0);
+    CHECK(table.effective_priority(routes[2], owner) == 1);
+    CHECK(table.effective_priority(routes[1], owner) == 2);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "workspace_priority_goes_before_the_routes")
@@ -120,8 +120,8 @@
     const route_table table = this->table();
     const workspace* gate = table.find_workspace("gate-key");
     const workspace* office = table.find_workspace("office-key");
-    CHECK(table.urgency(this->config.routes[1], gate) <
-          table.urgency(this->config.routes[0], office));
+    CHECK(table.effective_priority(this->config.routes[1], gate) <
+          table.effective_priority(this->config.routes[0], office));
 }
 
 TEST_CASE_FIXTURE(table_fixture, "targets_share_requests_by_weight")
