--- a/src/greengagedrum/platform/documents.cpp
+++ b/src/greengagedrum/platform/documents.cpp
@@ -69,7 +69,7 @@
     routing::route out;
     out.name = from.at("name").get<std::string>();
     out.id = base::kind_id(out.name);
-    out.host = routing::plain_host(from.at("hostname").get<std::string>());
+    out.host = routing::normalized_host(from.at("hostname").get<std::string>());
     out.prefix = from.at("prefix").get<std::string>();
     out.rule = read_rule(from);
     out.stream = from.value("routeType", ""s) == "streaming";
--- a/src/greengagedrum/routing/route_table.cpp
+++ b/src/greengagedrum/routing/route_table.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-std::string plain_host(std::string_view host)
+std::string normalized_host(std::string_view host)
 {
     const std::size_t colon = host.rfind(':');
     const bool bracketed = !host.empty() && host.back() == ']';
@@ -83,7 +83,7 @@
 const route* route_table::find_route(std::string_view host,
                                      std::string_view path) const
 {
-    const std::string name = plain_host(host);
+    const std::string name = normalized_host(host);
     std::size_t end = path.rfind('/');
     while (end != std::string_view::npos) {
         const auto found =
--- a/src/greengagedrum/routing/route_table.hpp
+++ b/src/greengagedrum/routing/route_table.hpp
@@ -55,6 +55,6 @@
 using route_table_ptr = std::shared_ptr<const route_table>;
 
 // Lower case and without a port, as `route::host` is kept.
-std::string plain_host(std::string_view host);
+std::string normalized_host(std::string_view host);
 
 } // namespace greengagedrum::routing
