--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -179,7 +179,7 @@
     const double tokens =
         marks.prompt_tokens
             ? static_cast<double>(*marks.prompt_tokens) + marks.output_tokens
-            : owner->limit.plain_tokens;
+            : owner->limit.default_request_tokens;
     out.cost = owner->limit.in_tokens ? tokens : 1;
 }
 
--- a/src/greengagedrum/platform/documents.cpp
+++ b/src/greengagedrum/platform/documents.cpp
@@ -110,7 +110,7 @@
     out.limit.burst = from.value("burst", 0.0);
     out.limit.in_tokens = from.value("unit", ""s) == "tokens";
     // Not about a cache: what a request without a token count costs.
-    out.limit.plain_tokens = from.value("uncachedTokens", 0.0);
+    out.limit.default_request_tokens = from.value("uncachedTokens", 0.0);
     return out;
 }
 
--- a/src/greengagedrum/platform/test/platform_test.cpp
+++ b/src/greengagedrum/platform/test/platform_test.cpp
@@ -139,7 +139,7 @@
     const routing::workspace& owner = read->workspaces.at(0);
     CHECK(owner.keys.size() == 2);
     CHECK(owner.limit.in_tokens);
-    CHECK(owner.limit.plain_tokens == 200);
+    CHECK(owner.limit.default_request_tokens == 200);
     CHECK(read->limits.idle_timeout == 15s);
 }
 
--- a/src/greengagedrum/routing/configuration.hpp
+++ b/src/greengagedrum/routing/configuration.hpp
@@ -61,8 +61,9 @@
 struct usage_limit {
     double per_second = 0; // 0: unlimited
     double burst = 0;
-    bool in_tokens = false;  // else in requests
-    double plain_tokens = 0; // what a request without a token count costs
+    bool in_tokens = false; // else in requests
+    double default_request_tokens =
+        0; // what a request without a token count costs
 };
 
 struct workspace {
