--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -213,8 +213,9 @@
     for (const routing::service& one : routes->source().services)
         this->state.scheduler.set_slow_start(
             one.id,
-            one.warmup_per_second > 0
-                ? traffic::slow_start_sends(one.warmup_per_second, tolerance)
+            one.warmup_requests_per_second > 0
+                ? traffic::slow_start_sends(one.warmup_requests_per_second,
+                                            tolerance)
                 : 0);
 }
 
--- a/src/greengagedrum/platform/documents.cpp
+++ b/src/greengagedrum/platform/documents.cpp
@@ -92,7 +92,8 @@
     out.engine = from.contains("engine");
     out.connections_max = bounded_number(from, "maxConnections", 0U);
     out.warmup = time_of(from, "warmupS", second);
-    out.warmup_per_second = std::max(0.0, from.value("warmupPerS", 0.0));
+    out.warmup_requests_per_second =
+        std::max(0.0, from.value("warmupPerS", 0.0));
     return out;
 }
 
--- a/src/greengagedrum/platform/test/platform_test.cpp
+++ b/src/greengagedrum/platform/test/platform_test.cpp
@@ -133,8 +133,8 @@
     CHECK(plain.targets.at(0).service_name == "s-2");
     CHECK(read->services.at(0).engine);
     CHECK(read->services.at(0).warmup == 2500ms);
-    CHECK(read->services.at(0).warmup_per_second == 7.3);
-    CHECK(read->services.at(1).warmup_per_second == 0);
+    CHECK(read->services.at(0).warmup_requests_per_second == 7.3);
+    CHECK(read->services.at(1).warmup_requests_per_second == 0);
     CHECK_FALSE(read->services.at(1).engine);
     const routing::workspace& owner = read->workspaces.at(0);
     CHECK(owner.keys.size() == 2);
--- a/src/greengagedrum/routing/configuration.hpp
+++ b/src/greengagedrum/routing/configuration.hpp
@@ -54,7 +54,7 @@
     std::uint32_t connections_max = 0; // of one upstream, all callers; 0: none
     base::duration warmup{0};          // how long one is cold after its start
     // Requests that a cold one takes, of all callers; 0: no bound is published.
-    double warmup_per_second = 0;
+    double warmup_requests_per_second = 0;
 };
 
 // A limit on what a workspace may ask for, over all entries together.
