--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -151,7 +151,7 @@
     traffic::request_facts& facts = out.facts;
     facts.service = target.service;
     facts.kind = route.id;
-    facts.rule = route.rule;
+    facts.rule = route.retry;
     facts.stream = route.stream;
     facts.priority =
         this->state.known.routes()->effective_priority(route, owner);
@@ -168,7 +168,7 @@
     facts.time_left = std::max(left, base::duration(0));
     out.origin.route = route.name;
     out.origin.stream = route.stream;
-    out.origin.repeatable = route.rule != routing::retry_policy::at_most_once;
+    out.origin.repeatable = route.retry != routing::retry_policy::at_most_once;
     out.series = {"", tier_of(facts.priority), route.name};
     if (owner == nullptr)
         return;
--- a/src/greengagedrum/platform/documents.cpp
+++ b/src/greengagedrum/platform/documents.cpp
@@ -71,7 +71,7 @@
     out.id = base::kind_id(out.name);
     out.host = routing::normalized_host(from.at("hostname").get<std::string>());
     out.prefix = from.at("prefix").get<std::string>();
-    out.rule = read_rule(from);
+    out.retry = read_rule(from);
     out.stream = from.value("routeType", ""s) == "streaming";
     out.anonymous = from.value("anonymous", false);
     out.priority = bounded_number(from, "priority", 0U);
--- a/src/greengagedrum/platform/test/platform_test.cpp
+++ b/src/greengagedrum/platform/test/platform_test.cpp
@@ -117,7 +117,7 @@
     CHECK(read->revision == 31);
     const routing::route& stream = read->routes.at(0);
     CHECK(stream.host == "hall.example");
-    CHECK(stream.rule == routing::retry_policy::resumable);
+    CHECK(stream.retry == routing::retry_policy::resumable);
     CHECK(stream.stream);
     CHECK(stream.regions == std::vector<std::string>{"west"});
     CHECK(read->routes.at(1).regions.empty());
@@ -127,7 +127,7 @@
     CHECK(stream.objective == 800ms);
     CHECK(stream.targets.size() == 2);
     const routing::route& plain = read->routes.at(1);
-    CHECK(plain.rule == routing::retry_policy::at_most_once);
+    CHECK(plain.retry == routing::retry_policy::at_most_once);
     CHECK(plain.anonymous);
     CHECK(plain.sends_max == 1);
     CHECK(plain.targets.at(0).service_name == "s-2");
@@ -152,7 +152,7 @@
          1,
          false});
     REQUIRE(read);
-    CHECK(read->routes.at(0).rule == routing::retry_policy::at_most_once);
+    CHECK(read->routes.at(0).retry == routing::retry_policy::at_most_once);
 }
 
 TEST_CASE("configuration_without_its_fields_is_refused")
--- a/src/greengagedrum/routing/configuration.hpp
+++ b/src/greengagedrum/routing/configuration.hpp
@@ -35,7 +35,7 @@
     base::kind_id id;
     std::string host;   // lower case, without port
     std::string prefix; // begins and ends with a slash
-    retry_policy rule = retry_policy::at_most_once;
+    retry_policy retry = retry_policy::at_most_once;
     bool stream = false;
     bool anonymous = false;      // needs no key
     std::uint32_t priority = 0;  // 0 is the most urgent
