--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -155,7 +155,7 @@
     facts.stream = route.stream;
     facts.priority =
         this->state.known.routes()->effective_priority(route, owner);
-    facts.sends_max = route.sends_max;
+    facts.sends_max = route.attempts_max;
     facts.homes = routing::homes_of(route, owner, this->state.regions);
     facts.objective = route.objective;
     facts.gap_objective = route.gap_objective;
--- a/src/greengagedrum/platform/documents.cpp
+++ b/src/greengagedrum/platform/documents.cpp
@@ -75,7 +75,7 @@
     out.stream = from.value("routeType", ""s) == "streaming";
     out.anonymous = from.value("anonymous", false);
     out.priority = bounded_number(from, "priority", 0U);
-    out.sends_max = std::max(1U, bounded_number(from, "maxAttempts", 1U));
+    out.attempts_max = std::max(1U, bounded_number(from, "maxAttempts", 1U));
     out.timeout = milliseconds_of(from, "timeoutMs");
     out.objective = milliseconds_of(from, "targetLatencyMs");
     out.gap_objective = milliseconds_of(from, "targetGapMs");
--- a/src/greengagedrum/platform/test/platform_test.cpp
+++ b/src/greengagedrum/platform/test/platform_test.cpp
@@ -122,14 +122,14 @@
     CHECK(stream.regions == std::vector<std::string>{"west"});
     CHECK(read->routes.at(1).regions.empty());
     CHECK(read->workspaces.at(0).regions.size() == 2);
-    CHECK(stream.sends_max == 2);
+    CHECK(stream.attempts_max == 2);
     CHECK(stream.timeout == 12s);
     CHECK(stream.objective == 800ms);
     CHECK(stream.targets.size() == 2);
     const routing::route& plain = read->routes.at(1);
     CHECK(plain.retry == routing::retry_policy::at_most_once);
     CHECK(plain.anonymous);
-    CHECK(plain.sends_max == 1);
+    CHECK(plain.attempts_max == 1);
     CHECK(plain.targets.at(0).service_name == "s-2");
     CHECK(read->services.at(0).engine);
     CHECK(read->services.at(0).warmup == 2500ms);
--- a/src/greengagedrum/routing/configuration.hpp
+++ b/src/greengagedrum/routing/configuration.hpp
@@ -37,11 +37,11 @@
     std::string prefix; // begins and ends with a slash
     retry_policy retry = retry_policy::at_most_once;
     bool stream = false;
-    bool anonymous = false;      // needs no key
-    std::uint32_t priority = 0;  // 0 is the most urgent
-    std::uint32_t sends_max = 1; // upstreams that one request may be sent to
-    base::duration timeout{0};   // 0: none
-    base::duration objective{0}; // to the answer, or a stream's first event
+    bool anonymous = false;         // needs no key
+    std::uint32_t priority = 0;     // 0 is the most urgent
+    std::uint32_t attempts_max = 1; // upstreams that one request may be sent to
+    base::duration timeout{0};      // 0: none
+    base::duration objective{0};    // to the answer, or a stream's first event
     base::duration gap_objective{0};   // between a stream's events
     std::vector<route_target> targets; // never empty
     std::vector<std::string> regions;  // where it may run; empty: anywhere
