--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -157,8 +157,8 @@
         this->state.known.routes()->effective_priority(route, owner);
     facts.sends_max = route.attempts_max;
     facts.homes = routing::homes_of(route, owner, this->state.regions);
-    facts.objective = route.objective;
-    facts.gap_objective = route.gap_objective;
+    facts.objective = route.latency_objective;
+    facts.gap_objective = route.event_gap_objective;
     facts.prompt_tokens = marks.prompt_tokens.value_or(0);
     facts.output_tokens =
         marks.expected_tokens.value_or(marks.output_tokens / output_part);
--- a/src/greengagedrum/platform/documents.cpp
+++ b/src/greengagedrum/platform/documents.cpp
@@ -77,8 +77,8 @@
     out.priority = bounded_number(from, "priority", 0U);
     out.attempts_max = std::max(1U, bounded_number(from, "maxAttempts", 1U));
     out.timeout = milliseconds_of(from, "timeoutMs");
-    out.objective = milliseconds_of(from, "targetLatencyMs");
-    out.gap_objective = milliseconds_of(from, "targetGapMs");
+    out.latency_objective = milliseconds_of(from, "targetLatencyMs");
+    out.event_gap_objective = milliseconds_of(from, "targetGapMs");
     out.targets = read_targets(from);
     out.regions = from.value("allowedRegions", std::vector<std::string>());
     return out;
--- a/src/greengagedrum/platform/test/platform_test.cpp
+++ b/src/greengagedrum/platform/test/platform_test.cpp
@@ -124,7 +124,7 @@
     CHECK(read->workspaces.at(0).regions.size() == 2);
     CHECK(stream.attempts_max == 2);
     CHECK(stream.timeout == 12s);
-    CHECK(stream.objective == 800ms);
+    CHECK(stream.latency_objective == 800ms);
     CHECK(stream.targets.size() == 2);
     const routing::route& plain = read->routes.at(1);
     CHECK(plain.retry == routing::retry_policy::at_most_once);
--- a/src/greengagedrum/routing/configuration.hpp
+++ b/src/greengagedrum/routing/configuration.hpp
@@ -41,10 +41,11 @@
     std::uint32_t priority = 0;     // 0 is the most urgent
     std::uint32_t attempts_max = 1; // upstreams that one request may be sent to
     base::duration timeout{0};      // 0: none
-    base::duration objective{0};    // to the answer, or a stream's first event
-    base::duration gap_objective{0};   // between a stream's events
-    std::vector<route_target> targets; // never empty
-    std::vector<std::string> regions;  // where it may run; empty: anywhere
+    base::duration latency_objective{
+        0}; // to the answer, or a stream's first event
+    base::duration event_gap_objective{0}; // between a stream's events
+    std::vector<route_target> targets;     // never empty
+    std::vector<std::string> regions;      // where it may run; empty: anywhere
 };
 
 struct service {
