--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -156,7 +156,8 @@
     facts.priority =
         this->state.known.routes()->effective_priority(route, owner);
     facts.sends_max = route.attempts_max;
-    facts.homes = routing::homes_of(route, owner, this->state.regions);
+    facts.homes =
+        routing::data_centre_constraint_of(route, owner, this->state.regions);
     facts.objective = route.latency_objective;
     facts.gap_objective = route.event_gap_objective;
     facts.prompt_tokens = marks.prompt_tokens.value_or(0);
--- a/src/greengagedrum/entry/front.hpp
+++ b/src/greengagedrum/entry/front.hpp
@@ -158,7 +158,8 @@
     void grant(const traffic::send_request& order);
     void decline(const traffic::end_request& order);
     void take(const dispatch::request_changes& news);
-    routing::homes homes_of(const traffic::request_facts& facts) const;
+    routing::data_centre_constraint
+    homes_of(const traffic::request_facts& facts) const;
     void arrived_at_member(base::request_id id,
                            const dispatch::slot_request& wanted);
     void count_waiting();
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -135,14 +135,15 @@
 }
 
 // As the configuration in force here says: members ask by route and workspace.
-routing::homes front::homes_of(const traffic::request_facts& facts) const
+routing::data_centre_constraint
+front::homes_of(const traffic::request_facts& facts) const
 {
     const routing::route_table_ptr& table = this->state.known.routes();
     const routing::route* route =
         table ? table->find_route(facts.kind) : nullptr;
     if (route == nullptr)
         return {};
-    return routing::homes_of(
+    return routing::data_centre_constraint_of(
         *route, table->find_workspace(facts.workspace), this->state.regions);
 }
 
--- a/src/greengagedrum/entry/settings.hpp
+++ b/src/greengagedrum/entry/settings.hpp
@@ -4,7 +4,7 @@
 
 #include <greengagedrum/base/ip_address.hpp>
 #include <greengagedrum/base/time.hpp>
-#include <greengagedrum/routing/homes.hpp>
+#include <greengagedrum/routing/data_centre_constraint.hpp>
 
 #include <algorithm>
 #include <cstdint>
--- a/src/greengagedrum/routing/homes.cpp
+++ b/src/greengagedrum/routing/data_centre_constraint.cpp
@@ -1,4 +1,4 @@
-#include <greengagedrum/routing/homes.hpp>
+#include <greengagedrum/routing/data_centre_constraint.hpp>
 
 #include <algorithm>
 
@@ -16,21 +16,21 @@
 
 } // namespace
 
-bool homes::allow(base::data_centre_id where) const
+bool data_centre_constraint::allows(base::data_centre_id where) const
 {
-    return !this->bound || std::find(this->data_centres.begin(),
-                                     this->data_centres.end(),
-                                     where) != this->data_centres.end();
+    return !this->restricted || std::find(this->data_centres.begin(),
+                                          this->data_centres.end(),
+                                          where) != this->data_centres.end();
 }
 
-homes homes_of(const route& of,
-               const workspace* owner,
-               const region_map& regions)
+data_centre_constraint data_centre_constraint_of(const route& of,
+                                                 const workspace* owner,
+                                                 const region_map& regions)
 {
-    homes out;
-    out.bound =
+    data_centre_constraint out;
+    out.restricted =
         !of.regions.empty() || (owner != nullptr && !owner->regions.empty());
-    if (!out.bound)
+    if (!out.restricted)
         return out;
     for (const auto& [data_centre, region] : regions) {
         if (names(of.regions, region) &&
--- a/src/greengagedrum/routing/homes.hpp
+++ b/src/greengagedrum/routing/data_centre_constraint.hpp
@@ -17,17 +17,17 @@
 // The region of each data centre, by their names.
 using region_map = std::map<std::string, std::string>;
 
-struct homes {
-    bool bound = false; // else anywhere
+struct data_centre_constraint {
+    bool restricted = false; // else anywhere
     std::vector<base::data_centre_id> data_centres;
 
-    bool allow(base::data_centre_id where) const;
+    bool allows(base::data_centre_id where) const;
 };
 
 // `owner`: null for a request without a workspace. A data centre whose region
 // is not known is no home.
-homes homes_of(const route& of,
-               const workspace* owner,
-               const region_map& regions);
+data_centre_constraint data_centre_constraint_of(const route& of,
+                                                 const workspace* owner,
+                                                 const region_map& regions);
 
 } // namespace greengagedrum::routing
--- a/src/greengagedrum/routing/test/routing_test.cpp
+++ b/src/greengagedrum/routing/test/routing_test.cpp
@@ -1,5 +1,5 @@
 // Which route, workspace and upstream a request may have.
-#include <greengagedrum/routing/homes.hpp>
+#include <greengagedrum/routing/data_centre_constraint.hpp>
 #include <greengagedrum/routing/route_table.hpp>
 #include <greengagedrum/routing/upstream_directory.hpp>
 
@@ -271,20 +271,20 @@
     const base::data_centre_id quay("quay");
     route of;
     workspace owner;
-    CHECK(homes_of(of, &owner, regions).allow(hall));
-    CHECK(homes_of(of, nullptr, {}).allow(hall));
+    CHECK(data_centre_constraint_of(of, &owner, regions).allows(hall));
+    CHECK(data_centre_constraint_of(of, nullptr, {}).allows(hall));
     of.regions = {"west", "east"};
-    CHECK(homes_of(of, nullptr, regions).allow(hall));
-    CHECK_FALSE(
-        homes_of(of, nullptr, regions).allow(base::data_centre_id("mill")));
+    CHECK(data_centre_constraint_of(of, nullptr, regions).allows(hall));
+    CHECK_FALSE(data_centre_constraint_of(of, nullptr, regions)
+                    .allows(base::data_centre_id("mill")));
     owner.regions = {"east", "north"};
-    CHECK(homes_of(of, &owner, regions).allow(quay));
-    CHECK_FALSE(homes_of(of, &owner, regions).allow(hall));
+    CHECK(data_centre_constraint_of(of, &owner, regions).allows(quay));
+    CHECK_FALSE(data_centre_constraint_of(of, &owner, regions).allows(hall));
     owner.regions = {"nowhere"};
-    CHECK_FALSE(homes_of(of, &owner, regions).allow(quay));
+    CHECK_FALSE(data_centre_constraint_of(of, &owner, regions).allows(quay));
     // A data centre that the settings don't name is no home.
-    CHECK_FALSE(
-        homes_of(of, nullptr, regions).allow(base::data_centre_id("new")));
+    CHECK_FALSE(data_centre_constraint_of(of, nullptr, regions)
+                    .allows(base::data_centre_id("new")));
 }
 
 } // namespace greengagedrum::routing
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -11,7 +11,7 @@
 #include <greengagedrum/base/verdict.hpp>
 #include <greengagedrum/quarantine/messages.hpp>
 #include <greengagedrum/routing/configuration.hpp>
-#include <greengagedrum/routing/homes.hpp>
+#include <greengagedrum/routing/data_centre_constraint.hpp>
 
 #include <cstdint>
 #include <string_view>
@@ -37,7 +37,7 @@
     base::duration gap_objective{0}; // between events
     base::duration time_left{0};     // until the caller or the route gives up
     bool returning = false;          // the caller resumes a stream by itself
-    routing::homes homes{};          // not told between entries
+    routing::data_centre_constraint homes{}; // not told between entries
     // Of another entry, which asks for a place only: it sends the request, sees
     // what becomes of it and decides what may be sent again.
     bool delegated = false;
--- a/src/greengagedrum/traffic/placing.cpp
+++ b/src/greengagedrum/traffic/placing.cpp
@@ -117,7 +117,7 @@
             this->send(item, *where);
             free = this->pool.free_places(service, this->now);
             starved = queue.starved(this->now);
-        } else if (item.tried.empty() && !item.facts.homes.bound) {
+        } else if (item.tried.empty() && !item.facts.homes.restricted) {
             return; // nobody behind it finds a place either
         }
     }
--- a/src/greengagedrum/traffic/upstream_pool.cpp
+++ b/src/greengagedrum/traffic/upstream_pool.cpp
@@ -86,7 +86,7 @@
 }
 
 bool upstream_pool::known(base::class_id service,
-                          const routing::homes& homes) const
+                          const routing::data_centre_constraint& homes) const
 {
     const auto found = this->services.find(service);
     return found != this->services.end() &&
@@ -97,11 +97,11 @@
 }
 
 bool upstream_pool::may_run(base::upstream_id id,
-                            const routing::homes& homes) const
+                            const routing::data_centre_constraint& homes) const
 {
     const auto found = this->upstreams.find(id);
     return found != this->upstreams.end() && found->second.listed &&
-           homes.allow(found->second.data_centre);
+           homes.allows(found->second.data_centre);
 }
 
 // ---- What peers tell ------------------------------------------------------
