--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -195,7 +195,7 @@
                                   cluster_changes& out)
 {
     const std::string name(platform::upstream_name(item.key));
-    const auto before = this->directory.life_of(name);
+    const auto before = this->directory.latest_incarnation(name);
     routing::upstream_change change = routing::upstream_change::none;
     bool readable = true;
     std::uint64_t meaning = 0; // no upstream
@@ -277,7 +277,7 @@
         out.left.push_back({name, *before});
     if (change == upstream_change::left)
         return;
-    const auto life = this->directory.life_of(name);
+    const auto life = this->directory.latest_incarnation(name);
     out.joined.push_back(*this->directory.find(*life));
 }
 
@@ -311,7 +311,7 @@
     std::vector<std::string> gone;
     this->directory.expire(now, gone);
     for (const std::string& name : gone)
-        out.left.push_back({name, *this->directory.life_of(name)});
+        out.left.push_back({name, *this->directory.latest_incarnation(name)});
     return out;
 }
 
--- a/src/greengagedrum/entry/test/dispatch_test.cpp
+++ b/src/greengagedrum/entry/test/dispatch_test.cpp
@@ -134,8 +134,11 @@
 void grant(const dispatch::slot_request& wanted,
            dispatch::dispatcher_reply& into)
 {
-    into.granted.push_back(
-        {wanted.name, routing::life_id("i-1", std::nullopt), 50ms, 0, 5});
+    into.granted.push_back({wanted.name,
+                            routing::incarnation_id("i-1", std::nullopt),
+                            50ms,
+                            0,
+                            5});
 }
 
 } // namespace
--- a/src/greengagedrum/routing/test/routing_test.cpp
+++ b/src/greengagedrum/routing/test/routing_test.cpp
@@ -73,7 +73,7 @@
 {
     published_upstream out = upstream_at("i-1", revision);
     out.born = born;
-    out.id = life_id(out.name, born);
+    out.id = incarnation_id(out.name, born);
     return out;
 }
 
--- a/src/greengagedrum/routing/upstream_directory.cpp
+++ b/src/greengagedrum/routing/upstream_directory.cpp
@@ -6,8 +6,8 @@
 namespace greengagedrum::routing
 {
 
-base::upstream_id life_id(std::string_view name,
-                          std::optional<std::uint64_t> born)
+base::upstream_id incarnation_id(std::string_view name,
+                                 std::optional<std::uint64_t> born)
 {
     if (!born)
         return base::upstream_id(name);
@@ -15,7 +15,7 @@
 }
 
 std::optional<base::upstream_id>
-upstream_directory::life_of(std::string_view name) const
+upstream_directory::latest_incarnation(std::string_view name) const
 {
     const auto found = this->states.find(std::string(name));
     if (found == this->states.end() || found->second.entry.id.empty())
@@ -24,7 +24,7 @@
 }
 
 const upstream_directory::state*
-upstream_directory::find_life(base::upstream_id id) const
+upstream_directory::find_incarnation(base::upstream_id id) const
 {
     const auto name = this->names.find(id);
     return name == this->names.end() ? nullptr : &this->states.at(name->second);
@@ -33,7 +33,7 @@
 bool upstream_directory::alive(const state& of)
 {
     const bool older_life = of.newest_born && of.entry.born < of.newest_born;
-    return !of.gone && !older_life && of.left_life != of.entry.id;
+    return !of.gone && !older_life && of.leaving_incarnation != of.entry.id;
 }
 
 bool upstream_directory::usable(const state& of) const
@@ -53,7 +53,7 @@
     if (entry.born < own.newest_born)
         return;
     if (entry.leaving)
-        own.left_life = entry.id;
+        own.leaving_incarnation = entry.id;
     const bool same_life = own.entry.id == entry.id;
     if (entry.revision <= own.removed_at ||
         (same_life && entry.revision <= own.entry.revision))
@@ -140,14 +140,14 @@
 
 const published_upstream* upstream_directory::find(base::upstream_id id) const
 {
-    const state* own = this->find_life(id);
+    const state* own = this->find_incarnation(id);
     return own != nullptr && this->usable(*own) ? &own->entry : nullptr;
 }
 
 const published_upstream*
 upstream_directory::find_alive(base::upstream_id id) const
 {
-    const state* own = this->find_life(id);
+    const state* own = this->find_incarnation(id);
     return own != nullptr && alive(*own) ? &own->entry : nullptr;
 }
 
--- a/src/greengagedrum/routing/upstream_directory.hpp
+++ b/src/greengagedrum/routing/upstream_directory.hpp
@@ -32,7 +32,7 @@
 
 struct published_upstream {
     std::string name;
-    base::upstream_id id;              // of this life, see life_id()
+    base::upstream_id id;              // of this life, see incarnation_id()
     std::optional<std::uint64_t> born; // Unix milliseconds, by its own clock
     base::class_id service;
     base::ip_endpoint address;
@@ -44,8 +44,8 @@
 };
 
 // One life of an upstream; without `born` a name has a single one.
-base::upstream_id life_id(std::string_view name,
-                          std::optional<std::uint64_t> born);
+base::upstream_id incarnation_id(std::string_view name,
+                                 std::optional<std::uint64_t> born);
 
 enum class upstream_change : std::uint8_t {
     none,
@@ -79,7 +79,8 @@
     void expire(base::instant now, std::vector<std::string>& gone);
 
     // The life of that name that was published last; none while unknown.
-    std::optional<base::upstream_id> life_of(std::string_view name) const;
+    std::optional<base::upstream_id>
+    latest_incarnation(std::string_view name) const;
 
     // Null when that incarnation is gone, leaving or evacuated.
     const published_upstream* find(base::upstream_id id) const;
@@ -109,12 +110,13 @@
         std::optional<base::instant> lapses_at;
         std::uint64_t removed_at = 0; // revision of the last removal
         std::optional<std::uint64_t> newest_born;
-        std::optional<base::upstream_id> left_life; // that said it leaves
+        std::optional<base::upstream_id>
+            leaving_incarnation; // that said it leaves
     };
 
     static bool alive(const state& of);
     bool usable(const state& of) const;
-    const state* find_life(base::upstream_id id) const;
+    const state* find_incarnation(base::upstream_id id) const;
     void note(state& own, const published_upstream& entry);
 
     std::unordered_map<std::string, state> states; // by name
