--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -242,9 +242,9 @@
     auto read = platform::read_upstream(item);
     if (!read)
         return read;
-    if (read->born && !this->lives_told)
+    if (read->started_unix_ms && !this->lives_told)
         this->drop_unborn(out);
-    if (this->lives_told && !read->born)
+    if (this->lives_told && !read->started_unix_ms)
         return tl::unexpected(std::string("no time of birth"));
     return read;
 }
@@ -255,7 +255,7 @@
     std::vector<routing::published_upstream> unborn;
     this->directory.for_each_usable(
         [&](const routing::published_upstream& one) {
-            if (!one.born)
+            if (!one.started_unix_ms)
                 unborn.push_back(one);
         });
     for (const routing::published_upstream& one : unborn) {
--- a/src/greengagedrum/platform/documents.cpp
+++ b/src/greengagedrum/platform/documents.cpp
@@ -170,8 +170,8 @@
 {
     routing::published_upstream out;
     out.name = name;
-    out.born = read_born(from);
-    out.id = routing::incarnation_id(name, out.born);
+    out.started_unix_ms = read_born(from);
+    out.id = routing::incarnation_id(name, out.started_unix_ms);
     out.service = base::class_id(from.at("service").get<std::string>());
     const auto address = from.at("address").get<std::string>();
     const auto endpoint = base::endpoint_from(address);
--- a/src/greengagedrum/routing/test/routing_test.cpp
+++ b/src/greengagedrum/routing/test/routing_test.cpp
@@ -69,11 +69,12 @@
     return out;
 }
 
-published_upstream life_at(std::uint64_t born, std::uint64_t revision)
+published_upstream life_at(std::uint64_t started_unix_ms,
+                           std::uint64_t revision)
 {
     published_upstream out = upstream_at("i-1", revision);
-    out.born = born;
-    out.id = incarnation_id(out.name, born);
+    out.started_unix_ms = started_unix_ms;
+    out.id = incarnation_id(out.name, started_unix_ms);
     return out;
 }
 
@@ -218,7 +219,7 @@
             }
             std::string out;
             tested.for_each_usable([&](const published_upstream& one) {
-                out += std::to_string(*one.born) + '@' +
+                out += std::to_string(*one.started_unix_ms) + '@' +
                        std::to_string(one.revision) + ' ';
             });
             return out;
--- a/src/greengagedrum/routing/upstream_directory.cpp
+++ b/src/greengagedrum/routing/upstream_directory.cpp
@@ -7,11 +7,12 @@
 {
 
 base::upstream_id incarnation_id(std::string_view name,
-                                 std::optional<std::uint64_t> born)
+                                 std::optional<std::uint64_t> started_unix_ms)
 {
-    if (!born)
+    if (!started_unix_ms)
         return base::upstream_id(name);
-    return base::upstream_id(std::string(name) + '#' + std::to_string(*born));
+    return base::upstream_id(std::string(name) + '#' +
+                             std::to_string(*started_unix_ms));
 }
 
 std::optional<base::upstream_id>
@@ -32,7 +33,8 @@
 
 bool upstream_directory::alive(const state& of)
 {
-    const bool older_life = of.newest_born && of.entry.born < of.newest_born;
+    const bool older_life =
+        of.newest_start && of.entry.started_unix_ms < of.newest_start;
     return !of.gone && !older_life && of.leaving_incarnation != of.entry.id;
 }
 
@@ -49,8 +51,8 @@
 // life said that it leaves, is written late and has the highest revision.
 void upstream_directory::note(state& own, const published_upstream& entry)
 {
-    own.newest_born = std::max(own.newest_born, entry.born);
-    if (entry.born < own.newest_born)
+    own.newest_start = std::max(own.newest_start, entry.started_unix_ms);
+    if (entry.started_unix_ms < own.newest_start)
         return;
     if (entry.leaving)
         own.leaving_incarnation = entry.id;
--- a/src/greengagedrum/routing/upstream_directory.hpp
+++ b/src/greengagedrum/routing/upstream_directory.hpp
@@ -5,10 +5,10 @@
 // never takes anything back.
 //
 // An upstream may start again under its name. Each of its lives, told by when
-// it was born, is an upstream of its own for all who send to it: it has another
-// id, so that nothing learnt of one life (by this entry or told by a peer)
-// counts for another. What was published by an older life never replaces a
-// newer one, and a life that said it leaves never returns.
+// it was started, is an upstream of its own for all who send to it: it
+// has another id, so that nothing learnt of one life (by this entry or told by
+// a peer) counts for another. What was published by an older life never
+// replaces a newer one, and a life that said it leaves never returns.
 //
 // Upstreams of an evacuated data centre stay known and may be given no work
 // until their data centre is taken back.
@@ -32,8 +32,9 @@
 
 struct published_upstream {
     std::string name;
-    base::upstream_id id;              // of this life, see incarnation_id()
-    std::optional<std::uint64_t> born; // Unix milliseconds, by its own clock
+    base::upstream_id id; // of this life, see incarnation_id()
+    std::optional<std::uint64_t>
+        started_unix_ms; // Unix milliseconds, by its own clock
     base::class_id service;
     base::ip_endpoint address;
     std::string data_centre;
@@ -43,9 +44,9 @@
     std::uint64_t revision = 0; // the store's
 };
 
-// One life of an upstream; without `born` a name has a single one.
+// One life of an upstream; without `started_unix_ms` a name has a single one.
 base::upstream_id incarnation_id(std::string_view name,
-                                 std::optional<std::uint64_t> born);
+                                 std::optional<std::uint64_t> started_unix_ms);
 
 enum class upstream_change : std::uint8_t {
     none,
@@ -109,7 +110,7 @@
         bool gone = true;
         std::optional<base::instant> lapses_at;
         std::uint64_t removed_at = 0; // revision of the last removal
-        std::optional<std::uint64_t> newest_born;
+        std::optional<std::uint64_t> newest_start;
         std::optional<base::upstream_id>
             leaving_incarnation; // that said it leaves
     };
