--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -200,15 +200,15 @@
     bool readable = true;
     std::uint64_t meaning = 0; // no upstream
     if (item.removed) {
-        change = this->directory.removed(
-            name, item.revision, this->lapse_bound(now));
+        change =
+            this->directory.remove(name, item.revision, this->lapse_bound(now));
     } else if (const auto read = this->read_life(item, out)) {
-        change = this->directory.learn(*read);
+        change = this->directory.update(*read);
         meaning = meaning_of(*read);
     } else {
         readable = false;
         out.faults.push_back(item.key + ": " + read.error());
-        change = this->directory.removed(name, item.revision, std::nullopt);
+        change = this->directory.remove(name, item.revision, std::nullopt);
     }
     this->note_meaning(item.key, meaning);
     if (item.removed || change != routing::upstream_change::none) {
@@ -259,7 +259,7 @@
                 unborn.push_back(one);
         });
     for (const routing::published_upstream& one : unborn) {
-        this->directory.removed(one.name, one.revision, std::nullopt);
+        this->directory.remove(one.name, one.revision, std::nullopt);
         out.left.push_back({one.name, one.id});
     }
 }
@@ -309,7 +309,7 @@
 {
     cluster_changes out;
     std::vector<std::string> gone;
-    this->directory.expire(now, gone);
+    this->directory.remove_expired(now, gone);
     for (const std::string& name : gone)
         out.left.push_back({name, *this->directory.latest_incarnation(name)});
     return out;
@@ -322,7 +322,7 @@
     if (known == nullptr)
         return out;
     out.left.push_back({known->name, upstream});
-    this->directory.misdirected(upstream);
+    this->directory.mark_misdirected(upstream);
     return out;
 }
 
--- a/src/greengagedrum/routing/test/routing_test.cpp
+++ b/src/greengagedrum/routing/test/routing_test.cpp
@@ -140,23 +140,23 @@
 {
     upstream_directory tested;
     published_upstream entry = upstream_at("i-1", 5);
-    CHECK(tested.learn(entry) == upstream_change::joined);
+    CHECK(tested.update(entry) == upstream_change::joined);
     entry.leaving = true;
     entry.revision = 8;
-    CHECK(tested.learn(entry) == upstream_change::left);
+    CHECK(tested.update(entry) == upstream_change::left);
     entry.leaving = false;
     entry.revision = 9;
-    CHECK(tested.learn(entry) == upstream_change::none);
+    CHECK(tested.update(entry) == upstream_change::none);
     CHECK(tested.find(entry.id) == nullptr);
 }
 
 TEST_CASE("older_news_of_a_removed_upstream_changes_nothing")
 {
     upstream_directory tested;
-    CHECK(tested.removed("i-1", 7, std::nullopt) == upstream_change::none);
-    CHECK(tested.learn(upstream_at("i-1", 6)) == upstream_change::none);
+    CHECK(tested.remove("i-1", 7, std::nullopt) == upstream_change::none);
+    CHECK(tested.update(upstream_at("i-1", 6)) == upstream_change::none);
     CHECK(tested.usable_count() == 0);
-    CHECK(tested.learn(upstream_at("i-1", 8)) == upstream_change::joined);
+    CHECK(tested.update(upstream_at("i-1", 8)) == upstream_change::joined);
 }
 
 // An upstream crashes and starts again under its name. What was learnt of it
@@ -167,8 +167,8 @@
     const published_upstream first = life_at(1'000, 5);
     const published_upstream second = life_at(2'000, 9);
     CHECK(first.id != second.id);
-    CHECK(tested.learn(first) == upstream_change::joined);
-    CHECK(tested.learn(second) == upstream_change::restarted);
+    CHECK(tested.update(first) == upstream_change::joined);
+    CHECK(tested.update(second) == upstream_change::restarted);
     CHECK(tested.find(first.id) == nullptr);
     REQUIRE(tested.find(second.id) != nullptr);
     CHECK(tested.find(second.id)->name == first.name);
@@ -181,11 +181,11 @@
     upstream_directory tested;
     published_upstream leaving = life_at(1'000, 5);
     leaving.leaving = true;
-    tested.learn(leaving);
-    CHECK(tested.learn(life_at(1'000, 6)) == upstream_change::none);
-    CHECK(tested.learn(life_at(2'000, 8)) == upstream_change::joined);
+    tested.update(leaving);
+    CHECK(tested.update(life_at(1'000, 6)) == upstream_change::none);
+    CHECK(tested.update(life_at(2'000, 8)) == upstream_change::joined);
     // A last report of the life before, written late.
-    CHECK(tested.learn(life_at(1'000, 9)) == upstream_change::none);
+    CHECK(tested.update(life_at(1'000, 9)) == upstream_change::none);
     CHECK(tested.find(life_at(2'000, 8).id) != nullptr);
 }
 
@@ -211,11 +211,11 @@
             const std::size_t removal = dice() % (told.size() + 1);
             for (std::size_t at = 0; at <= told.size(); ++at) {
                 if (at == removal && removed_at > 0)
-                    tested.removed("i-1", removed_at, std::nullopt);
+                    tested.remove("i-1", removed_at, std::nullopt);
                 if (at < told.size())
-                    tested.learn(told[at]);
+                    tested.update(told[at]);
                 if (at < told.size() && dice() % 3 == 0)
-                    tested.learn(told[dice() % (at + 1)]);
+                    tested.update(told[dice() % (at + 1)]);
             }
             std::string out;
             tested.for_each_usable([&](const published_upstream& one) {
@@ -235,16 +235,16 @@
 TEST_CASE("lapse_in_an_outage_is_waited_for_and_then_believed")
 {
     upstream_directory tested;
-    tested.learn(upstream_at("i-1", 5));
-    tested.learn(upstream_at("i-2", 6));
-    CHECK(tested.removed("i-1", 9, at(2s)) == upstream_change::none);
-    CHECK(tested.removed("i-2", 9, at(2s)) == upstream_change::none);
+    tested.update(upstream_at("i-1", 5));
+    tested.update(upstream_at("i-2", 6));
+    CHECK(tested.remove("i-1", 9, at(2s)) == upstream_change::none);
+    CHECK(tested.remove("i-2", 9, at(2s)) == upstream_change::none);
     CHECK(tested.usable_count() == 2);
-    tested.learn(upstream_at("i-1", 12));
+    tested.update(upstream_at("i-1", 12));
     std::vector<std::string> gone;
-    tested.expire(at(1999ms), gone);
+    tested.remove_expired(at(1999ms), gone);
     CHECK(gone.empty());
-    tested.expire(at(2s), gone);
+    tested.remove_expired(at(2s), gone);
     CHECK(gone == std::vector<std::string>{"i-2"});
     CHECK(tested.usable_count() == 1);
 }
@@ -255,10 +255,10 @@
 {
     upstream_directory tested;
     const published_upstream entry = upstream_at("i-1", 5);
-    tested.learn(entry);
-    CHECK(tested.misdirected(entry.id) == upstream_change::left);
+    tested.update(entry);
+    CHECK(tested.mark_misdirected(entry.id) == upstream_change::left);
     CHECK(tested.find(entry.id) == nullptr);
-    CHECK(tested.learn(upstream_at("i-1", 6)) == upstream_change::joined);
+    CHECK(tested.update(upstream_at("i-1", 6)) == upstream_change::joined);
 }
 
 // Where route and workspace both name regions, both bind.
--- a/src/greengagedrum/routing/upstream_directory.cpp
+++ b/src/greengagedrum/routing/upstream_directory.cpp
@@ -67,7 +67,7 @@
     own.lapses_at.reset();
 }
 
-upstream_change upstream_directory::learn(const published_upstream& entry)
+upstream_change upstream_directory::update(const published_upstream& entry)
 {
     state& own = this->states[entry.name];
     const bool was_usable = this->usable(own);
@@ -92,9 +92,9 @@
 // Remembered also of an unknown one, so that older news of it from a peer finds
 // it gone.
 upstream_change
-upstream_directory::removed(std::string_view name,
-                            std::uint64_t revision,
-                            std::optional<base::instant> lapse_bound)
+upstream_directory::remove(std::string_view name,
+                           std::uint64_t revision,
+                           std::optional<base::instant> lapse_bound)
 {
     state& own = this->states[std::string(name)];
     own.removed_at = std::max(own.removed_at, revision);
@@ -110,7 +110,7 @@
     return was_usable ? upstream_change::left : upstream_change::none;
 }
 
-upstream_change upstream_directory::misdirected(base::upstream_id id)
+upstream_change upstream_directory::mark_misdirected(base::upstream_id id)
 {
     const auto name = this->names.find(id);
     if (name == this->names.end())
@@ -123,8 +123,8 @@
     return was_usable ? upstream_change::left : upstream_change::none;
 }
 
-void upstream_directory::expire(base::instant now,
-                                std::vector<std::string>& gone)
+void upstream_directory::remove_expired(base::instant now,
+                                        std::vector<std::string>& gone)
 {
     if (!this->may_lapse)
         return;
--- a/src/greengagedrum/routing/upstream_directory.hpp
+++ b/src/greengagedrum/routing/upstream_directory.hpp
@@ -60,7 +60,7 @@
 {
 public:
     // Takes one published entry.
-    upstream_change learn(const published_upstream& entry);
+    upstream_change update(const published_upstream& entry);
 
     // The entry was removed at that revision. While the store was away, or
     // for a while after, it may only have lapsed: its upstream is then kept
@@ -69,15 +69,15 @@
     // Failure guarded against: an outage of the store outlasts the leases of
     // all entries; with its return every upstream would be gone at once, and
     // requests fail until each has reported again.
-    upstream_change removed(std::string_view name,
-                            std::uint64_t revision,
-                            std::optional<base::instant> lapse_bound);
+    upstream_change remove(std::string_view name,
+                           std::uint64_t revision,
+                           std::optional<base::instant> lapse_bound);
 
     // Something else answers at its address: gone until published anew.
-    upstream_change misdirected(base::upstream_id id);
+    upstream_change mark_misdirected(base::upstream_id id);
 
     // Takes out those whose lapse bound has passed; appends their names.
-    void expire(base::instant now, std::vector<std::string>& gone);
+    void remove_expired(base::instant now, std::vector<std::string>& gone);
 
     // The life of that name that was published last; none while unknown.
     std::optional<base::upstream_id>
