--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -278,7 +278,7 @@
     if (change == upstream_change::left)
         return;
     const auto life = this->directory.latest_incarnation(name);
-    out.joined.push_back(*this->directory.find(*life));
+    out.joined.push_back(*this->directory.find_usable(*life));
 }
 
 // ---- The store's absence --------------------------------------------------
@@ -318,7 +318,8 @@
 cluster_changes cluster_state::misdirected(base::upstream_id upstream)
 {
     cluster_changes out;
-    const routing::published_upstream* known = this->directory.find(upstream);
+    const routing::published_upstream* known =
+        this->directory.find_usable(upstream);
     if (known == nullptr)
         return out;
     out.left.push_back({known->name, upstream});
--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -93,7 +93,7 @@
         this->state.scheduler.upstream_left(one.id);
     // The same news may have taken away what it brought.
     for (const routing::published_upstream& one : changes.joined) {
-        if (this->state.known.upstreams().find(one.id) != nullptr)
+        if (this->state.known.upstreams().find_usable(one.id) != nullptr)
             this->state.scheduler.upstream_joined(one, now);
     }
 }
@@ -114,7 +114,7 @@
     accepted& request = this->requests.at(order.request);
     const base::instant now = this->state.clock();
     const routing::published_upstream* to =
-        this->state.known.upstreams().find(order.upstream);
+        this->state.known.upstreams().find_usable(order.upstream);
     if (to == nullptr) {
         // It left within this very turn.
         return this->told(traffic::not_sent{order.request, order.send});
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -150,7 +150,7 @@
 void front::grant(const traffic::send_request& order)
 {
     const base::instant now = this->state.clock();
-    if (this->state.known.upstreams().find(order.upstream) == nullptr) {
+    if (this->state.known.upstreams().find_usable(order.upstream) == nullptr) {
         // It left within this very turn.
         if (const auto cost = this->members.forget(order.request))
             this->state.limiter.withdrawn(cost->workspace, cost->amount, now);
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -93,13 +93,13 @@
     CHECK(begun.left.size() == 1);
     REQUIRE(begun.evacuations.size() == 1);
     CHECK(begun.evacuations.front().data_centre == "hall");
-    CHECK(this->known.upstreams().find(id) == nullptr);
+    CHECK(this->known.upstreams().find_usable(id) == nullptr);
     CHECK(this->known.upstreams().find_alive(id) != nullptr);
     // Reports of its load go on, and bring it back no sooner.
     CHECK(this->news({upstream_item("i-1", 8)}, 8).joined.empty());
     const auto over = this->news({{"op/evacuate/hall", "", 9, true}}, 9);
     CHECK(over.joined.size() == 1);
-    CHECK(this->known.upstreams().find(id) != nullptr);
+    CHECK(this->known.upstreams().find_usable(id) != nullptr);
 }
 
 // Upstreams cool down while they are evacuated, and say so later.
@@ -299,7 +299,8 @@
     this->news({upstream_item("i-1", 25)}, 25);
     this->now += 1s;
     CHECK(this->known.expire(this->now).left.size() == 1);
-    CHECK(this->known.upstreams().find(base::upstream_id("i-1")) != nullptr);
+    CHECK(this->known.upstreams().find_usable(base::upstream_id("i-1")) !=
+          nullptr);
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
--- a/src/greengagedrum/routing/test/routing_test.cpp
+++ b/src/greengagedrum/routing/test/routing_test.cpp
@@ -147,7 +147,7 @@
     entry.leaving = false;
     entry.revision = 9;
     CHECK(tested.update(entry) == upstream_change::none);
-    CHECK(tested.find(entry.id) == nullptr);
+    CHECK(tested.find_usable(entry.id) == nullptr);
 }
 
 TEST_CASE("older_news_of_a_removed_upstream_changes_nothing")
@@ -169,9 +169,9 @@
     CHECK(first.id != second.id);
     CHECK(tested.update(first) == upstream_change::joined);
     CHECK(tested.update(second) == upstream_change::restarted);
-    CHECK(tested.find(first.id) == nullptr);
-    REQUIRE(tested.find(second.id) != nullptr);
-    CHECK(tested.find(second.id)->name == first.name);
+    CHECK(tested.find_usable(first.id) == nullptr);
+    REQUIRE(tested.find_usable(second.id) != nullptr);
+    CHECK(tested.find_usable(second.id)->name == first.name);
     CHECK(tested.usable_count() == 1);
 }
 
@@ -186,7 +186,7 @@
     CHECK(tested.update(life_at(2'000, 8)) == upstream_change::joined);
     // A last report of the life before, written late.
     CHECK(tested.update(life_at(1'000, 9)) == upstream_change::none);
-    CHECK(tested.find(life_at(2'000, 8).id) != nullptr);
+    CHECK(tested.find_usable(life_at(2'000, 8).id) != nullptr);
 }
 
 // News of three lives, their leaving and a removal come from the store and from
@@ -257,7 +257,7 @@
     const published_upstream entry = upstream_at("i-1", 5);
     tested.update(entry);
     CHECK(tested.mark_misdirected(entry.id) == upstream_change::left);
-    CHECK(tested.find(entry.id) == nullptr);
+    CHECK(tested.find_usable(entry.id) == nullptr);
     CHECK(tested.update(upstream_at("i-1", 6)) == upstream_change::joined);
 }
 
--- a/src/greengagedrum/routing/upstream_directory.cpp
+++ b/src/greengagedrum/routing/upstream_directory.cpp
@@ -140,7 +140,8 @@
     }
 }
 
-const published_upstream* upstream_directory::find(base::upstream_id id) const
+const published_upstream*
+upstream_directory::find_usable(base::upstream_id id) const
 {
     const state* own = this->find_incarnation(id);
     return own != nullptr && this->usable(*own) ? &own->entry : nullptr;
--- a/src/greengagedrum/routing/upstream_directory.hpp
+++ b/src/greengagedrum/routing/upstream_directory.hpp
@@ -84,7 +84,7 @@
     latest_incarnation(std::string_view name) const;
 
     // Null when that incarnation is gone, leaving or evacuated.
-    const published_upstream* find(base::upstream_id id) const;
+    const published_upstream* find_usable(base::upstream_id id) const;
 
     // Null when that incarnation is gone or leaving.
     const published_upstream* find_alive(base::upstream_id id) const;
