--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -331,12 +331,12 @@
 
 std::uint64_t cluster_state::configuration_revision() const
 {
-    return this->table ? this->table->source().revision : 0;
+    return this->table ? this->table->config().revision : 0;
 }
 
 std::int64_t cluster_state::configuration_version() const
 {
-    return this->table ? this->table->source().version : 0;
+    return this->table ? this->table->config().version : 0;
 }
 
 gossip::item_transfer cluster_state::items_since(std::uint64_t since) const
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -210,7 +210,7 @@
         return;
     const traffic::slow_start_tolerance tolerance{
         this->own.bounds.warmup_overshoot, this->own.bounds.warmup_slack};
-    for (const routing::service& one : routes->source().services)
+    for (const routing::service& one : routes->config().services)
         this->state.scheduler.set_slow_start(
             one.id,
             one.warmup_requests_per_second > 0
--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -90,7 +90,7 @@
     if (!this->state.known.routes())
         return out;
     const routing::caller_limits& limits =
-        this->state.known.routes()->source().limits;
+        this->state.known.routes()->config().limits;
     if (limits.head_bytes > 0)
         out.read.head_bytes = limits.head_bytes;
     if (limits.body_bytes > 0)
@@ -131,7 +131,7 @@
             ? nullptr
             : table->find_workspace(out.origin.marks.key);
     const bool needs_key =
-        !route->anonymous && !table->source().workspaces.empty();
+        !route->anonymous && !table->config().workspaces.empty();
     if (needs_key && owner == nullptr)
         return own_answer{401, "no such key", {}};
     this->fill_facts(*route, owner, waited, out);
--- a/src/greengagedrum/entry/standing_log.cpp
+++ b/src/greengagedrum/entry/standing_log.cpp
@@ -31,7 +31,7 @@
 {
     if (!state.known.routes())
         return {};
-    const auto& all = state.known.routes()->source().workspaces;
+    const auto& all = state.known.routes()->config().workspaces;
     const auto found = std::find_if(
         all.begin(), all.end(), [&](const auto& one) { return one.id == id; });
     return found == all.end() ? std::string() : found->name;
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -57,7 +57,7 @@
                                {"source", source}});
     if (changes.configuration) {
         const routing::configuration& config =
-            this->state.known.routes()->source();
+            this->state.known.routes()->config();
         this->state.limiter.set_limits(config, now);
         this->apply_slow_start();
         logs::write(logs::level::info,
--- a/src/greengagedrum/routing/route_table.cpp
+++ b/src/greengagedrum/routing/route_table.cpp
@@ -49,21 +49,21 @@
     return out;
 }
 
-route_table::route_table(configuration_ptr given) : config(std::move(given))
+route_table::route_table(configuration_ptr given) : published(std::move(given))
 {
-    for (const route& one : this->config->routes) {
+    for (const route& one : this->published->routes) {
         this->by_prefix.emplace(joined(one.host, one.prefix), &one);
         this->by_kind.emplace(one.id, &one);
     }
-    for (const workspace& one : this->config->workspaces) {
+    for (const workspace& one : this->published->workspaces) {
         for (const std::string& key : one.keys)
             this->by_key.emplace(key, &one);
     }
-    for (const service& one : this->config->services)
+    for (const service& one : this->published->services)
         this->by_service.emplace(one.id, &one);
-    for (const route& one : this->config->routes)
+    for (const route& one : this->published->routes)
         this->route_steps.push_back(one.priority);
-    for (const workspace& one : this->config->workspaces)
+    for (const workspace& one : this->published->workspaces)
         this->workspace_steps.push_back(one.priority.value_or(0));
     sort_steps(this->route_steps);
     sort_steps(this->workspace_steps);
@@ -111,7 +111,7 @@
 
 const workspace* route_table::find_workspace(base::workspace_id id) const
 {
-    const std::vector<workspace>& all = this->config->workspaces;
+    const std::vector<workspace>& all = this->published->workspaces;
     const auto found =
         std::find_if(all.begin(), all.end(), [id](const workspace& one) {
             return one.id == id;
--- a/src/greengagedrum/routing/route_table.hpp
+++ b/src/greengagedrum/routing/route_table.hpp
@@ -19,7 +19,7 @@
 public:
     explicit route_table(configuration_ptr given);
 
-    const configuration& source() const { return *this->config; }
+    const configuration& config() const { return *this->published; }
 
     // `host` as received; `path` without its query. Null: no such route.
     const route* find_route(std::string_view host, std::string_view path) const;
@@ -43,7 +43,7 @@
     static const route_target& pick_target(const route& from, double draw);
 
 private:
-    configuration_ptr config;
+    configuration_ptr published;
     std::unordered_map<std::string, const route*> by_prefix;
     std::unordered_map<base::kind_id, const route*> by_kind;
     std::unordered_map<std::string_view, const workspace*> by_key;
