--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -209,7 +209,7 @@
          {"bad_share", change.bad_share}});
 }
 
-void front::carry_out_one(const quarantine::standing_change& change)
+void front::carry_out_one(const quarantine::quarantine_state_change& change)
 {
     log_standing(this->state, change, "own");
 }
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -61,7 +61,7 @@
         return;
     const auto changes =
         this->state.scheduler.crash_suspects().merge(received.suspects, now);
-    for (const quarantine::standing_change& one : changes)
+    for (const quarantine::quarantine_state_change& one : changes)
         log_standing(this->state, one, received.instance);
 }
 
--- a/src/greengagedrum/entry/quarantine_page.cpp
+++ b/src/greengagedrum/entry/quarantine_page.cpp
@@ -21,10 +21,10 @@
     const quarantine::suspect_table& suspects =
         state.scheduler.crash_suspects();
     nlohmann::json out = nlohmann::json::array();
-    for (const quarantine::standing_change& one : suspects.barred(now))
+    for (const quarantine::quarantine_state_change& one : suspects.barred(now))
         out.push_back({{"digest", base::to_hex(one.request)},
                        {"workspace", workspace_name(state, one.workspace)},
-                       {"standing", quarantine::to_string(one.now)},
+                       {"standing", quarantine::to_string(one.state)},
                        {"crashes", one.crashes},
                        {"pause_ms",
                         milliseconds(suspects.pause_left(one.request, now))}});
@@ -35,10 +35,11 @@
 {
     const base::instant now = state.clock();
     quarantine::suspect_table& suspects = state.scheduler.crash_suspects();
-    for (const quarantine::standing_change& one : suspects.barred(now)) {
+    for (const quarantine::quarantine_state_change& one :
+         suspects.barred(now)) {
         if (base::to_hex(one.request) != digest)
             continue;
-        for (const quarantine::standing_change& change :
+        for (const quarantine::quarantine_state_change& change :
              suspects.cleared(one.request, now))
             log_standing(state, change, "operator");
         return {relay::status_ok, "text/plain", "released\n"};
--- a/src/greengagedrum/entry/standing_log.cpp
+++ b/src/greengagedrum/entry/standing_log.cpp
@@ -9,17 +9,17 @@
 namespace
 {
 
-std::string_view event_of(quarantine::standing what)
+std::string_view event_of(quarantine::quarantine_state what)
 {
-    using quarantine::standing;
+    using quarantine::quarantine_state;
     switch (what) {
-    case standing::clear:
+    case quarantine_state::clear:
         return "request_cleared";
-    case standing::suspected:
+    case quarantine_state::suspected:
         return "request_suspected";
-    case standing::trial_due:
+    case quarantine_state::trial_due:
         return "request_trial_due";
-    case standing::quarantined:
+    case quarantine_state::quarantined:
         break;
     }
     return "request_quarantined";
@@ -38,7 +38,7 @@
 }
 
 void log_standing(shared_state& state,
-                  const quarantine::standing_change& change,
+                  const quarantine::quarantine_state_change& change,
                   std::string_view source)
 {
     const base::instant now = state.clock();
@@ -46,7 +46,7 @@
         state.scheduler.crash_suspects().pause_left(change.request, now);
     state.log.write(now,
                     "quarantine",
-                    event_of(change.now),
+                    event_of(change.state),
                     {{"digest", base::to_hex(change.request)},
                      {"workspace", workspace_name(state, change.workspace)},
                      {"crashes", change.crashes},
--- a/src/greengagedrum/entry/standing_log.hpp
+++ b/src/greengagedrum/entry/standing_log.hpp
@@ -14,7 +14,7 @@
 
 // `source`: who saw it, this entry ("own") or a peer.
 void log_standing(shared_state& state,
-                  const quarantine::standing_change& change,
+                  const quarantine::quarantine_state_change& change,
                   std::string_view source);
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/quarantine/crash_record.cpp
+++ b/src/greengagedrum/quarantine/crash_record.cpp
@@ -43,16 +43,16 @@
 
 } // namespace
 
-std::string_view to_string(standing what)
+std::string_view to_string(quarantine_state what)
 {
     switch (what) {
-    case standing::clear:
+    case quarantine_state::clear:
         return "clear";
-    case standing::suspected:
+    case quarantine_state::suspected:
         return "suspected";
-    case standing::trial_due:
+    case quarantine_state::trial_due:
         return "trial_due";
-    case standing::quarantined:
+    case quarantine_state::quarantined:
         return "quarantined";
     }
     return "unknown";
@@ -86,18 +86,19 @@
     return this->last_crash() + pause + base::duration(later);
 }
 
-standing crash_record::standing_at(base::instant now, double offset) const
+quarantine_state crash_record::state_at(base::instant now, double offset) const
 {
     const std::size_t crashed = this->count();
     if (crashed == 0)
-        return standing::clear;
+        return quarantine_state::clear;
     if (crashed < crashes_allowed)
-        return standing::suspected;
+        return quarantine_state::suspected;
     const bool trying =
         this->trial_at &&
         now<*this->trial_at + trial_takes&&* this->trial_at> this->last_crash();
-    return trying || now < this->trial_from(offset) ? standing::quarantined
-                                                    : standing::trial_due;
+    return trying || now < this->trial_from(offset)
+               ? quarantine_state::quarantined
+               : quarantine_state::trial_due;
 }
 
 // ---- Changes ----------------------------------------------------------------
--- a/src/greengagedrum/quarantine/crash_record.hpp
+++ b/src/greengagedrum/quarantine/crash_record.hpp
@@ -31,7 +31,7 @@
 
     // `offset`: a part of the pause, zero to one, by which a trial here is
     // later than the first of all entries.
-    standing standing_at(base::instant now, double offset) const;
+    quarantine_state state_at(base::instant now, double offset) const;
     base::instant trial_from(double offset) const;
 
     // True when that was not known.
--- a/src/greengagedrum/quarantine/messages.hpp
+++ b/src/greengagedrum/quarantine/messages.hpp
@@ -30,20 +30,20 @@
     std::optional<base::duration> trial_age;    // since its last trial was sent
 };
 
-enum class standing : std::uint8_t {
+enum class quarantine_state : std::uint8_t {
     clear,
     suspected,   // one upstream ended under it: one copy at a time
     trial_due,   // one copy may be sent, to see whether it is sound by now
     quarantined, // not sent
 };
 
-std::string_view to_string(standing what);
+std::string_view to_string(quarantine_state what);
 
-// The standing of a request has changed; for the log.
-struct standing_change {
+// The quarantine state of a request has changed; for the log.
+struct quarantine_state_change {
     base::request_digest request;
     base::workspace_id workspace;
-    standing now = standing::clear;
+    quarantine_state state = quarantine_state::clear;
     std::size_t crashes = 0;
 };
 
--- a/src/greengagedrum/quarantine/suspect_table.cpp
+++ b/src/greengagedrum/quarantine/suspect_table.cpp
@@ -40,20 +40,20 @@
            static_cast<double>(parts);
 }
 
-standing suspect_table::standing_of(const base::request_digest& request,
-                                    base::instant now) const
+quarantine_state suspect_table::state_of(const base::request_digest& request,
+                                         base::instant now) const
 {
     const auto found = this->records.find(request);
     return found == this->records.end()
-               ? standing::clear
-               : found->second.known.standing_at(now, this->offset(request));
+               ? quarantine_state::clear
+               : found->second.known.state_at(now, this->offset(request));
 }
 
 base::duration suspect_table::pause_left(const base::request_digest& request,
                                          base::instant now) const
 {
     constexpr base::duration least = std::chrono::seconds(1);
-    if (this->standing_of(request, now) != standing::quarantined)
+    if (this->state_of(request, now) != quarantine_state::quarantined)
         return base::duration(0);
     const crash_record& known = this->records.at(request).known;
     return std::max(known.trial_from(this->offset(request)) - now, least);
@@ -61,11 +61,12 @@
 
 void suspect_table::note_change(const base::request_digest& request,
                                 const entry& of,
-                                standing before,
+                                quarantine_state before,
                                 base::instant now,
                                 changes& out) const
 {
-    const standing after = of.known.standing_at(now, this->offset(request));
+    const quarantine_state after =
+        of.known.state_at(now, this->offset(request));
     if (after != before)
         out.push_back({request, of.known.workspace(), after, of.known.count()});
 }
@@ -83,7 +84,7 @@
     if (answered && now <= *answered + answer_holds)
         return out;
     entry& own = this->find_or_add(request, workspace);
-    const standing before = this->standing_of(request, now);
+    const quarantine_state before = this->state_of(request, now);
     if (own.known.add(upstream, now, false))
         own.changed_at = now;
     this->presumed_gone[upstream] = now;
@@ -100,9 +101,9 @@
     if (found == this->records.end())
         return out;
     entry& own = found->second;
-    const standing before = this->standing_of(request, now);
+    const quarantine_state before = this->state_of(request, now);
     own.known.answered(now);
-    if (before != standing::clear)
+    if (before != quarantine_state::clear)
         own.changed_at = now;
     this->note_change(request, own, before, now, out);
     return out;
@@ -110,7 +111,7 @@
 
 void suspect_table::sent(const base::request_digest& request, base::instant now)
 {
-    if (this->standing_of(request, now) != standing::trial_due)
+    if (this->state_of(request, now) != quarantine_state::trial_due)
         return;
     entry& own = this->records.at(request);
     own.known.trial_sent(now);
@@ -123,7 +124,7 @@
 {
     changes out;
     for (auto& [request, own] : this->records) {
-        const standing before = this->standing_of(request, now);
+        const quarantine_state before = this->state_of(request, now);
         if (apply(own.known))
             own.changed_at = now;
         this->note_change(request, own, before, now, out);
@@ -204,7 +205,7 @@
         if (!this->has_room_for(one))
             continue;
         entry& own = this->find_or_add(one.request, one.workspace);
-        const standing before = this->standing_of(one.request, now);
+        const quarantine_state before = this->state_of(one.request, now);
         if (this->merge_one(own, one, now))
             own.changed_at = now;
         this->note_change(one.request, own, before, now, out);
@@ -332,7 +333,7 @@
         if (crashes >= crashes_allowed)
             out.push_back({request,
                            own.known.workspace(),
-                           this->standing_of(request, now),
+                           this->state_of(request, now),
                            crashes});
     }
     return out;
--- a/src/greengagedrum/quarantine/suspect_table.hpp
+++ b/src/greengagedrum/quarantine/suspect_table.hpp
@@ -27,18 +27,18 @@
 class suspect_table
 {
 public:
-    using changes = std::vector<standing_change>;
+    using changes = std::vector<quarantine_state_change>;
 
     // `salt` differs between entries, so that their trials don't coincide.
     explicit suspect_table(std::uint64_t salt) : salt(salt) {}
 
-    standing standing_of(const base::request_digest& request,
-                         base::instant now) const;
+    quarantine_state state_of(const base::request_digest& request,
+                              base::instant now) const;
     // Until a trial may be made; zero for what is not quarantined.
     base::duration pause_left(const base::request_digest& request,
                               base::instant now) const;
 
-    // ---- What this entry sees, and whose standing changes by it
+    // ---- What this entry sees, and whose quarantine state changes by it
 
     changes crashed(const base::request_digest& request,
                     base::workspace_id workspace,
@@ -84,10 +84,10 @@
     bool
     merge_one(entry& own, const suspect_report& received, base::instant now);
     double offset(const base::request_digest& request) const;
-    // Adds the standing to `out` if it differs from `before`.
+    // Adds the quarantine state to `out` if it differs from `before`.
     void note_change(const base::request_digest& request,
                      const entry& of,
-                     standing before,
+                     quarantine_state before,
                      base::instant now,
                      changes& out) const;
     template <class Change>
--- a/src/greengagedrum/quarantine/test/suspect_table_test.cpp
+++ b/src/greengagedrum/quarantine/test/suspect_table_test.cpp
@@ -45,16 +45,16 @@
         return base::upstream_id("i-" + std::to_string(number));
     }
 
-    standing is() const
+    quarantine_state is() const
     {
-        return this->tested.standing_of(this->request, this->now);
+        return this->tested.state_of(this->request, this->now);
     }
 
     void quarantine()
     {
         this->crash(this->request, 1);
         this->crash(this->request, 2);
-        REQUIRE(this->is() == standing::quarantined);
+        REQUIRE(this->is() == quarantine_state::quarantined);
     }
 
     void tell(suspect_table& from, suspect_table& to, bool rest = false)
@@ -69,8 +69,8 @@
 {
     const auto change = this->crash(this->request, 1);
     REQUIRE(change.size() == 1);
-    CHECK(change.front().now == standing::suspected);
-    CHECK(this->is() == standing::suspected);
+    CHECK(change.front().state == quarantine_state::suspected);
+    CHECK(this->is() == quarantine_state::suspected);
     CHECK(this->tested.pause_left(this->request, this->now) == 0s);
 }
 
@@ -79,7 +79,7 @@
     this->crash(this->request, 1);
     const auto change = this->crash(this->request, 2);
     REQUIRE(change.size() == 1);
-    CHECK(change.front().now == standing::quarantined);
+    CHECK(change.front().state == quarantine_state::quarantined);
     CHECK(change.front().crashes == 2);
     CHECK(this->tested.pause_left(this->request, this->now) >= 60s);
     CHECK(this->tested.barred(this->now).size() == 1);
@@ -91,7 +91,7 @@
 {
     this->crash(this->request, 1);
     CHECK(this->crash(this->request, 1).empty());
-    CHECK(this->is() == standing::suspected);
+    CHECK(this->is() == quarantine_state::suspected);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "request_answered_cleared")
@@ -99,8 +99,8 @@
     this->quarantine();
     const auto change = this->tested.cleared(this->request, this->now);
     REQUIRE(change.size() == 1);
-    CHECK(change.front().now == standing::clear);
-    CHECK(this->is() == standing::clear);
+    CHECK(change.front().state == quarantine_state::clear);
+    CHECK(this->is() == quarantine_state::clear);
 }
 
 // A body that many callers send runs on each upstream that ever crashes.
@@ -110,7 +110,7 @@
     this->now += 9s;
     CHECK(this->crash(this->request, 1).empty());
     CHECK(this->crash(this->request, 2).empty());
-    CHECK(this->is() == standing::clear);
+    CHECK(this->is() == quarantine_state::clear);
     this->now += 2s;
     CHECK(this->crash(this->request, 3).size() == 1);
 }
@@ -122,12 +122,13 @@
     const std::vector<suspect_report> told =
         this->tested.reports(this->now, false);
     this->tested.upstream_answered(this->upstream(1), this->now + 50ms);
-    CHECK(this->is() == standing::quarantined); // written before its end
+    CHECK(this->is() ==
+          quarantine_state::quarantined); // written before its end
     this->tested.upstream_answered(this->upstream(1), this->now + 150ms);
-    CHECK(this->is() == standing::suspected);
+    CHECK(this->is() == quarantine_state::suspected);
     this->now += 200ms;
     this->tested.merge(told, this->now);
-    CHECK(this->is() == standing::suspected);
+    CHECK(this->is() == quarantine_state::suspected);
 }
 
 // Connections that were reset are no crash, at once and for all entries.
@@ -136,34 +137,35 @@
     for (const int number : {1, 2})
         this->tested.crashed(
             this->request, this->shop, upstream(number), this->now);
-    REQUIRE(this->is() == standing::quarantined);
+    REQUIRE(this->is() == quarantine_state::quarantined);
     const auto change =
         this->tested.upstream_accepts(upstream(1), this->now + 20ms);
     REQUIRE(change.size() == 1);
-    CHECK(change.front().now == standing::suspected);
+    CHECK(change.front().state == quarantine_state::suspected);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "crash_not_confirmed_not_told_to_peers")
 {
     this->tested.crashed(this->request, this->shop, upstream(1), this->now);
     this->tell(this->tested, this->peer);
-    CHECK(this->peer.standing_of(this->request, this->now) == standing::clear);
+    CHECK(this->peer.state_of(this->request, this->now) ==
+          quarantine_state::clear);
     this->now += 300ms;
     this->tested.upstream_gone(upstream(1), this->now);
     this->tell(this->tested, this->peer);
-    CHECK(this->peer.standing_of(this->request, this->now) ==
-          standing::suspected);
+    CHECK(this->peer.state_of(this->request, this->now) ==
+          quarantine_state::suspected);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "trial_due_after_pause_one_copy_sent")
 {
     this->quarantine();
     this->now += 59s;
-    CHECK(this->is() == standing::quarantined);
+    CHECK(this->is() == quarantine_state::quarantined);
     this->now += 62s;
-    CHECK(this->is() == standing::trial_due);
+    CHECK(this->is() == quarantine_state::trial_due);
     this->tested.sent(this->request, this->now);
-    CHECK(this->is() == standing::quarantined);
+    CHECK(this->is() == quarantine_state::quarantined);
     CHECK(this->tested.pause_left(this->request, this->now) > 0s);
 }
 
@@ -175,9 +177,9 @@
     this->now += 1s;
     this->crash(this->request, 3);
     this->now += 590s;
-    CHECK(this->is() == standing::quarantined);
+    CHECK(this->is() == quarantine_state::quarantined);
     this->now += 620s;
-    CHECK(this->is() == standing::trial_due);
+    CHECK(this->is() == quarantine_state::trial_due);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "trial_never_ends_another_may_be_made")
@@ -186,7 +188,7 @@
     this->now += 121s;
     this->tested.sent(this->request, this->now);
     this->now += 31s;
-    CHECK(this->is() == standing::trial_due);
+    CHECK(this->is() == quarantine_state::trial_due);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "trial_of_a_peer_told_no_second_one_here")
@@ -195,9 +197,9 @@
     this->tell(this->tested, this->peer);
     this->now += 125s;
     this->peer.sent(this->request, this->now);
-    REQUIRE(this->is() == standing::trial_due);
+    REQUIRE(this->is() == quarantine_state::trial_due);
     this->tell(this->peer, this->tested);
-    CHECK(this->is() == standing::quarantined);
+    CHECK(this->is() == quarantine_state::quarantined);
 }
 
 TEST_CASE_FIXTURE(table_fixture,
@@ -206,10 +208,10 @@
     this->crash(this->request, 1);
     this->crash_at_peer(1);
     this->tell(this->peer, this->tested);
-    CHECK(this->is() == standing::suspected);
+    CHECK(this->is() == quarantine_state::suspected);
     this->crash_at_peer(2);
     this->tell(this->peer, this->tested);
-    CHECK(this->is() == standing::quarantined);
+    CHECK(this->is() == quarantine_state::quarantined);
     this->tell(this->peer, this->tested);
     CHECK(this->tested.barred(this->now).front().crashes == 2);
 }
@@ -232,7 +234,7 @@
     this->now += 1s;
     this->peer.cleared(this->request, this->now);
     this->tell(this->peer, this->tested);
-    CHECK(this->is() == standing::clear);
+    CHECK(this->is() == quarantine_state::clear);
 }
 
 // A peer has answered the same request, and hears that it is suspected.
@@ -243,7 +245,7 @@
     this->quarantine();
     this->tell(this->tested, this->peer);
     this->tell(this->peer, this->tested);
-    CHECK(this->is() == standing::clear);
+    CHECK(this->is() == quarantine_state::clear);
 }
 
 // A process that starts anew learns what is no longer news to the others.
@@ -257,8 +259,8 @@
     this->now += 5s;
     CHECK(this->tested.reports(this->now, false).empty());
     this->tell(this->tested, this->peer, true);
-    CHECK(this->peer.standing_of(this->request, this->now) ==
-          standing::quarantined);
+    CHECK(this->peer.state_of(this->request, this->now) ==
+          quarantine_state::quarantined);
     for (int turn = 0; turn < 10; ++turn)
         this->tell(this->tested, this->peer, true);
     CHECK(this->peer.size() == 41);
@@ -279,9 +281,9 @@
             body(number), hostile, this->upstream(-upstream), this->now);
     }
     CHECK(this->tested.size() <= 513);
-    CHECK(this->is() == standing::quarantined);
-    CHECK(this->tested.standing_of(body(5000), this->now) ==
-          standing::quarantined);
+    CHECK(this->is() == quarantine_state::quarantined);
+    CHECK(this->tested.state_of(body(5000), this->now) ==
+          quarantine_state::quarantined);
     CHECK(this->tested.reports(this->now, true).size() <= 28);
 }
 
@@ -292,7 +294,7 @@
     this->quarantine();
     this->now += 11min;
     this->tested.tick(this->now);
-    CHECK(this->tested.standing_of(other, this->now) == standing::clear);
+    CHECK(this->tested.state_of(other, this->now) == quarantine_state::clear);
     CHECK(this->tested.size() == 1);
     this->now += 49h;
     this->tested.tick(this->now);
--- a/src/greengagedrum/traffic/containment.cpp
+++ b/src/greengagedrum/traffic/containment.cpp
@@ -6,7 +6,7 @@
 namespace greengagedrum::traffic
 {
 
-using quarantine::standing;
+using quarantine::quarantine_state;
 
 namespace
 {
@@ -19,8 +19,8 @@
 bool scheduler::is_quarantined(const request& item) const
 {
     return !this->suspects.empty() &&
-           this->suspects.standing_of(item.facts.digest, this->now) ==
-               standing::quarantined;
+           this->suspects.state_of(item.facts.digest, this->now) ==
+               quarantine_state::quarantined;
 }
 
 // Of a suspect one copy runs at a time: its end says whether there may be
@@ -28,8 +28,8 @@
 bool scheduler::awaits_copy(const request& item) const
 {
     if (this->suspects.empty() ||
-        this->suspects.standing_of(item.facts.digest, this->now) ==
-            standing::clear)
+        this->suspects.state_of(item.facts.digest, this->now) ==
+            quarantine_state::clear)
         return false;
     return std::any_of(
         this->requests.begin(), this->requests.end(), [&](const auto& one) {
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -201,7 +201,7 @@
                             end_request,
                             check_upstream,
                             trust_changed,
-                            quarantine::standing_change>;
+                            quarantine::quarantine_state_change>;
 
 using actions = std::vector<action>;
 
--- a/src/greengagedrum/traffic/test/containment_test.cpp
+++ b/src/greengagedrum/traffic/test/containment_test.cpp
@@ -37,8 +37,8 @@
 TEST_CASE_FIXTURE(containment_fixture, "request_crashed_two_upstreams_not_sent")
 {
     this->crash();
-    CHECK(this->order<quarantine::standing_change>()->now ==
-          quarantine::standing::suspected);
+    CHECK(this->order<quarantine::quarantine_state_change>()->state ==
+          quarantine::quarantine_state::suspected);
     this->crash();
     this->arrive(this->facts);
     CHECK(this->order<send_request>() == nullptr);
