--- a/src/greengagedrum/gossip/suspect_codec.cpp
+++ b/src/greengagedrum/gossip/suspect_codec.cpp
@@ -49,7 +49,7 @@
                               age_ms(one.answered_age),
                               age_ms(one.trial_age),
                               static_cast<std::uint32_t>(one.crashes.size()));
-        for (const quarantine::crash_sighting& crash : one.crashes)
+        for (const quarantine::reported_crash& crash : one.crashes)
             crashes.emplace_back(crash.upstream.value, age_ms(crash.age));
     }
     return {builder.CreateVectorOfStructs(requests),
--- a/src/greengagedrum/quarantine/messages.hpp
+++ b/src/greengagedrum/quarantine/messages.hpp
@@ -15,7 +15,7 @@
 
 // An incarnation of an upstream whose connection was lost while it ran the
 // request.
-struct crash_sighting {
+struct reported_crash {
     base::upstream_id upstream;
     base::duration age{0};
 };
@@ -25,7 +25,7 @@
 struct suspect_report {
     base::request_digest request;
     base::workspace_id workspace;
-    std::vector<crash_sighting> crashes;
+    std::vector<reported_crash> crashes;
     std::optional<base::duration> answered_age; // since its last answer
     std::optional<base::duration> trial_age;    // since its last trial was sent
 };
--- a/src/greengagedrum/quarantine/suspect_table.cpp
+++ b/src/greengagedrum/quarantine/suspect_table.cpp
@@ -218,7 +218,7 @@
                               base::instant now)
 {
     bool changed = own.known.merge_times(received, now);
-    for (const crash_sighting& one : received.crashes) {
+    for (const reported_crash& one : received.crashes) {
         if (this->found_alive.contains(one.upstream))
             continue;
         if (!own.known.add(one.upstream, now - one.age, true))
