--- a/src/greengagedrum/entry/quarantine_page.cpp
+++ b/src/greengagedrum/entry/quarantine_page.cpp
@@ -22,12 +22,13 @@
         state.scheduler.crash_suspects();
     nlohmann::json out = nlohmann::json::array();
     for (const quarantine::quarantine_state_change& one : suspects.barred(now))
-        out.push_back({{"digest", base::to_hex(one.request)},
-                       {"workspace", workspace_name(state, one.workspace)},
-                       {"standing", quarantine::to_string(one.state)},
-                       {"crashes", one.crashes},
-                       {"pause_ms",
-                        milliseconds(suspects.pause_left(one.request, now))}});
+        out.push_back(
+            {{"digest", base::to_hex(one.request)},
+             {"workspace", workspace_name(state, one.workspace)},
+             {"standing", quarantine::to_string(one.state)},
+             {"crashes", one.crashes},
+             {"pause_ms",
+              milliseconds(suspects.time_until_trial(one.request, now))}});
     return {relay::status_ok, "application/json", out.dump() + "\n"};
 }
 
--- a/src/greengagedrum/entry/standing_log.cpp
+++ b/src/greengagedrum/entry/standing_log.cpp
@@ -43,7 +43,7 @@
 {
     const base::instant now = state.clock();
     const base::duration pause =
-        state.scheduler.crash_suspects().pause_left(change.request, now);
+        state.scheduler.crash_suspects().time_until_trial(change.request, now);
     state.log.write(now,
                     "quarantine",
                     event_of(change.state),
--- a/src/greengagedrum/quarantine/suspect_table.cpp
+++ b/src/greengagedrum/quarantine/suspect_table.cpp
@@ -49,8 +49,9 @@
                : found->second.known.state_at(now, this->offset(request));
 }
 
-base::duration suspect_table::pause_left(const base::request_digest& request,
-                                         base::instant now) const
+base::duration
+suspect_table::time_until_trial(const base::request_digest& request,
+                                base::instant now) const
 {
     constexpr base::duration least = std::chrono::seconds(1);
     if (this->state_of(request, now) != quarantine_state::quarantined)
--- a/src/greengagedrum/quarantine/suspect_table.hpp
+++ b/src/greengagedrum/quarantine/suspect_table.hpp
@@ -35,8 +35,8 @@
     quarantine_state state_of(const base::request_digest& request,
                               base::instant now) const;
     // Until a trial may be made; zero for what is not quarantined.
-    base::duration pause_left(const base::request_digest& request,
-                              base::instant now) const;
+    base::duration time_until_trial(const base::request_digest& request,
+                                    base::instant now) const;
 
     // ---- What this entry sees, and whose quarantine state changes by it
 
--- a/src/greengagedrum/quarantine/test/suspect_table_test.cpp
+++ b/src/greengagedrum/quarantine/test/suspect_table_test.cpp
@@ -71,7 +71,7 @@
     REQUIRE(change.size() == 1);
     CHECK(change.front().state == quarantine_state::suspected);
     CHECK(this->is() == quarantine_state::suspected);
-    CHECK(this->tested.pause_left(this->request, this->now) == 0s);
+    CHECK(this->tested.time_until_trial(this->request, this->now) == 0s);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "request_crashes_two_upstreams_quarantined")
@@ -81,7 +81,7 @@
     REQUIRE(change.size() == 1);
     CHECK(change.front().state == quarantine_state::quarantined);
     CHECK(change.front().crashes == 2);
-    CHECK(this->tested.pause_left(this->request, this->now) >= 60s);
+    CHECK(this->tested.time_until_trial(this->request, this->now) >= 60s);
     CHECK(this->tested.barred(this->now).size() == 1);
 }
 
@@ -166,7 +166,7 @@
     CHECK(this->is() == quarantine_state::trial_due);
     this->tested.sent(this->request, this->now);
     CHECK(this->is() == quarantine_state::quarantined);
-    CHECK(this->tested.pause_left(this->request, this->now) > 0s);
+    CHECK(this->tested.time_until_trial(this->request, this->now) > 0s);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "trial_crashes_next_pause_ten_times_as_long")
--- a/src/greengagedrum/traffic/containment.cpp
+++ b/src/greengagedrum/traffic/containment.cpp
@@ -43,10 +43,10 @@
 {
     if (item.uncertain > 0)
         return this->end(item, base::may_have_run(base::reason::quarantined));
-    this->end(
-        item,
-        base::not_run(base::reason::quarantined,
-                      this->suspects.pause_left(item.facts.digest, this->now)));
+    this->end(item,
+              base::not_run(base::reason::quarantined,
+                            this->suspects.time_until_trial(item.facts.digest,
+                                                            this->now)));
 }
 
 // The send ends here, without an answer. Where its upstream has shown no sign
