--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -268,8 +268,9 @@
     set(telemetry::gauge::data_centres_evacuated,
         static_cast<double>(this->state.known.upstreams().evacuated().size()));
     set(telemetry::gauge::requests_quarantined,
-        static_cast<double>(
-            this->state.scheduler.crash_suspects().barred(now).size()));
+        static_cast<double>(this->state.scheduler.crash_suspects()
+                                .list_quarantined(now)
+                                .size()));
     set(telemetry::gauge::log_lines_dropped,
         static_cast<double>(logs::dropped_lines() +
                             this->state.log.held_back()));
--- a/src/greengagedrum/quarantine/suspect_table.cpp
+++ b/src/greengagedrum/quarantine/suspect_table.cpp
@@ -326,7 +326,7 @@
     std::erase_if(this->found_alive, old);
 }
 
-suspect_table::changes suspect_table::barred(base::instant now) const
+suspect_table::changes suspect_table::list_quarantined(base::instant now) const
 {
     changes out;
     for (const auto& [request, own] : this->records) {
--- a/src/greengagedrum/quarantine/suspect_table.hpp
+++ b/src/greengagedrum/quarantine/suspect_table.hpp
@@ -66,7 +66,7 @@
     bool empty() const { return this->records.empty(); }
     std::size_t size() const { return this->records.size(); }
     // Those that crashed too many upstreams, for metrics and operators.
-    changes barred(base::instant now) const;
+    changes list_quarantined(base::instant now) const;
 
 private:
     struct entry {
--- a/src/greengagedrum/quarantine/test/suspect_table_test.cpp
+++ b/src/greengagedrum/quarantine/test/suspect_table_test.cpp
@@ -82,7 +82,7 @@
     CHECK(change.front().state == quarantine_state::quarantined);
     CHECK(change.front().crashes == 2);
     CHECK(this->tested.time_until_trial(this->request, this->now) >= 60s);
-    CHECK(this->tested.barred(this->now).size() == 1);
+    CHECK(this->tested.list_quarantined(this->now).size() == 1);
 }
 
 // Two requests that broke with one upstream are two sights of one crash.
@@ -213,7 +213,7 @@
     this->tell(this->peer, this->tested);
     CHECK(this->is() == quarantine_state::quarantined);
     this->tell(this->peer, this->tested);
-    CHECK(this->tested.barred(this->now).front().crashes == 2);
+    CHECK(this->tested.list_quarantined(this->now).front().crashes == 2);
 }
 
 // Two entries repeat to each other what they know: it is no news to either.
