--- a/src/greengagedrum/entry/quarantine_page.cpp
+++ b/src/greengagedrum/entry/quarantine_page.cpp
@@ -42,7 +42,7 @@
         if (base::to_hex(one.request) != digest)
             continue;
         for (const quarantine::quarantine_state_change& change :
-             suspects.cleared(one.request, now))
+             suspects.clear_suspicion(one.request, now))
             log_standing(state, change, "operator");
         return {relay::status_ok, "text/plain", "released\n"};
     }
--- a/src/greengagedrum/entry/test/quarantine_page_test.cpp
+++ b/src/greengagedrum/entry/test/quarantine_page_test.cpp
@@ -28,10 +28,10 @@
         quarantine::suspect_table& suspects =
             this->state.scheduler.crash_suspects();
         for (const char* name : {"i-1", "i-2"})
-            suspects.crashed(this->request,
-                             base::workspace_id("shop"),
-                             base::upstream_id(name),
-                             this->now);
+            suspects.on_crash(this->request,
+                              base::workspace_id("shop"),
+                              base::upstream_id(name),
+                              this->now);
     }
 
     relay::small_answer ask(std::string_view method, const std::string& target)
--- a/src/greengagedrum/quarantine/suspect_table.cpp
+++ b/src/greengagedrum/quarantine/suspect_table.cpp
@@ -75,10 +75,10 @@
 // ---- What this entry sees ---------------------------------------------------
 
 suspect_table::changes
-suspect_table::crashed(const base::request_digest& request,
-                       base::workspace_id workspace,
-                       base::upstream_id upstream,
-                       base::instant now)
+suspect_table::on_crash(const base::request_digest& request,
+                        base::workspace_id workspace,
+                        base::upstream_id upstream,
+                        base::instant now)
 {
     changes out;
     const auto answered = this->answers.last(request);
@@ -94,7 +94,8 @@
 }
 
 suspect_table::changes
-suspect_table::cleared(const base::request_digest& request, base::instant now)
+suspect_table::clear_suspicion(const base::request_digest& request,
+                               base::instant now)
 {
     changes out;
     this->answers.add(request, now);
@@ -110,7 +111,8 @@
     return out;
 }
 
-void suspect_table::sent(const base::request_digest& request, base::instant now)
+void suspect_table::on_sent(const base::request_digest& request,
+                            base::instant now)
 {
     if (this->state_of(request, now) != quarantine_state::trial_due)
         return;
@@ -134,17 +136,19 @@
 }
 
 suspect_table::changes
-suspect_table::upstream_answered(base::upstream_id upstream, base::instant now)
+suspect_table::on_upstream_answered(base::upstream_id upstream,
+                                    base::instant now)
 {
     const auto gone = this->presumed_gone.find(upstream);
     if (gone == this->presumed_gone.end() || now < gone->second + read_late)
         return {};
-    return this->upstream_accepts(upstream, now);
+    return this->on_upstream_reachable(upstream, now);
 }
 
 // Its connections were reset, no more.
 suspect_table::changes
-suspect_table::upstream_accepts(base::upstream_id upstream, base::instant now)
+suspect_table::on_upstream_reachable(base::upstream_id upstream,
+                                     base::instant now)
 {
     this->presumed_gone.erase(upstream);
     this->found_alive[upstream] = now;
@@ -152,8 +156,8 @@
         now, [&](crash_record& known) { return known.remove(upstream); });
 }
 
-suspect_table::changes suspect_table::upstream_gone(base::upstream_id upstream,
-                                                    base::instant now)
+suspect_table::changes
+suspect_table::on_upstream_gone(base::upstream_id upstream, base::instant now)
 {
     return this->change_all(
         now, [&](crash_record& known) { return known.confirm(upstream); });
--- a/src/greengagedrum/quarantine/suspect_table.hpp
+++ b/src/greengagedrum/quarantine/suspect_table.hpp
@@ -40,19 +40,21 @@
 
     // ---- What this entry sees, and whose quarantine state changes by it
 
-    changes crashed(const base::request_digest& request,
-                    base::workspace_id workspace,
-                    base::upstream_id upstream,
-                    base::instant now);
+    changes on_crash(const base::request_digest& request,
+                     base::workspace_id workspace,
+                     base::upstream_id upstream,
+                     base::instant now);
     // It was answered, whatever the answer says, or an operator released it.
-    changes cleared(const base::request_digest& request, base::instant now);
+    changes clear_suspicion(const base::request_digest& request,
+                            base::instant now);
     // A copy of it is sent; a trial, if one is due.
-    void sent(const base::request_digest& request, base::instant now);
+    void on_sent(const base::request_digest& request, base::instant now);
     // An upstream has answered something.
-    changes upstream_answered(base::upstream_id upstream, base::instant now);
+    changes on_upstream_answered(base::upstream_id upstream, base::instant now);
     // After its connections were lost it takes new ones, or does not.
-    changes upstream_accepts(base::upstream_id upstream, base::instant now);
-    changes upstream_gone(base::upstream_id upstream, base::instant now);
+    changes on_upstream_reachable(base::upstream_id upstream,
+                                  base::instant now);
+    changes on_upstream_gone(base::upstream_id upstream, base::instant now);
 
     // ---- What peers see
 
--- a/src/greengagedrum/quarantine/test/suspect_table_test.cpp
+++ b/src/greengagedrum/quarantine/test/suspect_table_test.cpp
@@ -27,17 +27,17 @@
 
     suspect_table::changes crash(const base::request_digest& what, int upstream)
     {
-        auto out = this->tested.crashed(
+        auto out = this->tested.on_crash(
             what, this->shop, this->upstream(upstream), this->now);
-        this->tested.upstream_gone(this->upstream(upstream), this->now);
+        this->tested.on_upstream_gone(this->upstream(upstream), this->now);
         return out;
     }
 
     void crash_at_peer(int upstream)
     {
-        this->peer.crashed(
+        this->peer.on_crash(
             this->request, this->shop, this->upstream(upstream), this->now);
-        this->peer.upstream_gone(this->upstream(upstream), this->now);
+        this->peer.on_upstream_gone(this->upstream(upstream), this->now);
     }
 
     static base::upstream_id upstream(int number)
@@ -97,7 +97,7 @@
 TEST_CASE_FIXTURE(table_fixture, "request_answered_cleared")
 {
     this->quarantine();
-    const auto change = this->tested.cleared(this->request, this->now);
+    const auto change = this->tested.clear_suspicion(this->request, this->now);
     REQUIRE(change.size() == 1);
     CHECK(change.front().state == quarantine_state::clear);
     CHECK(this->is() == quarantine_state::clear);
@@ -106,7 +106,7 @@
 // A body that many callers send runs on each upstream that ever crashes.
 TEST_CASE_FIXTURE(table_fixture, "request_answered_lately_not_suspected")
 {
-    this->tested.cleared(this->request, this->now);
+    this->tested.clear_suspicion(this->request, this->now);
     this->now += 9s;
     CHECK(this->crash(this->request, 1).empty());
     CHECK(this->crash(this->request, 2).empty());
@@ -121,10 +121,10 @@
     this->quarantine();
     const std::vector<suspect_report> told =
         this->tested.reports(this->now, false);
-    this->tested.upstream_answered(this->upstream(1), this->now + 50ms);
+    this->tested.on_upstream_answered(this->upstream(1), this->now + 50ms);
     CHECK(this->is() ==
           quarantine_state::quarantined); // written before its end
-    this->tested.upstream_answered(this->upstream(1), this->now + 150ms);
+    this->tested.on_upstream_answered(this->upstream(1), this->now + 150ms);
     CHECK(this->is() == quarantine_state::suspected);
     this->now += 200ms;
     this->tested.merge(told, this->now);
@@ -135,23 +135,23 @@
 TEST_CASE_FIXTURE(table_fixture, "upstream_takes_connections_crash_taken_back")
 {
     for (const int number : {1, 2})
-        this->tested.crashed(
+        this->tested.on_crash(
             this->request, this->shop, upstream(number), this->now);
     REQUIRE(this->is() == quarantine_state::quarantined);
     const auto change =
-        this->tested.upstream_accepts(upstream(1), this->now + 20ms);
+        this->tested.on_upstream_reachable(upstream(1), this->now + 20ms);
     REQUIRE(change.size() == 1);
     CHECK(change.front().state == quarantine_state::suspected);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "crash_not_confirmed_not_told_to_peers")
 {
-    this->tested.crashed(this->request, this->shop, upstream(1), this->now);
+    this->tested.on_crash(this->request, this->shop, upstream(1), this->now);
     this->tell(this->tested, this->peer);
     CHECK(this->peer.state_of(this->request, this->now) ==
           quarantine_state::clear);
     this->now += 300ms;
-    this->tested.upstream_gone(upstream(1), this->now);
+    this->tested.on_upstream_gone(upstream(1), this->now);
     this->tell(this->tested, this->peer);
     CHECK(this->peer.state_of(this->request, this->now) ==
           quarantine_state::suspected);
@@ -164,7 +164,7 @@
     CHECK(this->is() == quarantine_state::quarantined);
     this->now += 62s;
     CHECK(this->is() == quarantine_state::trial_due);
-    this->tested.sent(this->request, this->now);
+    this->tested.on_sent(this->request, this->now);
     CHECK(this->is() == quarantine_state::quarantined);
     CHECK(this->tested.time_until_trial(this->request, this->now) > 0s);
 }
@@ -173,7 +173,7 @@
 {
     this->quarantine();
     this->now += 121s;
-    this->tested.sent(this->request, this->now);
+    this->tested.on_sent(this->request, this->now);
     this->now += 1s;
     this->crash(this->request, 3);
     this->now += 590s;
@@ -186,7 +186,7 @@
 {
     this->quarantine();
     this->now += 121s;
-    this->tested.sent(this->request, this->now);
+    this->tested.on_sent(this->request, this->now);
     this->now += 31s;
     CHECK(this->is() == quarantine_state::trial_due);
 }
@@ -196,7 +196,7 @@
     this->quarantine();
     this->tell(this->tested, this->peer);
     this->now += 125s;
-    this->peer.sent(this->request, this->now);
+    this->peer.on_sent(this->request, this->now);
     REQUIRE(this->is() == quarantine_state::trial_due);
     this->tell(this->peer, this->tested);
     CHECK(this->is() == quarantine_state::quarantined);
@@ -232,7 +232,7 @@
     this->quarantine();
     this->tell(this->tested, this->peer);
     this->now += 1s;
-    this->peer.cleared(this->request, this->now);
+    this->peer.clear_suspicion(this->request, this->now);
     this->tell(this->peer, this->tested);
     CHECK(this->is() == quarantine_state::clear);
 }
@@ -240,7 +240,7 @@
 // A peer has answered the same request, and hears that it is suspected.
 TEST_CASE_FIXTURE(table_fixture, "suspicion_told_to_one_that_answered_cleared")
 {
-    this->peer.cleared(this->request, this->now);
+    this->peer.clear_suspicion(this->request, this->now);
     this->now += 1s;
     this->quarantine();
     this->tell(this->tested, this->peer);
@@ -275,9 +275,9 @@
     for (std::uint64_t number = 1; number <= 5000; ++number) {
         this->now += 1ms;
         const int upstream = 10 + static_cast<int>(number);
-        this->tested.crashed(
+        this->tested.on_crash(
             body(number), hostile, this->upstream(upstream), this->now);
-        this->tested.crashed(
+        this->tested.on_crash(
             body(number), hostile, this->upstream(-upstream), this->now);
     }
     CHECK(this->tested.size() <= 513);
--- a/src/greengagedrum/traffic/containment.cpp
+++ b/src/greengagedrum/traffic/containment.cpp
@@ -63,23 +63,25 @@
 {
     if (item.facts.digest.empty())
         return;
-    this->tell(this->suspects.crashed(
+    this->tell(this->suspects.on_crash(
         item.facts.digest, item.facts.workspace, item.upstream, this->now));
     this->out->push_back(check_upstream{item.upstream});
 }
 
 void scheduler::on(const upstream_checked& what)
 {
-    this->tell(what.accepts
-                   ? this->suspects.upstream_accepts(what.upstream, this->now)
-                   : this->suspects.upstream_gone(what.upstream, this->now));
+    this->tell(
+        what.accepts
+            ? this->suspects.on_upstream_reachable(what.upstream, this->now)
+            : this->suspects.on_upstream_gone(what.upstream, this->now));
 }
 
 void scheduler::note_answer(const request& item)
 {
-    this->tell(this->suspects.upstream_answered(item.upstream, this->now));
+    this->tell(this->suspects.on_upstream_answered(item.upstream, this->now));
     if (!item.facts.digest.empty())
-        this->tell(this->suspects.cleared(item.facts.digest, this->now));
+        this->tell(
+            this->suspects.clear_suspicion(item.facts.digest, this->now));
 }
 
 void scheduler::tell(const quarantine::suspect_table::changes& changes)
--- a/src/greengagedrum/traffic/placing.cpp
+++ b/src/greengagedrum/traffic/placing.cpp
@@ -188,7 +188,7 @@
     item.sends += 1;
     item.uncertain += 1;
     this->pool.sent(where, item.facts.prompt_tokens, this->now);
-    this->suspects.sent(item.facts.digest, this->now);
+    this->suspects.on_sent(item.facts.digest, this->now);
     this->count.sent += 1;
     if (item.sends > 1)
         this->count.retried += 1;
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -170,7 +170,7 @@
     request* item = this->under_way(what.request, what.send);
     if (item == nullptr || what.events <= item->events)
         return;
-    this->tell(this->suspects.upstream_answered(item->upstream, this->now));
+    this->tell(this->suspects.on_upstream_answered(item->upstream, this->now));
     if (item->events == 0)
         this->pool.first_event(item->upstream,
                                item->facts.prompt_tokens,
