--- a/src/greengagedrum/entry/peer_telling.cpp
+++ b/src/greengagedrum/entry/peer_telling.cpp
@@ -37,7 +37,7 @@
     const bool all = now - sent_all_at >= suspects_gap;
     if (all)
         sent_all_at = now;
-    return suspects.reports(now, all);
+    return suspects.collect_reports(now, all);
 }
 
 // Its members leave at the first sign of it, so those next in line are told of
--- a/src/greengagedrum/quarantine/suspect_table.cpp
+++ b/src/greengagedrum/quarantine/suspect_table.cpp
@@ -165,7 +165,8 @@
 
 // ---- What peers see ---------------------------------------------------------
 
-std::vector<suspect_report> suspect_table::reports(base::instant now, bool rest)
+std::vector<suspect_report> suspect_table::collect_reports(base::instant now,
+                                                           bool rest)
 {
     std::vector<suspect_report> out;
     for (const auto& [request, own] : this->records) {
--- a/src/greengagedrum/quarantine/suspect_table.hpp
+++ b/src/greengagedrum/quarantine/suspect_table.hpp
@@ -59,7 +59,7 @@
     // ---- What peers see
 
     // What is new, and beside it, with `rest`, a part of all else by turns.
-    std::vector<suspect_report> reports(base::instant now, bool rest);
+    std::vector<suspect_report> collect_reports(base::instant now, bool rest);
     changes merge(std::span<const suspect_report> received, base::instant now);
 
     // Drops what has lapsed.
--- a/src/greengagedrum/quarantine/test/suspect_table_test.cpp
+++ b/src/greengagedrum/quarantine/test/suspect_table_test.cpp
@@ -59,7 +59,7 @@
 
     void tell(suspect_table& from, suspect_table& to, bool rest = false)
     {
-        to.merge(from.reports(this->now, rest), this->now);
+        to.merge(from.collect_reports(this->now, rest), this->now);
     }
 };
 
@@ -120,7 +120,7 @@
 {
     this->quarantine();
     const std::vector<suspect_report> told =
-        this->tested.reports(this->now, false);
+        this->tested.collect_reports(this->now, false);
     this->tested.on_upstream_answered(this->upstream(1), this->now + 50ms);
     CHECK(this->is() ==
           quarantine_state::quarantined); // written before its end
@@ -221,10 +221,10 @@
 {
     this->quarantine();
     this->tell(this->tested, this->peer);
-    CHECK(this->peer.reports(this->now, false).size() == 1);
+    CHECK(this->peer.collect_reports(this->now, false).size() == 1);
     this->now += 500ms;
     this->tell(this->tested, this->peer, true);
-    CHECK(this->peer.reports(this->now, false).empty());
+    CHECK(this->peer.collect_reports(this->now, false).empty());
 }
 
 TEST_CASE_FIXTURE(table_fixture, "answer_at_a_peer_told_cleared_here")
@@ -257,7 +257,7 @@
     for (std::uint64_t number = 1; number <= 40; ++number)
         this->crash(body(number), 9);
     this->now += 5s;
-    CHECK(this->tested.reports(this->now, false).empty());
+    CHECK(this->tested.collect_reports(this->now, false).empty());
     this->tell(this->tested, this->peer, true);
     CHECK(this->peer.state_of(this->request, this->now) ==
           quarantine_state::quarantined);
@@ -284,7 +284,7 @@
     CHECK(this->is() == quarantine_state::quarantined);
     CHECK(this->tested.state_of(body(5000), this->now) ==
           quarantine_state::quarantined);
-    CHECK(this->tested.reports(this->now, true).size() <= 28);
+    CHECK(this->tested.collect_reports(this->now, true).size() <= 28);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "single_crash_lapses_quarantine_stays")
