--- a/src/greengagedrum/quarantine/suspect_table.cpp
+++ b/src/greengagedrum/quarantine/suspect_table.cpp
@@ -309,7 +309,7 @@
     this->records.erase(which);
 }
 
-void suspect_table::tick(base::instant now)
+void suspect_table::remove_expired(base::instant now)
 {
     if (now < this->swept_at + sweep_gap)
         return;
--- a/src/greengagedrum/quarantine/suspect_table.hpp
+++ b/src/greengagedrum/quarantine/suspect_table.hpp
@@ -63,7 +63,7 @@
     changes merge(std::span<const suspect_report> received, base::instant now);
 
     // Drops what has lapsed.
-    void tick(base::instant now);
+    void remove_expired(base::instant now);
 
     bool empty() const { return this->records.empty(); }
     std::size_t size() const { return this->records.size(); }
--- a/src/greengagedrum/quarantine/test/suspect_table_test.cpp
+++ b/src/greengagedrum/quarantine/test/suspect_table_test.cpp
@@ -293,11 +293,11 @@
     this->crash(other, 1);
     this->quarantine();
     this->now += 11min;
-    this->tested.tick(this->now);
+    this->tested.remove_expired(this->now);
     CHECK(this->tested.state_of(other, this->now) == quarantine_state::clear);
     CHECK(this->tested.size() == 1);
     this->now += 49h;
-    this->tested.tick(this->now);
+    this->tested.remove_expired(this->now);
     CHECK(this->tested.empty());
 }
 
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -44,7 +44,7 @@
     this->now = at;
     this->out = &into;
     this->pool.forget_silent_peers(at);
-    this->suspects.tick(at);
+    this->suspects.remove_expired(at);
     std::vector<base::request_id> known;
     for (const auto& [id, item] : this->requests)
         known.push_back(id);
