--- a/src/greengagedrum/entry/front.hpp
+++ b/src/greengagedrum/entry/front.hpp
@@ -40,7 +40,7 @@
 struct handed_limits {
     base::slot_id from;
     base::incarnation life;
-    std::vector<quota::workspace_use> uses;
+    std::vector<quota::workspace_usage> uses;
     bool stopping = false; // it has none but its own requests from then on
     base::instant told_at;
 };
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -253,7 +253,7 @@
                                       : gossip::message_kind::load);
     out.uses = this->state.scheduler.own_uses(now);
     out.waiting = this->state.scheduler.own_waiting(now);
-    out.workspace_uses = this->state.limiter.own_uses(now);
+    out.workspace_uses = this->state.limiter.own_usage(now);
     out.known = this->table.some_known(who, now);
     out.suspects = this->suspects_for(who == gossip::audience::own_data_centre
                                           ? this->suspects_to_near
--- a/src/greengagedrum/entry/peer_telling.cpp
+++ b/src/greengagedrum/entry/peer_telling.cpp
@@ -58,7 +58,7 @@
         return;
     gossip::message out = this->own_message(gossip::message_kind::reply);
     out.delegating = true;
-    out.workspace_uses = this->state.limiter.window_uses(now);
+    out.workspace_uses = this->state.limiter.window_usage(now);
     this->transport.send(gossip::encode(out), *this->dispatcher);
 }
 
@@ -173,7 +173,7 @@
         out.suspects = suspects;
         out.reply = this->events.reply(slot);
         if (std::find(next.begin(), next.end(), one.address) != next.end())
-            out.workspace_uses = this->state.limiter.window_uses(now);
+            out.workspace_uses = this->state.limiter.window_usage(now);
         this->transport.send(gossip::encode(out), one.address);
     }
 }
--- a/src/greengagedrum/entry/test/limit_test.cpp
+++ b/src/greengagedrum/entry/test/limit_test.cpp
@@ -26,7 +26,7 @@
     std::uint16_t port() const { return this->socket.local_endpoint().port(); }
 
     // Until a message of the entry says so, for three seconds at most.
-    bool hears(const std::function<bool(const quota::workspace_use&)>& said)
+    bool hears(const std::function<bool(const quota::workspace_usage&)>& said)
     {
         for (int tries = 0; tries < 300; ++tries) {
             relay::error_code fault;
@@ -39,7 +39,7 @@
             const auto told =
                 gossip::decode_message({this->room.data(), count});
             REQUIRE(told);
-            for (const quota::workspace_use& one : told->workspace_uses) {
+            for (const quota::workspace_usage& one : told->workspace_uses) {
                 if (said(one))
                     return true;
             }
@@ -67,7 +67,7 @@
 {
     auto asked = this->client();
     REQUIRE(asked.Get("/again/", headers()));
-    CHECK(this->hears([](const quota::workspace_use& one) {
+    CHECK(this->hears([](const quota::workspace_usage& one) {
         return one.used == plain_cost && one.waiting == 0 &&
                one.lately == plain_cost;
     }));
@@ -92,7 +92,7 @@
             auto asked = this->client();
             asked.Get("/again/", headers());
         });
-    const bool full = this->hears([](const quota::workspace_use& one) {
+    const bool full = this->hears([](const quota::workspace_usage& one) {
         return one.used == slots * plain_cost;
     });
     {
@@ -103,11 +103,11 @@
             "GET /again/ HTTP/1.1\r\nHost: hall.example\r\n"
             "X-Attempt-Id: a-1\r\nApi-Key: key-1\r\n\r\n";
         relay::asio::write(leaver, relay::asio::buffer(text));
-        CHECK(this->hears([](const quota::workspace_use& one) {
+        CHECK(this->hears([](const quota::workspace_usage& one) {
             return one.waiting == plain_cost;
         }));
     }
-    CHECK(this->hears([](const quota::workspace_use& one) {
+    CHECK(this->hears([](const quota::workspace_usage& one) {
         return one.waiting == 0 && one.used == slots * plain_cost;
     }));
     answer = true;
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -80,11 +80,11 @@
     return out;
 }
 
-std::vector<quota::workspace_use>
+std::vector<quota::workspace_usage>
 workspace_uses_of(const flatbuffers::Vector<const wire::WorkspaceUse*>& list,
                   const wire::Message& from)
 {
-    std::vector<quota::workspace_use> out;
+    std::vector<quota::workspace_usage> out;
     for (const wire::WorkspaceUse* one : list) {
         const std::size_t at = out.size();
         out.push_back(
--- a/src/greengagedrum/gossip/message.hpp
+++ b/src/greengagedrum/gossip/message.hpp
@@ -62,7 +62,7 @@
     base::duration store_age{0}; // since the store last answered the sender
     std::vector<traffic::upstream_use> uses;
     std::vector<traffic::service_waiting> waiting;
-    std::vector<quota::workspace_use> workspace_uses;
+    std::vector<quota::workspace_usage> workspace_uses;
     std::vector<known_entry> known;
     std::uint32_t strength = 0;  // thousandths of a processor
     base::duration lived_for{0}; // the sender's process, at least
--- a/src/greengagedrum/quota/test/entries_run.cpp
+++ b/src/greengagedrum/quota/test/entries_run.cpp
@@ -150,7 +150,7 @@
 {
     for (std::size_t from = 0; from < this->entries.size(); ++from) {
         entry& one = this->entries[from];
-        const auto uses = one.limiter.own_uses(this->now);
+        const auto uses = one.limiter.own_usage(this->now);
         for (std::size_t to = 0; to < this->entries.size(); ++to) {
             if (to != from && this->connected(from, to))
                 this->messages.push_back(
--- a/src/greengagedrum/quota/test/entries_run.hpp
+++ b/src/greengagedrum/quota/test/entries_run.hpp
@@ -78,7 +78,7 @@
         std::size_t from = 0;
         std::size_t to = 0;
         base::incarnation life;
-        std::vector<workspace_use> uses;
+        std::vector<workspace_usage> uses;
     };
 
     double seconds() const;
--- a/src/greengagedrum/quota/test/handover_test.cpp
+++ b/src/greengagedrum/quota/test/handover_test.cpp
@@ -21,7 +21,7 @@
     CHECK(this->take(this->peer, 400));
     for (int message = 0; message < 30; ++message) {
         this->now += 100ms;
-        this->hear_peer(this->peer.own_uses(this->now), true);
+        this->hear_peer(this->peer.own_usage(this->now), true);
         this->own.forget_peer(base::slot_id("peer"));
     }
     CHECK(this->take(this->own, 490));
@@ -33,13 +33,13 @@
 TEST_CASE_FIXTURE(limiter_fixture, "peer_that_places_again_counts_what_is_new")
 {
     CHECK(this->take(this->peer, 400));
-    this->hear_peer(this->peer.own_uses(this->now), false);
+    this->hear_peer(this->peer.own_usage(this->now), false);
     this->own.forget_peer(base::slot_id("peer"));
     this->now += 100ms;
     this->peer.set_tolerance({8s, 0.25, 0});
     this->peer.restart(this->now);
     CHECK(this->take(this->peer, 20));
-    this->hear_peer(this->peer.own_uses(this->now), false);
+    this->hear_peer(this->peer.own_usage(this->now), false);
     CHECK_FALSE(this->take(this->own, 490));
     CHECK(this->take(this->own, 470));
 }
@@ -53,7 +53,7 @@
     usage_limiter next = this->fresh_limiter({8s, 0, 0});
     next.take_over(base::slot_id("peer"),
                    base::incarnation{2},
-                   this->peer.window_uses(this->now),
+                   this->peer.window_usage(this->now),
                    this->now);
     CHECK(this->take(next, 390));
     CHECK_FALSE(this->take(next, 20));
@@ -70,7 +70,7 @@
     usage_limiter next = this->fresh_limiter({8s, 0, 0});
     next.take_over(base::slot_id("peer"),
                    base::incarnation{2},
-                   this->peer.window_uses(this->now),
+                   this->peer.window_usage(this->now),
                    this->now);
     CHECK(this->take(next, 800));
 }
@@ -84,11 +84,11 @@
     usage_limiter next = this->fresh_limiter({8s, 0, 0});
     next.take_over(base::slot_id("peer"),
                    base::incarnation{2},
-                   this->peer.window_uses(this->now),
+                   this->peer.window_usage(this->now),
                    this->now);
     next.peer_told(base::slot_id("own"),
                    base::incarnation{1},
-                   this->own.own_uses(this->now),
+                   this->own.own_usage(this->now),
                    false,
                    this->now);
     CHECK(this->take(next, 310));
@@ -142,11 +142,12 @@
         REQUIRE_FALSE(former.take(one.id, cost, 0, now));
         former.sent(one.id, cost, now);
     }
-    const std::vector<workspace_use> told = former.window_uses(now);
+    const std::vector<workspace_usage> told = former.window_usage(now);
     CHECK(told.size() == 300);
-    CHECK(std::any_of(told.begin(), told.end(), [&](const workspace_use& one) {
-        return one.workspace == busy && one.lately == 800;
-    }));
+    CHECK(
+        std::any_of(told.begin(), told.end(), [&](const workspace_usage& one) {
+            return one.workspace == busy && one.lately == 800;
+        }));
 }
 
 } // namespace greengagedrum::quota
--- a/src/greengagedrum/quota/test/limiter_fixture.hpp
+++ b/src/greengagedrum/quota/test/limiter_fixture.hpp
@@ -64,7 +64,7 @@
         return true;
     }
 
-    void hear_peer(const std::vector<workspace_use>& uses, bool stopping)
+    void hear_peer(const std::vector<workspace_usage>& uses, bool stopping)
     {
         this->own.peer_told(base::slot_id("peer"),
                             base::incarnation{2},
@@ -78,12 +78,12 @@
     {
         this->own.peer_told(base::slot_id("peer"),
                             base::incarnation{2},
-                            this->peer.own_uses(this->now),
+                            this->peer.own_usage(this->now),
                             false,
                             this->now);
         this->peer.peer_told(base::slot_id("own"),
                              base::incarnation{1},
-                             this->own.own_uses(this->now),
+                             this->own.own_usage(this->now),
                              false,
                              this->now);
     }
--- a/src/greengagedrum/quota/test/usage_limiter_test.cpp
+++ b/src/greengagedrum/quota/test/usage_limiter_test.cpp
@@ -85,7 +85,7 @@
     CHECK_FALSE(this->own.take(planning, 300, 0, this->now));
     this->own.withdrawn(planning, 300, this->now);
     CHECK(this->take(this->own, 310));
-    CHECK(this->own.own_uses(this->now).front().used == 810);
+    CHECK(this->own.own_usage(this->now).front().used == 810);
 }
 
 // Two data centres are cut off from each other while one workspace sends at
@@ -132,7 +132,7 @@
 TEST_CASE_FIXTURE(limiter_fixture, "history_of_peers_is_no_use_of_now")
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0.25, 0});
-    const workspace_use long_ago[] = {{planning, 5'000'000}};
+    const workspace_usage long_ago[] = {{planning, 5'000'000}};
     fresh.peer_told(base::slot_id("peer"),
                     base::incarnation{2},
                     long_ago,
@@ -231,7 +231,7 @@
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0, 0});
     this->now += 90s;
-    const workspace_use told[] = {{planning, 5'000'000, 0, 300}};
+    const workspace_usage told[] = {{planning, 5'000'000, 0, 300}};
     fresh.peer_told(
         base::slot_id("peer"), base::incarnation{2}, told, false, this->now);
     CHECK(this->take(fresh, 590));
@@ -243,7 +243,7 @@
 TEST_CASE_FIXTURE(limiter_fixture, "fresh_process_learns_the_window_of_peers")
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0.25, 0});
-    const workspace_use told[] = {{planning, 300, 0, 300, {900}}};
+    const workspace_usage told[] = {{planning, 300, 0, 300, {900}}};
     fresh.peer_told(
         base::slot_id("peer"), base::incarnation{2}, told, false, this->now);
     CHECK_FALSE(this->take(fresh, 10));
--- a/src/greengagedrum/quota/usage_limiter.cpp
+++ b/src/greengagedrum/quota/usage_limiter.cpp
@@ -49,7 +49,7 @@
 // and work within the limits is refused.
 void usage_limiter::take_over(base::slot_id former,
                               base::incarnation life,
-                              std::span<const workspace_use> uses,
+                              std::span<const workspace_usage> uses,
                               base::instant now)
 {
     this->restart(now);
@@ -57,7 +57,7 @@
     // Requests that wait there are asked for here.
     this->forget_peer(former);
     this->took_over =
-        std::any_of(uses.begin(), uses.end(), [](const workspace_use& one) {
+        std::any_of(uses.begin(), uses.end(), [](const workspace_usage& one) {
             return !one.all_lately.empty();
         });
     if (!this->took_over)
@@ -175,10 +175,10 @@
     return out;
 }
 
-workspace_use usage_limiter::use_of(base::workspace_id workspace,
-                                    const workspace_limit& own,
-                                    std::size_t parts,
-                                    base::instant now) const
+workspace_usage usage_limiter::use_of(base::workspace_id workspace,
+                                      const workspace_limit& own,
+                                      std::size_t parts,
+                                      base::instant now) const
 {
     return {workspace,
             static_cast<std::uint64_t>(own.own_sent),
@@ -187,9 +187,9 @@
             this->all_lately(own, parts, now)};
 }
 
-std::vector<workspace_use> usage_limiter::own_uses(base::instant now)
+std::vector<workspace_usage> usage_limiter::own_usage(base::instant now)
 {
-    std::vector<workspace_use> out;
+    std::vector<workspace_usage> out;
     for (auto& [workspace, own] : this->limits) {
         own.drop_old(this->allowed.window, now);
         if (own.own_sent > 0 || own.own_waiting > 0)
@@ -201,7 +201,7 @@
 // Failure guarded against: with thousands of workspaces the message is larger
 // than a datagram, and with it the sign of life that it bears is lost. Those
 // nearest to their limits are told; of the others there is room enough.
-std::vector<workspace_use> usage_limiter::window_uses(base::instant now)
+std::vector<workspace_usage> usage_limiter::window_usage(base::instant now)
 {
     const limit_rules valid = this->rules(now);
     std::vector<std::pair<double, base::workspace_id>> used;
@@ -219,7 +219,7 @@
                          std::greater<>());
         used.resize(most_handed_over);
     }
-    std::vector<workspace_use> out;
+    std::vector<workspace_usage> out;
     out.reserve(used.size());
     for (const auto& [share, workspace] : used)
         out.push_back(this->use_of(
--- a/src/greengagedrum/quota/usage_limiter.hpp
+++ b/src/greengagedrum/quota/usage_limiter.hpp
@@ -32,7 +32,7 @@
 {
 
 // What one entry let through, in the limit's unit.
-struct workspace_use {
+struct workspace_usage {
     base::workspace_id workspace;
     std::uint64_t used = 0;    // sent to upstreams since its start
     std::uint32_t waiting = 0; // let through and not sent yet
@@ -70,7 +70,7 @@
     // it told so last: this one counts in its place.
     void take_over(base::slot_id former,
                    base::incarnation life,
-                   std::span<const workspace_use> uses,
+                   std::span<const workspace_usage> uses,
                    base::instant now);
 
     void set_limits(const routing::configuration& config, base::instant now);
@@ -97,7 +97,7 @@
 
     void peer_told(base::slot_id peer,
                    base::incarnation life,
-                   std::span<const workspace_use> uses,
+                   std::span<const workspace_usage> uses,
                    bool stopping,
                    base::instant now);
 
@@ -115,9 +115,9 @@
     // Of those that this entry counts for, the part that does not report.
     void set_unreported_members(double part, base::instant now);
 
-    std::vector<workspace_use> own_uses(base::instant now);
+    std::vector<workspace_usage> own_usage(base::instant now);
     // For whoever may take over: also what only others used, in finer parts.
-    std::vector<workspace_use> window_uses(base::instant now);
+    std::vector<workspace_usage> window_usage(base::instant now);
     limit_view view(base::workspace_id workspace, base::instant now) const;
     // What such a request has to leave of the limit for those more urgent.
     double kept_for_more_urgent(base::workspace_id workspace,
@@ -142,19 +142,19 @@
     limit_rules rules(base::instant now) const;
     bool started_lately(base::instant now) const;
     bool window_known(base::instant now) const;
-    workspace_use use_of(base::workspace_id workspace,
-                         const workspace_limit& own,
-                         std::size_t parts,
-                         base::instant now) const;
+    workspace_usage use_of(base::workspace_id workspace,
+                           const workspace_limit& own,
+                           std::size_t parts,
+                           base::instant now) const;
     std::vector<std::uint32_t> all_lately(const workspace_limit& own,
                                           std::size_t parts,
                                           base::instant now) const;
     void count_peer(base::slot_id peer,
                     peer_use& known,
-                    const workspace_use& told,
+                    const workspace_usage& told,
                     bool anew,
                     base::instant now);
-    void learn_history(const workspace_use& told, base::instant now);
+    void learn_history(const workspace_usage& told, base::instant now);
     void forget_waiting(peer_state& peer);
     void drop_forgotten(base::instant now);
 
--- a/src/greengagedrum/quota/usage_of_peers.cpp
+++ b/src/greengagedrum/quota/usage_of_peers.cpp
@@ -12,7 +12,7 @@
 
 void usage_limiter::peer_told(base::slot_id peer,
                               base::incarnation life,
-                              std::span<const workspace_use> uses,
+                              std::span<const workspace_usage> uses,
                               bool stopping,
                               base::instant now)
 {
@@ -32,7 +32,7 @@
     // Of what was before this process a peer tells once, when it is first
     // heard.
     const bool history = fresh && this->started_lately(now);
-    for (const workspace_use& one : uses) {
+    for (const workspace_usage& one : uses) {
         peer_use& use = known.uses[one.workspace];
         if (history) {
             use.sent = static_cast<double>(one.used);
@@ -47,7 +47,7 @@
 // are not told.
 void usage_limiter::count_peer(base::slot_id peer,
                                peer_use& known,
-                               const workspace_use& told,
+                               const workspace_usage& told,
                                bool anew,
                                base::instant now)
 {
@@ -77,7 +77,8 @@
 // An entry restarts in a busy workspace's window: each peer tells what it let
 // through itself, and all of them together what this entry's former process
 // did. Each counts once.
-void usage_limiter::learn_history(const workspace_use& told, base::instant now)
+void usage_limiter::learn_history(const workspace_usage& told,
+                                  base::instant now)
 {
     const auto found = this->limits.find(told.workspace);
     if (found == this->limits.end())
