--- a/src/greengagedrum/entry/test/limit_test.cpp
+++ b/src/greengagedrum/entry/test/limit_test.cpp
@@ -68,8 +68,8 @@
     auto asked = this->client();
     REQUIRE(asked.Get("/again/", headers()));
     CHECK(this->hears([](const quota::workspace_usage& one) {
-        return one.used == plain_cost && one.waiting == 0 &&
-               one.lately == plain_cost;
+        return one.sent_total == plain_cost && one.waiting == 0 &&
+               one.sent_in_window == plain_cost;
     }));
 }
 
@@ -93,7 +93,7 @@
             asked.Get("/again/", headers());
         });
     const bool full = this->hears([](const quota::workspace_usage& one) {
-        return one.used == slots * plain_cost;
+        return one.sent_total == slots * plain_cost;
     });
     {
         relay::asio::io_context context;
@@ -108,7 +108,7 @@
         }));
     }
     CHECK(this->hears([](const quota::workspace_usage& one) {
-        return one.waiting == 0 && one.used == slots * plain_cost;
+        return one.waiting == 0 && one.sent_total == slots * plain_cost;
     }));
     answer = true;
     for (std::thread& one : callers)
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -166,11 +166,12 @@
     std::vector<std::uint32_t> spent_lately;
     std::vector<std::uint32_t> spent_by_all;
     for (const auto& one : told.workspace_uses) {
-        spent.emplace_back(one.workspace.value, one.used);
+        spent.emplace_back(one.workspace.value, one.sent_total);
         spent_waiting.push_back(one.waiting);
-        spent_lately.push_back(one.lately);
-        spent_by_all.insert(
-            spent_by_all.end(), one.all_lately.begin(), one.all_lately.end());
+        spent_lately.push_back(one.sent_in_window);
+        spent_by_all.insert(spent_by_all.end(),
+                            one.all_sent_in_window.begin(),
+                            one.all_sent_in_window.end());
     }
     std::vector<wire::Known> known;
     std::vector<wire::Standing> standings;
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -79,11 +79,11 @@
     CHECK(read->uses[0].prompt_tokens == 4000);
     CHECK(read->uses[0].event_gap == 55ms);
     CHECK(read->waiting.at(0).counts == traffic::waiting_counts{1, 2, 3, 4});
-    CHECK(read->workspace_uses.at(0).used == 123456789012);
+    CHECK(read->workspace_uses.at(0).sent_total == 123456789012);
     CHECK(read->workspace_uses.at(0).waiting == 70);
-    CHECK(read->workspace_uses.at(0).lately == 5'000);
-    CHECK(read->workspace_uses.at(0).all_lately.at(0) == 9'000);
-    CHECK(read->workspace_uses.at(0).all_lately.at(3) == 3);
+    CHECK(read->workspace_uses.at(0).sent_in_window == 5'000);
+    CHECK(read->workspace_uses.at(0).all_sent_in_window.at(0) == 9'000);
+    CHECK(read->workspace_uses.at(0).all_sent_in_window.at(3) == 3);
     CHECK(read->known.at(0).age == 250ms);
 }
 
--- a/src/greengagedrum/quota/test/handover_test.cpp
+++ b/src/greengagedrum/quota/test/handover_test.cpp
@@ -146,7 +146,7 @@
     CHECK(told.size() == 300);
     CHECK(
         std::any_of(told.begin(), told.end(), [&](const workspace_usage& one) {
-            return one.workspace == busy && one.lately == 800;
+            return one.workspace == busy && one.sent_in_window == 800;
         }));
 }
 
--- a/src/greengagedrum/quota/test/usage_limiter_test.cpp
+++ b/src/greengagedrum/quota/test/usage_limiter_test.cpp
@@ -85,7 +85,7 @@
     CHECK_FALSE(this->own.take(planning, 300, 0, this->now));
     this->own.withdrawn(planning, 300, this->now);
     CHECK(this->take(this->own, 310));
-    CHECK(this->own.own_usage(this->now).front().used == 810);
+    CHECK(this->own.own_usage(this->now).front().sent_total == 810);
 }
 
 // Two data centres are cut off from each other while one workspace sends at
--- a/src/greengagedrum/quota/usage_limiter.cpp
+++ b/src/greengagedrum/quota/usage_limiter.cpp
@@ -58,7 +58,7 @@
     this->forget_peer(former);
     this->took_over =
         std::any_of(uses.begin(), uses.end(), [](const workspace_usage& one) {
-            return !one.all_lately.empty();
+            return !one.all_sent_in_window.empty();
         });
     if (!this->took_over)
         return;
@@ -160,9 +160,8 @@
         own->restore(cost, this->rules(now), now);
 }
 
-std::vector<std::uint32_t> usage_limiter::all_lately(const workspace_limit& own,
-                                                     std::size_t parts,
-                                                     base::instant now) const
+std::vector<std::uint32_t> usage_limiter::all_sent_in_window(
+    const workspace_limit& own, std::size_t parts, base::instant now) const
 {
     // What was learnt of peers in the first moments has left by then as well:
     // passed on, it would count twice with the next process that starts.
@@ -184,7 +183,7 @@
             static_cast<std::uint64_t>(own.own_sent),
             whole_part(own.own_waiting),
             whole_part(own.own_recent.sum()),
-            this->all_lately(own, parts, now)};
+            this->all_sent_in_window(own, parts, now)};
 }
 
 std::vector<workspace_usage> usage_limiter::own_usage(base::instant now)
--- a/src/greengagedrum/quota/usage_limiter.hpp
+++ b/src/greengagedrum/quota/usage_limiter.hpp
@@ -34,12 +34,13 @@
 // What one entry let through, in the limit's unit.
 struct workspace_usage {
     base::workspace_id workspace;
-    std::uint64_t used = 0;    // sent to upstreams since its start
-    std::uint32_t waiting = 0; // let through and not sent yet
-    std::uint32_t lately = 0;  // of `used`, within the operator's window
+    std::uint64_t sent_total = 0; // sent to upstreams since its start
+    std::uint32_t waiting = 0;    // let through and not sent yet
+    std::uint32_t sent_in_window =
+        0; // of `sent_total`, within the operator's window
     // The same of all entries, by equal parts of the window, the newest first;
     // empty where the sender does not know the window.
-    std::vector<std::uint32_t> all_lately{};
+    std::vector<std::uint32_t> all_sent_in_window{};
 };
 
 // What one workspace's limit rests on at this entry, in its unit. For the log.
@@ -146,9 +147,9 @@
                            const workspace_limit& own,
                            std::size_t parts,
                            base::instant now) const;
-    std::vector<std::uint32_t> all_lately(const workspace_limit& own,
-                                          std::size_t parts,
-                                          base::instant now) const;
+    std::vector<std::uint32_t> all_sent_in_window(const workspace_limit& own,
+                                                  std::size_t parts,
+                                                  base::instant now) const;
     void count_peer(base::slot_id peer,
                     peer_use& known,
                     const workspace_usage& told,
--- a/src/greengagedrum/quota/usage_of_peers.cpp
+++ b/src/greengagedrum/quota/usage_of_peers.cpp
@@ -35,7 +35,7 @@
     for (const workspace_usage& one : uses) {
         peer_use& use = known.uses[one.workspace];
         if (history) {
-            use.sent = static_cast<double>(one.used);
+            use.sent = static_cast<double>(one.sent_total);
             this->learn_history(one, now);
         }
         this->count_peer(peer, use, one, fresh || restarted || returned, now);
@@ -51,12 +51,13 @@
                                bool anew,
                                base::instant now)
 {
-    const auto used = static_cast<double>(told.used);
+    const auto used = static_cast<double>(told.sent_total);
     // Most messages tell of most workspaces what is known.
     if (!anew && used == known.sent && told.waiting == known.waiting)
         return;
     const double more = std::max(0.0, used - known.sent);
-    const double counted = anew ? std::min<double>(more, told.lately) : more;
+    const double counted =
+        anew ? std::min<double>(more, told.sent_in_window) : more;
     const double waiting_more = told.waiting - known.waiting;
     known = {used, static_cast<double>(told.waiting)};
     const auto found = this->limits.find(told.workspace);
@@ -84,18 +85,18 @@
     if (found == this->limits.end())
         return;
     workspace_limit& own = found->second;
-    const double all =
-        std::accumulate(told.all_lately.begin(), told.all_lately.end(), 0.0);
+    const double all = std::accumulate(
+        told.all_sent_in_window.begin(), told.all_sent_in_window.end(), 0.0);
     const double unknown = all > 0 ? std::max(0.0, 1 - own.history / all) : 0;
-    const auto parts = static_cast<int>(told.all_lately.size());
+    const auto parts = static_cast<int>(told.all_sent_in_window.size());
     // Each part as of its end: counted for its length too long, never too
     // short.
     for (int at = 0; at < parts; ++at)
         own.recent.add_earlier(
-            unknown * told.all_lately[static_cast<std::size_t>(at)],
+            unknown * told.all_sent_in_window[static_cast<std::size_t>(at)],
             now - at * this->allowed.window / parts);
     own.history = std::max(own.history, all);
-    own.told_of_peers += told.lately;
+    own.told_of_peers += told.sent_in_window;
     own.recent.add(std::max(0.0, own.told_of_peers - own.history), now);
     own.history = std::max(own.history, own.told_of_peers);
 }
