--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -298,9 +298,10 @@
         const node* one = this->fleet.at(number);
         if (one == nullptr)
             continue;
-        this->result.kept_for_absent = std::max(
-            this->result.kept_for_absent,
-            one->state.limiter.view(busy, this->fleet.time()).absent_share);
+        this->result.kept_for_absent =
+            std::max(this->result.kept_for_absent,
+                     one->state.limiter.status_of(busy, this->fleet.time())
+                         .absent_share);
         for (const auto& [id, request] : this->works[number].requests) {
             const bool late = this->fleet.time() - request.arrived > 1s;
             this->result.unanswered += late ? 1 : 0;
--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -217,7 +217,7 @@
          {"config_version", this->state.known.configuration_version()},
          {"cost", request.cost},
          {"limit_level",
-          this->state.limiter.view(request.workspace, now).level}});
+          this->state.limiter.status_of(request.workspace, now).bucket_level}});
     if (over) {
         this->note_over_limit(
             request.workspace, request.cost, request.facts.priority, *over);
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -55,7 +55,8 @@
                             base::duration retry_after)
 {
     const base::instant now = this->state.clock();
-    const quota::limit_view seen = this->state.limiter.view(workspace, now);
+    const quota::limit_status seen =
+        this->state.limiter.status_of(workspace, now);
     const double kept = this->state.limiter.kept_for_more_urgent(
         workspace, cost, priority, now);
     const routing::workspace* of =
@@ -67,11 +68,11 @@
                            {"cost", cost},
                            {"priority", priority},
                            {"kept_for_more_urgent", kept},
-                           {"limit_level", seen.level},
-                           {"sent_here", seen.sent_here},
-                           {"sent", seen.sent},
-                           {"waiting", seen.waiting},
-                           {"bound", seen.bound},
+                           {"limit_level", seen.bucket_level},
+                           {"sent_here", seen.own_sent},
+                           {"sent", seen.all_sent},
+                           {"waiting", seen.all_waiting},
+                           {"bound", seen.window_bound},
                            {"absent_share", seen.absent_share},
                            {"window_known", seen.window_known},
                            {"retry_after_ms", milliseconds(retry_after)}});
--- a/src/greengagedrum/quota/test/usage_limiter_test.cpp
+++ b/src/greengagedrum/quota/test/usage_limiter_test.cpp
@@ -54,7 +54,7 @@
     CHECK(this->take(this->own, 760));
     CHECK(this->take(this->peer, 90));
     this->talk();
-    CHECK(this->own.view(planning, this->now).level < 0);
+    CHECK(this->own.status_of(planning, this->now).bucket_level < 0);
     this->limit_to(50, 100);
     CHECK_FALSE(this->take(this->own, 30));
     this->now += 1s;
@@ -302,11 +302,11 @@
 {
     CHECK(this->take(this->own, 300));
     this->hear_peer({{planning, 200, 50, 200}}, false);
-    const limit_view seen = this->own.view(planning, this->now);
-    CHECK(seen.sent_here == 300);
-    CHECK(seen.sent == 500);
-    CHECK(seen.waiting == 50);
-    CHECK(seen.bound == rate * window_seconds + burst);
+    const limit_status seen = this->own.status_of(planning, this->now);
+    CHECK(seen.own_sent == 300);
+    CHECK(seen.all_sent == 500);
+    CHECK(seen.all_waiting == 50);
+    CHECK(seen.window_bound == rate * window_seconds + burst);
     CHECK(seen.absent_share == 0);
     CHECK(seen.window_known);
 }
--- a/src/greengagedrum/quota/usage_limiter.cpp
+++ b/src/greengagedrum/quota/usage_limiter.cpp
@@ -266,20 +266,20 @@
         cost, priority, this->rules(now), now);
 }
 
-limit_view usage_limiter::view(base::workspace_id workspace,
-                               base::instant now) const
+limit_status usage_limiter::status_of(base::workspace_id workspace,
+                                      base::instant now) const
 {
-    limit_view out;
+    limit_status out;
     out.window_known = this->window_known(now);
     const auto found = this->limits.find(workspace);
     if (found == this->limits.end())
         return out;
     const workspace_limit& own = found->second;
-    out.level = own.level;
-    out.sent_here = own.own_recent.sum();
-    out.sent = own.recent.sum();
-    out.waiting = own.own_waiting + own.peers_waiting;
-    out.bound = own.window_bound(this->rules(now));
+    out.bucket_level = own.level;
+    out.own_sent = own.own_recent.sum();
+    out.all_sent = own.recent.sum();
+    out.all_waiting = own.own_waiting + own.peers_waiting;
+    out.window_bound = own.window_bound(this->rules(now));
     out.absent_share = own.absent.share;
     return out;
 }
--- a/src/greengagedrum/quota/usage_limiter.hpp
+++ b/src/greengagedrum/quota/usage_limiter.hpp
@@ -44,12 +44,12 @@
 };
 
 // What one workspace's limit rests on at this entry, in its unit. For the log.
-struct limit_view {
-    double level = 0;        // of the bucket; below zero: overdrawn
-    double sent_here = 0;    // within the window, by this entry
-    double sent = 0;         // within the window, by all entries
-    double waiting = 0;      // let through and not sent yet, by all entries
-    double bound = 0;        // what a window may hold
+struct limit_status {
+    double bucket_level = 0; // of the bucket; below zero: overdrawn
+    double own_sent = 0;     // within the window, by this entry
+    double all_sent = 0;     // within the window, by all entries
+    double all_waiting = 0;  // let through and not sent yet, by all entries
+    double window_bound = 0; // what a window may hold
     double absent_share = 0; // of the limit, kept for entries not heard
     bool window_known = false;
 };
@@ -119,7 +119,8 @@
     std::vector<workspace_usage> own_usage(base::instant now);
     // For whoever may take over: also what only others used, in finer parts.
     std::vector<workspace_usage> window_usage(base::instant now);
-    limit_view view(base::workspace_id workspace, base::instant now) const;
+    limit_status status_of(base::workspace_id workspace,
+                           base::instant now) const;
     // What such a request has to leave of the limit for those more urgent.
     double kept_for_more_urgent(base::workspace_id workspace,
                                 double cost,
