--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -81,7 +81,7 @@
     if (this->large)
         this->counting[slot] = told.address;
     this->state.scheduler.peer_told(slot, told.uses, told.waiting, now);
-    this->state.limiter.peer_told(
+    this->state.limiter.on_peer_report(
         slot, told.life, told.workspace_uses, told.stopping, now);
     if (this->state.scheduler.waiting() > 0)
         this->events.load_changed();
@@ -125,7 +125,7 @@
     if (told.workspace_uses.empty())
         return;
     if (!this->state.delegating) {
-        this->state.limiter.peer_told(
+        this->state.limiter.on_peer_report(
             slot, told.life, told.workspace_uses, told.stopping, now);
         if (told.delegating)
             this->state.limiter.forget_peer(slot);
--- a/src/greengagedrum/quota/test/entries_run.cpp
+++ b/src/greengagedrum/quota/test/entries_run.cpp
@@ -169,7 +169,7 @@
             continue; // of a process that has ended
         usage_limiter& to = this->entries[told.to].limiter;
         to.set_unheard_peers(0);
-        to.peer_told(
+        to.on_peer_report(
             name_of(told.from), told.life, told.uses, false, this->now);
     }
 }
--- a/src/greengagedrum/quota/test/handover_test.cpp
+++ b/src/greengagedrum/quota/test/handover_test.cpp
@@ -86,11 +86,11 @@
                    base::incarnation{2},
                    this->peer.window_usage(this->now),
                    this->now);
-    next.peer_told(base::slot_id("own"),
-                   base::incarnation{1},
-                   this->own.own_usage(this->now),
-                   false,
-                   this->now);
+    next.on_peer_report(base::slot_id("own"),
+                        base::incarnation{1},
+                        this->own.own_usage(this->now),
+                        false,
+                        this->now);
     CHECK(this->take(next, 310));
     CHECK_FALSE(this->take(next, 20));
 }
--- a/src/greengagedrum/quota/test/limiter_fixture.hpp
+++ b/src/greengagedrum/quota/test/limiter_fixture.hpp
@@ -66,26 +66,26 @@
 
     void hear_peer(const std::vector<workspace_usage>& uses, bool stopping)
     {
-        this->own.peer_told(base::slot_id("peer"),
-                            base::incarnation{2},
-                            uses,
-                            stopping,
-                            this->now);
+        this->own.on_peer_report(base::slot_id("peer"),
+                                 base::incarnation{2},
+                                 uses,
+                                 stopping,
+                                 this->now);
     }
 
     // Each tells the other all that it let through.
     void talk()
     {
-        this->own.peer_told(base::slot_id("peer"),
-                            base::incarnation{2},
-                            this->peer.own_usage(this->now),
-                            false,
-                            this->now);
-        this->peer.peer_told(base::slot_id("own"),
-                             base::incarnation{1},
-                             this->own.own_usage(this->now),
-                             false,
-                             this->now);
+        this->own.on_peer_report(base::slot_id("peer"),
+                                 base::incarnation{2},
+                                 this->peer.own_usage(this->now),
+                                 false,
+                                 this->now);
+        this->peer.on_peer_report(base::slot_id("own"),
+                                  base::incarnation{1},
+                                  this->own.own_usage(this->now),
+                                  false,
+                                  this->now);
     }
 };
 
--- a/src/greengagedrum/quota/test/usage_limiter_test.cpp
+++ b/src/greengagedrum/quota/test/usage_limiter_test.cpp
@@ -133,11 +133,11 @@
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0.25, 0});
     const workspace_usage long_ago[] = {{planning, 5'000'000}};
-    fresh.peer_told(base::slot_id("peer"),
-                    base::incarnation{2},
-                    long_ago,
-                    false,
-                    this->now);
+    fresh.on_peer_report(base::slot_id("peer"),
+                         base::incarnation{2},
+                         long_ago,
+                         false,
+                         this->now);
     CHECK(this->take(fresh, burst / 4));
 }
 
@@ -232,7 +232,7 @@
     usage_limiter fresh = this->fresh_limiter({8s, 0, 0});
     this->now += 90s;
     const workspace_usage told[] = {{planning, 5'000'000, 0, 300}};
-    fresh.peer_told(
+    fresh.on_peer_report(
         base::slot_id("peer"), base::incarnation{2}, told, false, this->now);
     CHECK(this->take(fresh, 590));
     CHECK_FALSE(this->take(fresh, 110));
@@ -244,7 +244,7 @@
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0.25, 0});
     const workspace_usage told[] = {{planning, 300, 0, 300, {900}}};
-    fresh.peer_told(
+    fresh.on_peer_report(
         base::slot_id("peer"), base::incarnation{2}, told, false, this->now);
     CHECK_FALSE(this->take(fresh, 10));
 }
--- a/src/greengagedrum/quota/usage_limiter.cpp
+++ b/src/greengagedrum/quota/usage_limiter.cpp
@@ -53,7 +53,7 @@
                               base::instant now)
 {
     this->restart(now);
-    this->peer_told(former, life, uses, true, now);
+    this->on_peer_report(former, life, uses, true, now);
     // Requests that wait there are asked for here.
     this->forget_peer(former);
     this->took_over =
--- a/src/greengagedrum/quota/usage_limiter.hpp
+++ b/src/greengagedrum/quota/usage_limiter.hpp
@@ -96,11 +96,11 @@
     // taken out late, it would make room once more as its time leaves.
     void not_run(base::workspace_id workspace, double cost, base::instant now);
 
-    void peer_told(base::slot_id peer,
-                   base::incarnation life,
-                   std::span<const workspace_usage> uses,
-                   bool stopping,
-                   base::instant now);
+    void on_peer_report(base::slot_id peer,
+                        base::incarnation life,
+                        std::span<const workspace_usage> uses,
+                        bool stopping,
+                        base::instant now);
 
     // It lets nothing through by itself any more: another entry counts for it.
     // No part of a limit is kept for it. What was counted of it stays known for
--- a/src/greengagedrum/quota/usage_of_peers.cpp
+++ b/src/greengagedrum/quota/usage_of_peers.cpp
@@ -10,11 +10,11 @@
 namespace greengagedrum::quota
 {
 
-void usage_limiter::peer_told(base::slot_id peer,
-                              base::incarnation life,
-                              std::span<const workspace_usage> uses,
-                              bool stopping,
-                              base::instant now)
+void usage_limiter::on_peer_report(base::slot_id peer,
+                                   base::incarnation life,
+                                   std::span<const workspace_usage> uses,
+                                   bool stopping,
+                                   base::instant now)
 {
     const auto [found, fresh] = this->peers.try_emplace(peer);
     peer_state& known = found->second;
