--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -152,7 +152,7 @@
         at.link->tell_soon();
         return;
     }
-    if (at.state.limiter.take(busy, cost, 0, this->fleet.time())) {
+    if (at.state.limiter.try_acquire(busy, cost, 0, this->fleet.time())) {
         this->result.refused += 1;
         return;
     }
@@ -173,7 +173,8 @@
     one.state.limiter.assume_silent_peers(this->fleet.time());
     one.state.delegating = false;
     for (const auto& [id, request] : this->of(one).requests) {
-        if (one.state.limiter.take(busy, request.cost, 0, this->fleet.time())) {
+        if (one.state.limiter.try_acquire(
+                busy, request.cost, 0, this->fleet.time())) {
             this->result.refused += 1;
             continue;
         }
@@ -210,7 +211,7 @@
         limiter.withdrawn(cost.workspace, cost.amount, this->fleet.time());
     for (const auto& [id, wanted] : news.arrived) {
         const auto over =
-            limiter.take(busy, wanted.cost, 0, this->fleet.time());
+            limiter.try_acquire(busy, wanted.cost, 0, this->fleet.time());
         if (over) {
             book.declined(id,
                           base::not_run(base::reason::limit_reached, *over));
--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -200,7 +200,7 @@
     const bool counted = !this->state.delegating;
     const auto over =
         counted
-            ? this->state.limiter.take(
+            ? this->state.limiter.try_acquire(
                   request.workspace, request.cost, request.facts.priority, now)
             : std::nullopt;
     this->state.log.write(
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -13,10 +13,10 @@
     for (auto& [id, request] : this->requests) {
         if (request.sent_at)
             continue;
-        const auto over = this->state.limiter.take(request.workspace,
-                                                   request.cost,
-                                                   request.priority,
-                                                   this->state.clock());
+        const auto over = this->state.limiter.try_acquire(request.workspace,
+                                                          request.cost,
+                                                          request.priority,
+                                                          this->state.clock());
         request.counted = !over;
         if (!over)
             continue;
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -115,12 +115,12 @@
 void front::arrived_at_member(base::request_id id,
                               const dispatch::slot_request& wanted)
 {
-    const auto over = wanted.counted
-                          ? std::nullopt
-                          : this->state.limiter.take(wanted.facts.workspace,
-                                                     wanted.cost,
-                                                     wanted.facts.priority,
-                                                     this->state.clock());
+    const auto over =
+        wanted.counted ? std::nullopt
+                       : this->state.limiter.try_acquire(wanted.facts.workspace,
+                                                         wanted.cost,
+                                                         wanted.facts.priority,
+                                                         this->state.clock());
     if (over) {
         this->note_over_limit(
             wanted.facts.workspace, wanted.cost, wanted.facts.priority, *over);
--- a/src/greengagedrum/quota/test/entries_run.cpp
+++ b/src/greengagedrum/quota/test/entries_run.cpp
@@ -179,7 +179,7 @@
     entry& one = this->entries[at];
     this->result.asked += cost;
     this->asked_by_time.emplace_back(this->now, cost);
-    if (one.limiter.take(busy, cost, 0, this->now)) {
+    if (one.limiter.try_acquire(busy, cost, 0, this->now)) {
         this->result.refused += cost;
         return;
     }
--- a/src/greengagedrum/quota/test/handover_test.cpp
+++ b/src/greengagedrum/quota/test/handover_test.cpp
@@ -66,7 +66,7 @@
 // where they are counted anew.
 TEST_CASE_FIXTURE(limiter_fixture, "requests_waiting_at_the_former_are_no_use")
 {
-    CHECK_FALSE(this->peer.take(planning, 400, 0, this->now));
+    CHECK_FALSE(this->peer.try_acquire(planning, 400, 0, this->now));
     usage_limiter next = this->fresh_limiter({8s, 0, 0});
     next.take_over(base::slot_id("peer"),
                    base::incarnation{2},
@@ -139,7 +139,7 @@
     now += 2min; // the buckets are full
     for (const routing::workspace& one : config.workspaces) {
         const double cost = one.id == busy ? 800 : 10;
-        REQUIRE_FALSE(former.take(one.id, cost, 0, now));
+        REQUIRE_FALSE(former.try_acquire(one.id, cost, 0, now));
         former.sent(one.id, cost, now);
     }
     const std::vector<workspace_usage> told = former.window_usage(now);
--- a/src/greengagedrum/quota/test/limiter_fixture.hpp
+++ b/src/greengagedrum/quota/test/limiter_fixture.hpp
@@ -58,7 +58,7 @@
 
     bool take(usage_limiter& from, double cost)
     {
-        if (from.take(planning, cost, 0, this->now))
+        if (from.try_acquire(planning, cost, 0, this->now))
             return false;
         from.sent(planning, cost, this->now);
         return true;
--- a/src/greengagedrum/quota/test/priority_test.cpp
+++ b/src/greengagedrum/quota/test/priority_test.cpp
@@ -52,7 +52,8 @@
         of.due += of.demand * per_second * placement::seconds_of(step);
         for (; of.due >= of.cost; of.due -= of.cost) {
             of.asked += of.cost;
-            if (this->own.take(planning, of.cost, of.priority, this->now))
+            if (this->own.try_acquire(
+                    planning, of.cost, of.priority, this->now))
                 continue;
             this->own.sent(planning, of.cost, this->now);
             of.let += of.cost;
--- a/src/greengagedrum/quota/test/usage_limiter_test.cpp
+++ b/src/greengagedrum/quota/test/usage_limiter_test.cpp
@@ -73,7 +73,7 @@
 TEST_CASE_FIXTURE(limiter_fixture, "refused_request_says_when_there_is_room")
 {
     CHECK(this->take(this->own, burst));
-    const auto wait = this->own.take(planning, 50, 0, this->now);
+    const auto wait = this->own.try_acquire(planning, 50, 0, this->now);
     REQUIRE(wait);
     this->now += *wait + 1ms;
     CHECK(this->take(this->own, 50));
@@ -82,7 +82,7 @@
 TEST_CASE_FIXTURE(limiter_fixture, "cost_of_a_request_not_run_is_given_back")
 {
     CHECK(this->take(this->own, 500));
-    CHECK_FALSE(this->own.take(planning, 300, 0, this->now));
+    CHECK_FALSE(this->own.try_acquire(planning, 300, 0, this->now));
     this->own.withdrawn(planning, 300, this->now);
     CHECK(this->take(this->own, 310));
     CHECK(this->own.own_usage(this->now).front().sent_total == 810);
@@ -198,7 +198,7 @@
 // window it must not make room for a second time.
 TEST_CASE_FIXTURE(limiter_fixture, "cost_given_back_late_makes_room_once")
 {
-    CHECK_FALSE(this->own.take(planning, 800, 0, this->now));
+    CHECK_FALSE(this->own.try_acquire(planning, 800, 0, this->now));
     this->now += 2s;
     this->own.withdrawn(planning, 800, this->now);
     CHECK(this->take(this->own, 800));
@@ -325,7 +325,7 @@
     std::multimap<base::instant, double> returns;
     for (int caller = 0; caller < 10; ++caller) {
         this->now += 10ms;
-        const auto wait = this->own.take(planning, 30, 0, this->now);
+        const auto wait = this->own.try_acquire(planning, 30, 0, this->now);
         REQUIRE(wait);
         returns.emplace(this->now + *wait, 30);
     }
@@ -343,7 +343,7 @@
                   "return_is_not_sooner_than_the_window_allows")
 {
     this->hear_peer({{planning, 5'000'000, 0, 850}}, false);
-    const auto wait = this->own.take(planning, 102, 0, this->now);
+    const auto wait = this->own.try_acquire(planning, 102, 0, this->now);
     REQUIRE(wait);
     CHECK(*wait >= 7900ms);
     this->now += *wait + 1ms;
@@ -357,7 +357,7 @@
 {
     CHECK(this->take(this->own, burst));
     for (int caller = 0; caller < 500; ++caller) {
-        const auto wait = this->own.take(planning, 50, 0, this->now);
+        const auto wait = this->own.try_acquire(planning, 50, 0, this->now);
         REQUIRE(wait);
         CHECK(*wait <= 8s);
     }
--- a/src/greengagedrum/quota/usage_limiter.cpp
+++ b/src/greengagedrum/quota/usage_limiter.cpp
@@ -105,10 +105,11 @@
 
 // ---- Own requests ---------------------------------------------------------
 
-std::optional<base::duration> usage_limiter::take(base::workspace_id workspace,
-                                                  double cost,
-                                                  std::uint32_t priority,
-                                                  base::instant now)
+std::optional<base::duration>
+usage_limiter::try_acquire(base::workspace_id workspace,
+                           double cost,
+                           std::uint32_t priority,
+                           base::instant now)
 {
     workspace_limit* own = this->find_limited(workspace);
     if (own == nullptr)
--- a/src/greengagedrum/quota/usage_limiter.hpp
+++ b/src/greengagedrum/quota/usage_limiter.hpp
@@ -79,10 +79,10 @@
     // Empty: the request is within the limit and waits to be sent. Else when
     // to come back. Beyond the limit more urgent requests (0: the most) go
     // first.
-    std::optional<base::duration> take(base::workspace_id workspace,
-                                       double cost,
-                                       std::uint32_t priority,
-                                       base::instant now);
+    std::optional<base::duration> try_acquire(base::workspace_id workspace,
+                                              double cost,
+                                              std::uint32_t priority,
+                                              base::instant now);
 
     // It goes to an upstream, for the first time. It counts for the window
     // from here on: a caller's request that waits is sent later, never sooner.
