--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -125,7 +125,7 @@
     if (!request.sent_at) {
         request.sent_at = now;
         if (request.counted)
-            this->state.limiter.sent(request.workspace, request.cost, now);
+            this->state.limiter.on_sent(request.workspace, request.cost, now);
     }
     const std::shared_ptr<exchange> wire = request.wire;
     this->state.log.write(now,
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -156,7 +156,7 @@
         this->result.refused += 1;
         return;
     }
-    at.state.limiter.sent(busy, cost, this->fleet.time());
+    at.state.limiter.on_sent(busy, cost, this->fleet.time());
     this->let_through(cost);
 }
 
@@ -178,7 +178,7 @@
             this->result.refused += 1;
             continue;
         }
-        one.state.limiter.sent(busy, request.cost, this->fleet.time());
+        one.state.limiter.on_sent(busy, request.cost, this->fleet.time());
         this->let_through(request.cost);
     }
     this->of(one).requests.clear();
@@ -222,7 +222,7 @@
         order.send = 1;
         order.upstream = base::upstream_id("any");
         book.granted(order);
-        limiter.sent(busy, wanted.cost, this->fleet.time());
+        limiter.on_sent(busy, wanted.cost, this->fleet.time());
     }
 }
 
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -157,7 +157,7 @@
         return this->told(traffic::caller_left{order.request});
     }
     if (const auto cost = this->members.granted(order))
-        this->state.limiter.sent(cost->workspace, cost->amount, now);
+        this->state.limiter.on_sent(cost->workspace, cost->amount, now);
 }
 
 void front::decline(const traffic::end_request& order)
--- a/src/greengagedrum/quota/test/entries_run.cpp
+++ b/src/greengagedrum/quota/test/entries_run.cpp
@@ -222,7 +222,7 @@
             of.limiter.withdrawn(busy, one.cost, this->now);
             return true;
         }
-        of.limiter.sent(busy, one.cost, this->now);
+        of.limiter.on_sent(busy, one.cost, this->now);
         this->ran.push_back({one.taken, this->now, one.cost});
         this->result.let += one.cost;
         return true;
--- a/src/greengagedrum/quota/test/handover_test.cpp
+++ b/src/greengagedrum/quota/test/handover_test.cpp
@@ -140,7 +140,7 @@
     for (const routing::workspace& one : config.workspaces) {
         const double cost = one.id == busy ? 800 : 10;
         REQUIRE_FALSE(former.try_acquire(one.id, cost, 0, now));
-        former.sent(one.id, cost, now);
+        former.on_sent(one.id, cost, now);
     }
     const std::vector<workspace_usage> told = former.window_usage(now);
     CHECK(told.size() == 300);
--- a/src/greengagedrum/quota/test/limiter_fixture.hpp
+++ b/src/greengagedrum/quota/test/limiter_fixture.hpp
@@ -60,7 +60,7 @@
     {
         if (from.try_acquire(planning, cost, 0, this->now))
             return false;
-        from.sent(planning, cost, this->now);
+        from.on_sent(planning, cost, this->now);
         return true;
     }
 
--- a/src/greengagedrum/quota/test/priority_test.cpp
+++ b/src/greengagedrum/quota/test/priority_test.cpp
@@ -55,7 +55,7 @@
             if (this->own.try_acquire(
                     planning, of.cost, of.priority, this->now))
                 continue;
-            this->own.sent(planning, of.cost, this->now);
+            this->own.on_sent(planning, of.cost, this->now);
             of.let += of.cost;
         }
     }
--- a/src/greengagedrum/quota/usage_limiter.cpp
+++ b/src/greengagedrum/quota/usage_limiter.cpp
@@ -127,9 +127,9 @@
     return std::nullopt;
 }
 
-void usage_limiter::sent(base::workspace_id workspace,
-                         double cost,
-                         base::instant now)
+void usage_limiter::on_sent(base::workspace_id workspace,
+                            double cost,
+                            base::instant now)
 {
     workspace_limit* own = this->find_limited(workspace);
     if (own == nullptr)
--- a/src/greengagedrum/quota/usage_limiter.hpp
+++ b/src/greengagedrum/quota/usage_limiter.hpp
@@ -86,7 +86,7 @@
 
     // It goes to an upstream, for the first time. It counts for the window
     // from here on: a caller's request that waits is sent later, never sooner.
-    void sent(base::workspace_id workspace, double cost, base::instant now);
+    void on_sent(base::workspace_id workspace, double cost, base::instant now);
 
     // It ended without having been sent.
     void
