--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -105,7 +105,7 @@
         of.state.delegating = true;
         const dispatch::request_changes news = this->of(of).book.lost_all();
         for (const dispatch::counted_cost& cost : news.withdrawn)
-            of.state.limiter.withdrawn(
+            of.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
     };
     out.place_alone = [this, &of](std::size_t unheard,
@@ -123,7 +123,7 @@
     out.member_lost = [this, &of](base::slot_id member) {
         for (const dispatch::counted_cost& cost :
              this->of(of).book.lost(member).withdrawn)
-            of.state.limiter.withdrawn(
+            of.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
     };
     out.members_unanswered = [this, &of] {
@@ -208,7 +208,7 @@
     const dispatch::request_changes news =
         book.report(member, told.life, told.report, told.uses);
     for (const dispatch::counted_cost& cost : news.withdrawn)
-        limiter.withdrawn(cost.workspace, cost.amount, this->fleet.time());
+        limiter.refund_unsent(cost.workspace, cost.amount, this->fleet.time());
     for (const auto& [id, wanted] : news.arrived) {
         const auto over =
             limiter.try_acquire(busy, wanted.cost, 0, this->fleet.time());
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -42,9 +42,9 @@
     const base::instant now = this->state.clock();
     quota::usage_limiter& limiter = this->state.limiter;
     if (request.sent_at)
-        limiter.not_run(request.workspace, request.cost, now);
+        limiter.refund_not_run(request.workspace, request.cost, now);
     else
-        limiter.withdrawn(request.workspace, request.cost, now);
+        limiter.refund_unsent(request.workspace, request.cost, now);
 }
 
 // The entry that counts says what it went by; where it placed for another one,
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -105,7 +105,7 @@
 {
     const base::instant now = this->state.clock();
     for (const dispatch::counted_cost& cost : news.withdrawn)
-        this->state.limiter.withdrawn(cost.workspace, cost.amount, now);
+        this->state.limiter.refund_unsent(cost.workspace, cost.amount, now);
     for (const traffic::event& one : news.events)
         this->told(one);
     for (const auto& [id, wanted] : news.arrived)
@@ -153,7 +153,8 @@
     if (this->state.known.upstreams().find_usable(order.upstream) == nullptr) {
         // It left within this very turn.
         if (const auto cost = this->members.forget(order.request))
-            this->state.limiter.withdrawn(cost->workspace, cost->amount, now);
+            this->state.limiter.refund_unsent(
+                cost->workspace, cost->amount, now);
         return this->told(traffic::caller_left{order.request});
     }
     if (const auto cost = this->members.granted(order))
@@ -164,7 +165,7 @@
 {
     const auto cost = this->members.declined(order.request, order.verdict);
     if (cost)
-        this->state.limiter.withdrawn(
+        this->state.limiter.refund_unsent(
             cost->workspace, cost->amount, this->state.clock());
 }
 
--- a/src/greengagedrum/quota/test/entries_run.cpp
+++ b/src/greengagedrum/quota/test/entries_run.cpp
@@ -219,7 +219,7 @@
         if (of.life != one.life)
             return true; // its process has ended
         if (!one.sent) {
-            of.limiter.withdrawn(busy, one.cost, this->now);
+            of.limiter.refund_unsent(busy, one.cost, this->now);
             return true;
         }
         of.limiter.on_sent(busy, one.cost, this->now);
--- a/src/greengagedrum/quota/test/usage_limiter_test.cpp
+++ b/src/greengagedrum/quota/test/usage_limiter_test.cpp
@@ -83,7 +83,7 @@
 {
     CHECK(this->take(this->own, 500));
     CHECK_FALSE(this->own.try_acquire(planning, 300, 0, this->now));
-    this->own.withdrawn(planning, 300, this->now);
+    this->own.refund_unsent(planning, 300, this->now);
     CHECK(this->take(this->own, 310));
     CHECK(this->own.own_usage(this->now).front().sent_total == 810);
 }
@@ -200,7 +200,7 @@
 {
     CHECK_FALSE(this->own.try_acquire(planning, 800, 0, this->now));
     this->now += 2s;
-    this->own.withdrawn(planning, 800, this->now);
+    this->own.refund_unsent(planning, 800, this->now);
     CHECK(this->take(this->own, 800));
     this->now += 7s;
     double let = 0;
--- a/src/greengagedrum/quota/usage_limiter.cpp
+++ b/src/greengagedrum/quota/usage_limiter.cpp
@@ -142,9 +142,9 @@
     this->absent.own_used(workspace, cost, now);
 }
 
-void usage_limiter::withdrawn(base::workspace_id workspace,
-                              double cost,
-                              base::instant now)
+void usage_limiter::refund_unsent(base::workspace_id workspace,
+                                  double cost,
+                                  base::instant now)
 {
     workspace_limit* own = this->find_limited(workspace);
     if (own == nullptr)
@@ -153,9 +153,9 @@
     own->restore(cost, this->rules(now), now);
 }
 
-void usage_limiter::not_run(base::workspace_id workspace,
-                            double cost,
-                            base::instant now)
+void usage_limiter::refund_not_run(base::workspace_id workspace,
+                                   double cost,
+                                   base::instant now)
 {
     if (workspace_limit* own = this->find_limited(workspace))
         own->restore(cost, this->rules(now), now);
--- a/src/greengagedrum/quota/usage_limiter.hpp
+++ b/src/greengagedrum/quota/usage_limiter.hpp
@@ -90,11 +90,13 @@
 
     // It ended without having been sent.
     void
-    withdrawn(base::workspace_id workspace, double cost, base::instant now);
+    refund_unsent(base::workspace_id workspace, double cost, base::instant now);
 
     // It was sent, and did not run after all. The window goes on counting it:
     // taken out late, it would make room once more as its time leaves.
-    void not_run(base::workspace_id workspace, double cost, base::instant now);
+    void refund_not_run(base::workspace_id workspace,
+                        double cost,
+                        base::instant now);
 
     void on_peer_report(base::slot_id peer,
                         base::incarnation life,
