--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -169,8 +169,8 @@
             known->from, known->life, known->uses, this->fleet.time());
     else
         one.state.limiter.restart(this->fleet.time());
-    one.state.limiter.set_unheard_peers(unheard);
-    one.state.limiter.assume_silent_peers(this->fleet.time());
+    one.state.limiter.set_never_heard_peer_count(unheard);
+    one.state.limiter.update_silent_peers(this->fleet.time());
     one.state.delegating = false;
     for (const auto& [id, request] : this->of(one).requests) {
         if (one.state.limiter.try_acquire(
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -75,8 +75,8 @@
             known->from, known->life, known->uses, now);
     else
         this->state.limiter.restart(now);
-    this->state.limiter.set_unheard_peers(unheard);
-    this->state.limiter.assume_silent_peers(now);
+    this->state.limiter.set_never_heard_peer_count(unheard);
+    this->state.limiter.update_silent_peers(now);
     this->state.delegating = false;
     this->state.scheduler.delegate(false);
     this->count_waiting();
--- a/src/greengagedrum/entry/peer_counting.cpp
+++ b/src/greengagedrum/entry/peer_counting.cpp
@@ -27,8 +27,8 @@
     scheduler.set_entries(this->table.alive_lately(now) + 1);
     scheduler.set_gossip_gap(
         this->schedule.gap(gossip::audience::own_data_centre));
-    this->state.limiter.set_unheard_peers(this->table.unheard());
-    this->state.limiter.set_unreported_members(0, now); // it has none
+    this->state.limiter.set_never_heard_peer_count(this->table.unheard());
+    this->state.limiter.set_unreported_member_share(0, now); // it has none
 }
 
 // Failure guarded against: an entry that is cut off from all others has no
@@ -44,8 +44,9 @@
     scheduler.set_gossip_gap(gossip_gap_among_many);
     const std::size_t unheard =
         this->order.unheard_data_centres(now) + this->unheard_near(now);
-    this->state.limiter.set_unheard_peers(unheard);
-    this->state.limiter.set_unreported_members(this->unreported_part(now), now);
+    this->state.limiter.set_never_heard_peer_count(unheard);
+    this->state.limiter.set_unreported_member_share(this->unreported_part(now),
+                                                    now);
     this->forget_replaced(now);
     const entry_counts counted{placing, unheard};
     if (this->state.delegating || counted == this->counts)
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -304,7 +304,7 @@
         this->events.member_lost(base::slot_id(peer));
     }
     this->count_entries(now);
-    this->state.limiter.assume_silent_peers(now);
+    this->state.limiter.update_silent_peers(now);
     const auto newest = this->table.newest_source(now, this->turn);
     const bool changed =
         newest && newest->change_revision > this->state.known.changed_at();
--- a/src/greengagedrum/quota/test/entries_run.cpp
+++ b/src/greengagedrum/quota/test/entries_run.cpp
@@ -128,7 +128,7 @@
                 base::incarnation{this->next_life++},
                 this->factors.back().second};
     // Its settings name some of the others.
-    fresh.limiter.set_unheard_peers(
+    fresh.limiter.set_never_heard_peer_count(
         std::min<std::size_t>(3, this->entries.size() - 1));
     this->entries[at] = std::move(fresh);
     this->configure(this->entries[at]);
@@ -168,7 +168,7 @@
         if (told.life != this->entries[told.from].life)
             continue; // of a process that has ended
         usage_limiter& to = this->entries[told.to].limiter;
-        to.set_unheard_peers(0);
+        to.set_never_heard_peer_count(0);
         to.on_peer_report(
             name_of(told.from), told.life, told.uses, false, this->now);
     }
@@ -238,7 +238,7 @@
         this->restart_due();
         this->deliver_messages();
         for (entry& one : this->entries)
-            one.limiter.assume_silent_peers(this->now);
+            one.limiter.update_silent_peers(this->now);
         this->ask();
         this->end_waiting();
         if (this->now < messages_at)
--- a/src/greengagedrum/quota/test/handover_test.cpp
+++ b/src/greengagedrum/quota/test/handover_test.cpp
@@ -99,12 +99,12 @@
 // same.
 TEST_CASE_FIXTURE(limiter_fixture, "part_of_unreported_members_is_kept")
 {
-    this->own.set_unreported_members(0.5, this->now);
-    this->own.assume_silent_peers(this->now);
+    this->own.set_unreported_member_share(0.5, this->now);
+    this->own.update_silent_peers(this->now);
     CHECK(this->take(this->own, 400));
     CHECK_FALSE(this->take(this->own, 60));
-    this->own.set_unreported_members(0, this->now);
-    this->own.assume_silent_peers(this->now);
+    this->own.set_unreported_member_share(0, this->now);
+    this->own.update_silent_peers(this->now);
     this->now += 9s;
     CHECK(this->take(this->own, 800));
 }
@@ -115,8 +115,8 @@
                   "part_of_unreported_members_leaves_peers_theirs")
 {
     this->talk();
-    this->own.set_unreported_members(0.5, this->now);
-    this->own.assume_silent_peers(this->now);
+    this->own.set_unreported_member_share(0.5, this->now);
+    this->own.update_silent_peers(this->now);
     CHECK(this->take(this->own, 600));
     CHECK_FALSE(this->take(this->own, 60));
 }
--- a/src/greengagedrum/quota/test/usage_limiter_test.cpp
+++ b/src/greengagedrum/quota/test/usage_limiter_test.cpp
@@ -104,8 +104,8 @@
     double let = 0;
     for (int step = 0; step < 400; ++step) {
         this->now += 20ms;
-        this->own.assume_silent_peers(this->now);
-        this->peer.assume_silent_peers(this->now);
+        this->own.update_silent_peers(this->now);
+        this->peer.update_silent_peers(this->now);
         let += this->take(this->own, 4) ? 4 : 0;
         let += this->take(this->peer, 4) ? 4 : 0;
     }
@@ -256,7 +256,7 @@
 {
     this->hear_peer({{planning, 0, 400, 0}}, false);
     this->now += 500ms;
-    this->own.assume_silent_peers(this->now);
+    this->own.update_silent_peers(this->now);
     CHECK(this->take(this->own, 400));
     CHECK_FALSE(this->take(this->own, 100));
 }
@@ -267,7 +267,7 @@
 {
     this->hear_peer({{planning, 100, 0, 100}}, true);
     this->now += 500ms;
-    this->own.assume_silent_peers(this->now);
+    this->own.update_silent_peers(this->now);
     CHECK(this->take(this->own, 790));
 }
 
@@ -277,10 +277,10 @@
 {
     this->hear_peer({{planning, 100, 0, 100}}, false);
     this->now += 20s;
-    this->own.assume_silent_peers(this->now);
+    this->own.update_silent_peers(this->now);
     CHECK_FALSE(this->take(this->own, 800));
     this->now += 11s;
-    this->own.assume_silent_peers(this->now);
+    this->own.update_silent_peers(this->now);
     // It had used all of the limit: the bucket is filled from then on.
     this->now += 82s;
     CHECK(this->take(this->own, 800));
--- a/src/greengagedrum/quota/usage_limiter.cpp
+++ b/src/greengagedrum/quota/usage_limiter.cpp
@@ -230,17 +230,17 @@
 // ---- Entries that are not heard
 // -----------------------------------------------
 
-void usage_limiter::set_unheard_peers(std::size_t count)
+void usage_limiter::set_never_heard_peer_count(std::size_t count)
 {
     this->absent.set_unheard(count);
 }
 
-void usage_limiter::set_unreported_members(double part, base::instant now)
+void usage_limiter::set_unreported_member_share(double part, base::instant now)
 {
     this->absent.set_unreported(part, now);
 }
 
-void usage_limiter::assume_silent_peers(base::instant now)
+void usage_limiter::update_silent_peers(base::instant now)
 {
     this->drop_forgotten(now);
     std::vector<absent_peers::limited> rates;
--- a/src/greengagedrum/quota/usage_limiter.hpp
+++ b/src/greengagedrum/quota/usage_limiter.hpp
@@ -112,11 +112,11 @@
     void forget_peers();
 
     // Time has passed: who has fallen silent is assumed to use its part.
-    void assume_silent_peers(base::instant now);
+    void update_silent_peers(base::instant now);
     // Entries that are named somewhere and were never heard.
-    void set_unheard_peers(std::size_t count);
+    void set_never_heard_peer_count(std::size_t count);
     // Of those that this entry counts for, the part that does not report.
-    void set_unreported_members(double part, base::instant now);
+    void set_unreported_member_share(double part, base::instant now);
 
     std::vector<workspace_usage> own_usage(base::instant now);
     // For whoever may take over: also what only others used, in finer parts.
