--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -57,7 +57,7 @@
     const base::instant now = this->state.clock();
     const quota::limit_status seen =
         this->state.limiter.status_of(workspace, now);
-    const double kept = this->state.limiter.kept_for_more_urgent(
+    const double kept = this->state.limiter.reserved_for_higher_priority(
         workspace, cost, priority, now);
     const routing::workspace* of =
         this->state.known.routes()->find_workspace(workspace);
--- a/src/greengagedrum/quota/usage_limiter.cpp
+++ b/src/greengagedrum/quota/usage_limiter.cpp
@@ -255,15 +255,15 @@
     }
 }
 
-double usage_limiter::kept_for_more_urgent(base::workspace_id workspace,
-                                           double cost,
-                                           std::uint32_t priority,
-                                           base::instant now) const
+double usage_limiter::reserved_for_higher_priority(base::workspace_id workspace,
+                                                   double cost,
+                                                   std::uint32_t priority,
+                                                   base::instant now) const
 {
     const auto found = this->limits.find(workspace);
     if (found == this->limits.end())
         return 0;
-    return found->second.kept_for_more_urgent(
+    return found->second.reserved_for_higher_priority(
         cost, priority, this->rules(now), now);
 }
 
--- a/src/greengagedrum/quota/usage_limiter.hpp
+++ b/src/greengagedrum/quota/usage_limiter.hpp
@@ -124,10 +124,10 @@
     limit_status status_of(base::workspace_id workspace,
                            base::instant now) const;
     // What such a request has to leave of the limit for those more urgent.
-    double kept_for_more_urgent(base::workspace_id workspace,
-                                double cost,
-                                std::uint32_t priority,
-                                base::instant now) const;
+    double reserved_for_higher_priority(base::workspace_id workspace,
+                                        double cost,
+                                        std::uint32_t priority,
+                                        base::instant now) const;
 
 private:
     struct peer_use {
--- a/src/greengagedrum/quota/workspace_limit.cpp
+++ b/src/greengagedrum/quota/workspace_limit.cpp
@@ -144,10 +144,10 @@
 // Failure guarded against: a workspace asks for several times its limit, and
 // its notes use what its dossiers are refused for. Requests that cost next to
 // nothing beside those leave them enough in any case.
-double workspace_limit::kept_for_more_urgent(double cost,
-                                             std::uint32_t priority,
-                                             const limit_rules& rules,
-                                             base::instant now) const
+double workspace_limit::reserved_for_higher_priority(double cost,
+                                                     std::uint32_t priority,
+                                                     const limit_rules& rules,
+                                                     base::instant now) const
 {
     const double share = this->own_share();
     const double urgent_cost = this->demand.urgent_cost(priority, now);
@@ -167,8 +167,8 @@
                                               base::instant now) const
 {
     const double part = 1 - this->absent.share;
-    const double wanted =
-        cost + part * this->kept_for_more_urgent(cost, priority, rules, now);
+    const double wanted = cost + part * this->reserved_for_higher_priority(
+                                            cost, priority, rules, now);
     const double missing = wanted - this->level - part * this->margin(rules);
     const double bound = this->window_bound(rules);
     const double lacking = wanted - this->room(bound);
--- a/src/greengagedrum/quota/workspace_limit.hpp
+++ b/src/greengagedrum/quota/workspace_limit.hpp
@@ -57,10 +57,10 @@
 
     // What such a request leaves for those more urgent: nothing within the
     // limit.
-    double kept_for_more_urgent(double cost,
-                                std::uint32_t priority,
-                                const limit_rules& rules,
-                                base::instant now) const;
+    double reserved_for_higher_priority(double cost,
+                                        std::uint32_t priority,
+                                        const limit_rules& rules,
+                                        base::instant now) const;
 
     // When a caller that is refused now is to come back: there is room then
     // for it and for all that were refused before it. `wait`: until there is
