--- a/src/greengagedrum/callers/inbox.hpp
+++ b/src/greengagedrum/callers/inbox.hpp
@@ -5,7 +5,7 @@
 #pragma once
 
 #include <greengagedrum/delivery/messages.hpp>
-#include <greengagedrum/rings/bounded_ring.hpp>
+#include <greengagedrum/rings/bounded_queue.hpp>
 
 #include <memory>
 #include <variant>
@@ -28,7 +28,7 @@
 };
 
 using inbox_item = std::variant<delivery::event, arrival, ticket_arrival>;
-using inbox = rings::bounded_ring<inbox_item>;
+using inbox = rings::bounded_queue<inbox_item>;
 
 // Pushes what must not be lost: waits while the ring is full. The decision
 // thread never waits on its producers, so room comes. False once closed.
--- a/src/greengagedrum/callers/request_port.hpp
+++ b/src/greengagedrum/callers/request_port.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include <greengagedrum/callers/directive.hpp>
-#include <greengagedrum/rings/bounded_ring.hpp>
+#include <greengagedrum/rings/bounded_queue.hpp>
 #include <greengagedrum/upstreams/running_call.hpp>
 
 #include <optional>
@@ -28,7 +28,7 @@
 private:
     static constexpr std::size_t directives_max = 32;
 
-    rings::bounded_ring<directive> ring{directives_max};
+    rings::bounded_queue<directive> ring{directives_max};
     std::vector<directive> taken; // of the caller's thread
     upstreams::running_call running;
 };
--- a/src/greengagedrum/daemon/config_thread.hpp
+++ b/src/greengagedrum/daemon/config_thread.hpp
@@ -7,7 +7,7 @@
 #include <greengagedrum/callers/inbox.hpp>
 #include <greengagedrum/callers/snapshot_holder.hpp>
 #include <greengagedrum/config/store.hpp>
-#include <greengagedrum/rings/bounded_ring.hpp>
+#include <greengagedrum/rings/bounded_queue.hpp>
 
 #include <atomic>
 #include <chrono>
@@ -63,7 +63,7 @@
 
     callers::snapshot_holder& in_force;
     callers::inbox& events;
-    rings::bounded_ring<config::document_set> ring{sets_max};
+    rings::bounded_queue<config::document_set> ring{sets_max};
     mutable std::mutex mutex;
     std::condition_variable was_applied;
     std::uint64_t applied = 0; // sets, under the mutex
--- a/src/greengagedrum/daemon/document_duty.hpp
+++ b/src/greengagedrum/daemon/document_duty.hpp
@@ -9,7 +9,7 @@
 
 #include <greengagedrum/config/spreader.hpp>
 #include <greengagedrum/config_service/service_client.hpp>
-#include <greengagedrum/rings/bounded_ring.hpp>
+#include <greengagedrum/rings/bounded_queue.hpp>
 
 #include <atomic>
 #include <mutex>
@@ -81,8 +81,8 @@
     config_thread& documents;
     peer_duty& peers;
     config_service::service_client service;
-    rings::bounded_ring<config::spread_event> events{events_max};
-    rings::bounded_ring<config::ask_service> calls{calls_max};
+    rings::bounded_queue<config::spread_event> events{events_max};
+    rings::bounded_queue<config::ask_service> calls{calls_max};
     config::spreader decisions; // and these two: the stepping thread only
     std::mt19937_64 step_random;
     bool was_lost = false;
--- a/src/greengagedrum/daemon/peer_duty.hpp
+++ b/src/greengagedrum/daemon/peer_duty.hpp
@@ -12,7 +12,7 @@
 #include <greengagedrum/peers/demand_links.hpp>
 #include <greengagedrum/peers/load_delta.hpp>
 #include <greengagedrum/peers/mesh.hpp>
-#include <greengagedrum/rings/bounded_ring.hpp>
+#include <greengagedrum/rings/bounded_queue.hpp>
 
 #include <atomic>
 #include <cstdint>
@@ -166,7 +166,7 @@
     peer_duty_options options;
     callers::inbox& events;
     config_thread& documents;
-    rings::bounded_ring<order> ring;
+    rings::bounded_queue<order> ring;
     membership::roster roster; // and all below: the duty's thread only
     peers::mesh links;
     peers::demand_links on_demand;
--- a/src/greengagedrum/rings/bounded_ring.hpp
+++ b/src/greengagedrum/rings/bounded_queue.hpp
@@ -17,10 +17,10 @@
 {
 
 template <class Item>
-class bounded_ring
+class bounded_queue
 {
 public:
-    explicit bounded_ring(std::size_t capacity) : items(capacity) {}
+    explicit bounded_queue(std::size_t capacity) : items(capacity) {}
 
     // False when the ring is full or closed; the item is then untouched.
     [[nodiscard]] bool push(Item&& item)
@@ -33,14 +33,14 @@
         return true;
     }
 
-    // Waits up to `patience` for items, then moves all of them to `out`.
+    // Waits up to `timeout` for items, then moves all of them to `out`.
     // False once the ring is closed and drained.
     template <class Rep, class Period>
     bool drain(std::vector<Item>& out,
-               std::chrono::duration<Rep, Period> patience)
+               std::chrono::duration<Rep, Period> timeout)
     {
         std::unique_lock lock(this->mutex);
-        this->filled.wait_for(lock, patience, [this] {
+        this->filled.wait_for(lock, timeout, [this] {
             return this->closed || !this->items.empty();
         });
         for (Item& item : this->items)
--- a/src/greengagedrum/telemetry/collector.hpp
+++ b/src/greengagedrum/telemetry/collector.hpp
@@ -8,7 +8,7 @@
 // is dropped and counted: metrics may lose, requests may not.
 #pragma once
 
-#include <greengagedrum/rings/bounded_ring.hpp>
+#include <greengagedrum/rings/bounded_queue.hpp>
 #include <greengagedrum/telemetry/registry.hpp>
 
 #include <atomic>
@@ -45,7 +45,7 @@
 private:
     void run();
 
-    rings::bounded_ring<measurement> ring;
+    rings::bounded_queue<measurement> ring;
     std::atomic<std::uint64_t> dropped = 0;
     mutable std::mutex mutex; // of `current`
     registry current;
--- a/src/greengagedrum/trace/recorder.hpp
+++ b/src/greengagedrum/trace/recorder.hpp
@@ -8,7 +8,7 @@
 
 #include <greengagedrum/delivery/messages.hpp>
 #include <greengagedrum/delivery/scheduler.hpp>
-#include <greengagedrum/rings/bounded_ring.hpp>
+#include <greengagedrum/rings/bounded_queue.hpp>
 
 #include <atomic>
 #include <cstdint>
@@ -45,7 +45,7 @@
     bool write_all(std::string_view text) const;
 
     int descriptor;
-    rings::bounded_ring<std::string> lines;
+    rings::bounded_queue<std::string> lines;
     std::atomic<std::uint64_t> lost{0};
     std::atomic<bool> ending{false};
     std::uint64_t lost_told = 0; // of the recording thread
