--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -29,7 +29,7 @@
 // They are kept for peers that have not seen the removal yet.
 constexpr std::size_t max_items = 4096;
 
-bool is_evacuation(const routing::published_item& item)
+bool is_evacuation(const routing::store_item& item)
 {
     return !platform::evacuated_data_centre(item.key).empty();
 }
@@ -46,7 +46,7 @@
 
 } // namespace
 
-cluster_changes cluster_state::apply(const routing::item_list& listed_items,
+cluster_changes cluster_state::apply(const routing::store_item_list& listed_items,
                                      std::uint64_t as_of,
                                      bool whole,
                                      base::instant now)
@@ -54,17 +54,17 @@
     cluster_changes out;
     // Evacuations are applied first, so that an upstream listed together with
     // its evacuation is not added.
-    for (const routing::published_item& one : listed_items) {
+    for (const routing::store_item& one : listed_items) {
         if (is_evacuation(one))
             this->apply_item(one, now, out);
     }
-    for (const routing::published_item& one : listed_items) {
+    for (const routing::store_item& one : listed_items) {
         if (!is_evacuation(one))
             this->apply_item(one, now, out);
     }
     if (whole) {
         std::set<std::string_view> listed;
-        for (const routing::published_item& one : listed_items)
+        for (const routing::store_item& one : listed_items)
             listed.insert(one.key);
         std::vector<std::string> missing;
         for (const auto& [key, item] : this->items) {
@@ -88,7 +88,7 @@
     return out;
 }
 
-void cluster_state::apply_item(const routing::published_item& item,
+void cluster_state::apply_item(const routing::store_item& item,
                                base::instant now,
                                cluster_changes& out)
 {
@@ -108,7 +108,7 @@
     }
     const bool readable = configuration ? this->apply_configuration(item, out)
                                         : this->apply_upstream(item, now, out);
-    routing::published_item& kept = this->items[item.key];
+    routing::store_item& kept = this->items[item.key];
     kept = item;
     // Values written by other programs are neither stored nor passed on to
     // peers.
@@ -123,7 +123,7 @@
 {
     auto oldest = this->items.end();
     for (auto one = this->items.begin(); one != this->items.end(); ++one) {
-        const routing::published_item& item = one->second;
+        const routing::store_item& item = one->second;
         const bool empty =
             item.removed || (item.value.empty() && !is_evacuation(item));
         if (empty && (oldest == this->items.end() ||
@@ -138,7 +138,7 @@
     this->items.erase(oldest);
 }
 
-bool cluster_state::apply_configuration(const routing::published_item& item,
+bool cluster_state::apply_configuration(const routing::store_item& item,
                                         cluster_changes& out)
 {
     if (item.removed)
@@ -175,7 +175,7 @@
     return out;
 }
 
-void cluster_state::apply_evacuation(const routing::published_item& item,
+void cluster_state::apply_evacuation(const routing::store_item& item,
                                      cluster_changes& out)
 {
     const std::string data_centre(platform::evacuated_data_centre(item.key));
@@ -197,25 +197,25 @@
 
 // An unreadable value under an upstream's key was written by another program.
 // The upstream known under that key is removed; all others stay.
-bool cluster_state::apply_upstream(const routing::published_item& item,
+bool cluster_state::apply_upstream(const routing::store_item& item,
                                    base::instant now,
                                    cluster_changes& out)
 {
     const std::string name(platform::upstream_name(item.key));
-    const auto before = this->directory.life_of(name);
+    const auto before = this->directory.latest_incarnation(name);
     routing::upstream_change change = routing::upstream_change::none;
     bool readable = true;
     std::uint64_t hash = 0; // the item describes no upstream
     if (item.removed) {
-        change = this->directory.removed(
+        change = this->directory.remove(
             name, item.revision, this->removal_deadline(now));
     } else if (const auto read = this->read_upstream(item, out)) {
-        change = this->directory.learn(*read);
+        change = this->directory.update(*read);
         hash = content_hash(*read);
     } else {
         readable = false;
         out.unreadable_items.push_back(item.key + ": " + read.error());
-        change = this->directory.removed(name, item.revision, std::nullopt);
+        change = this->directory.remove(name, item.revision, std::nullopt);
     }
     this->update_digest(item.key, hash);
     if (item.removed || change != routing::upstream_change::none) {
@@ -246,15 +246,15 @@
 // Once upstreams publish a time of birth, an item without one is not an
 // upstream's.
 tl::expected<routing::published_upstream, std::string>
-cluster_state::read_upstream(const routing::published_item& item,
+cluster_state::read_upstream(const routing::store_item& item,
                              cluster_changes& out)
 {
     auto read = platform::read_upstream(item);
     if (!read)
         return read;
-    if (read->born && !this->births_published)
+    if (read->started_unix_ms && !this->births_published)
         this->drop_upstreams_without_birth(out);
-    if (this->births_published && !read->born)
+    if (this->births_published && !read->started_unix_ms)
         return tl::unexpected(std::string("no time of birth"));
     return read;
 }
@@ -265,11 +265,11 @@
     std::vector<routing::published_upstream> without_birth;
     this->directory.for_each_usable(
         [&](const routing::published_upstream& one) {
-            if (!one.born)
+            if (!one.started_unix_ms)
                 without_birth.push_back(one);
         });
     for (const routing::published_upstream& one : without_birth) {
-        this->directory.removed(one.name, one.revision, std::nullopt);
+        this->directory.remove(one.name, one.revision, std::nullopt);
         out.removed.push_back({one.name, one.id});
     }
 }
@@ -288,8 +288,8 @@
         out.removed.push_back({name, *before});
     if (change == upstream_change::left)
         return;
-    const auto life = this->directory.life_of(name);
-    out.added.push_back(*this->directory.find(*life));
+    const auto life = this->directory.latest_incarnation(name);
+    out.added.push_back(*this->directory.find_usable(*life));
 }
 
 std::optional<base::instant>
@@ -321,31 +321,31 @@
 {
     cluster_changes out;
     std::vector<std::string> expired;
-    this->directory.expire(now, expired);
+    this->directory.remove_expired(now, expired);
     for (const std::string& name : expired)
-        out.removed.push_back({name, *this->directory.life_of(name)});
+        out.removed.push_back({name, *this->directory.latest_incarnation(name)});
     return out;
 }
 
 cluster_changes cluster_state::mark_misdirected(base::upstream_id upstream)
 {
     cluster_changes out;
-    const routing::published_upstream* known = this->directory.find(upstream);
+    const routing::published_upstream* known = this->directory.find_usable(upstream);
     if (known == nullptr)
         return out;
     out.removed.push_back({known->name, upstream});
-    this->directory.misdirected(upstream);
+    this->directory.mark_misdirected(upstream);
     return out;
 }
 
 std::uint64_t cluster_state::configuration_revision() const
 {
-    return this->table ? this->table->source().revision : 0;
+    return this->table ? this->table->config().revision : 0;
 }
 
 std::int64_t cluster_state::configuration_version() const
 {
-    return this->table ? this->table->source().version : 0;
+    return this->table ? this->table->config().version : 0;
 }
 
 gossip::item_transfer
--- a/src/greengagedrum/entry/cluster_state.hpp
+++ b/src/greengagedrum/entry/cluster_state.hpp
@@ -48,7 +48,7 @@
 public:
     // `whole`: the list holds all items as of that revision, so known items
     // missing from it have been removed.
-    cluster_changes apply(const routing::item_list& items,
+    cluster_changes apply(const routing::store_item_list& items,
                           std::uint64_t as_of,
                           bool whole,
                           base::instant now);
@@ -92,16 +92,16 @@
     gossip::item_transfer items_after_change(std::uint64_t changes) const;
 
 private:
-    void apply_item(const routing::published_item& item,
+    void apply_item(const routing::store_item& item,
                     base::instant now,
                     cluster_changes& out);
     // False if the item can't be read.
-    bool apply_configuration(const routing::published_item& item,
+    bool apply_configuration(const routing::store_item& item,
                              cluster_changes& out);
-    bool apply_upstream(const routing::published_item& item,
+    bool apply_upstream(const routing::store_item& item,
                         base::instant now,
                         cluster_changes& out);
-    void apply_evacuation(const routing::published_item& item,
+    void apply_evacuation(const routing::store_item& item,
                           cluster_changes& out);
     routing::published_upstream
     with_full_warmup(const routing::published_upstream& one) const;
@@ -110,14 +110,14 @@
                                 std::optional<base::upstream_id> before,
                                 cluster_changes& out);
     tl::expected<routing::published_upstream, std::string>
-    read_upstream(const routing::published_item& item, cluster_changes& out);
+    read_upstream(const routing::store_item& item, cluster_changes& out);
     void drop_upstreams_without_birth(cluster_changes& out);
     void record_change(const std::string& key);
     void update_digest(const std::string& key, std::uint64_t hash);
     void drop_oldest_empty_item();
     std::optional<base::instant> removal_deadline(base::instant now) const;
 
-    std::map<std::string, routing::published_item, std::less<>> items;
+    std::map<std::string, routing::store_item, std::less<>> items;
     routing::route_table_ptr table;
     routing::upstream_directory directory;
     std::uint64_t revision = 0;
--- a/src/greengagedrum/entry/crash_suspect_log.cpp
+++ b/src/greengagedrum/entry/crash_suspect_log.cpp
@@ -9,17 +9,17 @@
 namespace
 {
 
-std::string_view event_name(quarantine::standing what)
+std::string_view event_name(quarantine::quarantine_state what)
 {
-    using quarantine::standing;
+    using quarantine::quarantine_state;
     switch (what) {
-    case standing::clear:
+    case quarantine_state::clear:
         return "request_cleared";
-    case standing::suspected:
+    case quarantine_state::suspected:
         return "request_suspected";
-    case standing::trial_due:
+    case quarantine_state::trial_due:
         return "request_trial_due";
-    case standing::quarantined:
+    case quarantine_state::quarantined:
         break;
     }
     return "request_quarantined";
@@ -31,22 +31,22 @@
 {
     if (!state.cluster.routes())
         return {};
-    const auto& all = state.cluster.routes()->source().workspaces;
+    const auto& all = state.cluster.routes()->config().workspaces;
     const auto found = std::find_if(
         all.begin(), all.end(), [&](const auto& one) { return one.id == id; });
     return found == all.end() ? std::string() : found->name;
 }
 
 void log_crash_suspect(shared_state& state,
-                       const quarantine::standing_change& change,
+                       const quarantine::quarantine_state_change& change,
                        std::string_view source)
 {
     const base::instant now = state.clock();
     const base::duration pause =
-        state.scheduler.crash_suspects().pause_left(change.request, now);
+        state.scheduler.crash_suspects().time_until_trial(change.request, now);
     state.log.write(now,
                     "quarantine",
-                    event_name(change.now),
+                    event_name(change.state),
                     {{"digest", base::to_hex(change.request)},
                      {"workspace", workspace_name(state, change.workspace)},
                      {"crashes", change.crashes},
--- a/src/greengagedrum/entry/crash_suspect_log.hpp
+++ b/src/greengagedrum/entry/crash_suspect_log.hpp
@@ -15,7 +15,7 @@
 // `source`: who observed the change: "own" for this entry, "operator", or the
 // name of a peer.
 void log_crash_suspect(shared_state& state,
-                       const quarantine::standing_change& change,
+                       const quarantine::quarantine_state_change& change,
                        std::string_view source);
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -88,12 +88,12 @@
         },
         [this] { this->peers->on_timer(); });
     store_events store_callbacks;
-    store_callbacks.items_received = [this](const routing::item_list& items,
+    store_callbacks.items_received = [this](const routing::store_item_list& items,
                              std::uint64_t as_of,
                              bool whole) {
         this->on_store_items(items, as_of, whole, "store");
     };
-    store_callbacks.page_received = [this](const routing::item_list& items) {
+    store_callbacks.page_received = [this](const routing::store_item_list& items) {
         this->apply_changes(
             this->state.cluster.apply(items, 0, false, this->state.clock()),
             "store");
@@ -211,11 +211,11 @@
         return;
     const traffic::slow_start_tolerance tolerance{
         this->own_settings.bounds.warmup_overshoot, this->own_settings.bounds.warmup_slack};
-    for (const routing::service& one : routes->source().services)
+    for (const routing::service& one : routes->config().services)
         this->state.scheduler.set_slow_start(
             one.id,
-            one.warmup_per_second > 0
-                ? traffic::slow_start_sends(one.warmup_per_second, tolerance)
+            one.warmup_requests_per_second > 0
+                ? traffic::slow_start_sends(one.warmup_requests_per_second, tolerance)
                 : 0);
 }
 
@@ -270,7 +270,7 @@
         static_cast<double>(this->state.cluster.upstreams().evacuated().size()));
     set(telemetry::gauge::requests_quarantined,
         static_cast<double>(
-            this->state.scheduler.crash_suspects().barred(now).size()));
+            this->state.scheduler.crash_suspects().list_quarantined(now).size()));
     set(telemetry::gauge::log_lines_dropped,
         static_cast<double>(logs::dropped_lines() +
                             this->state.log.suppressed_lines()));
--- a/src/greengagedrum/entry/entry_lifecycle.cpp
+++ b/src/greengagedrum/entry/entry_lifecycle.cpp
@@ -34,7 +34,7 @@
 
 // ---- News -----------------------------------------------------------------
 
-void entry::on_store_items(const routing::item_list& items,
+void entry::on_store_items(const routing::store_item_list& items,
                     std::uint64_t as_of,
                     bool whole,
                     const char* source)
@@ -57,7 +57,7 @@
                                {"source", source}});
     if (changes.configuration_changed) {
         const routing::configuration& config =
-            this->state.cluster.routes()->source();
+            this->state.cluster.routes()->config();
         this->state.limiter.set_limits(config, now);
         this->apply_slow_start_limits();
         logs::write(logs::level::info,
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -105,7 +105,7 @@
         of.state.delegating = true;
         const dispatch::request_changes news = this->of(of).book.lost_all();
         for (const dispatch::counted_cost& cost : news.withdrawn)
-            of.state.limiter.withdrawn(
+            of.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
     };
     out.delegation_ended = [this, &of](std::size_t unheard,
@@ -123,7 +123,7 @@
     out.member_lost = [this, &of](base::slot_id member) {
         for (const dispatch::counted_cost& cost :
              this->of(of).book.lost(member).withdrawn)
-            of.state.limiter.withdrawn(
+            of.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
     };
     out.members_awaiting_reply = [this, &of] {
@@ -152,11 +152,11 @@
         at.protocol->schedule_gossip();
         return;
     }
-    if (at.state.limiter.take(busy, cost, 0, this->fleet.time())) {
+    if (at.state.limiter.try_acquire(busy, cost, 0, this->fleet.time())) {
         this->result.refused += 1;
         return;
     }
-    at.state.limiter.sent(busy, cost, this->fleet.time());
+    at.state.limiter.on_sent(busy, cost, this->fleet.time());
     this->let_through(cost);
 }
 
@@ -169,15 +169,15 @@
             known->sender, known->incarnation, known->usage, this->fleet.time());
     else
         one.state.limiter.restart(this->fleet.time());
-    one.state.limiter.set_unheard_peers(unheard);
-    one.state.limiter.assume_silent_peers(this->fleet.time());
+    one.state.limiter.set_never_heard_peer_count(unheard);
+    one.state.limiter.update_silent_peers(this->fleet.time());
     one.state.delegating = false;
     for (const auto& [id, request] : this->of(one).requests) {
-        if (one.state.limiter.take(busy, request.cost, 0, this->fleet.time())) {
+        if (one.state.limiter.try_acquire(busy, request.cost, 0, this->fleet.time())) {
             this->result.refused += 1;
             continue;
         }
-        one.state.limiter.sent(busy, request.cost, this->fleet.time());
+        one.state.limiter.on_sent(busy, request.cost, this->fleet.time());
         this->let_through(request.cost);
     }
     this->of(one).requests.clear();
@@ -207,10 +207,10 @@
     const dispatch::request_changes news =
         book.report(member, told.incarnation, told.report, told.uses);
     for (const dispatch::counted_cost& cost : news.withdrawn)
-        limiter.withdrawn(cost.workspace, cost.amount, this->fleet.time());
+        limiter.refund_unsent(cost.workspace, cost.amount, this->fleet.time());
     for (const auto& [id, wanted] : news.arrived) {
         const auto over =
-            limiter.take(busy, wanted.cost, 0, this->fleet.time());
+            limiter.try_acquire(busy, wanted.cost, 0, this->fleet.time());
         if (over) {
             book.declined(id,
                           base::not_run(base::reason::limit_reached, *over));
@@ -221,7 +221,7 @@
         order.send = 1;
         order.upstream = base::upstream_id("any");
         book.granted(order);
-        limiter.sent(busy, wanted.cost, this->fleet.time());
+        limiter.on_sent(busy, wanted.cost, this->fleet.time());
     }
 }
 
@@ -300,7 +300,7 @@
             continue;
         this->result.kept_for_absent = std::max(
             this->result.kept_for_absent,
-            one->state.limiter.view(busy, this->fleet.time()).absent_share);
+            one->state.limiter.status_of(busy, this->fleet.time()).absent_share);
         for (const auto& [id, request] : this->works[number].requests) {
             const bool late = this->fleet.time() - request.arrived > 1s;
             this->result.unanswered += late ? 1 : 0;
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -13,7 +13,7 @@
     for (auto& [id, request] : this->requests) {
         if (request.sent_at)
             continue;
-        const auto over = this->state.limiter.take(request.workspace,
+        const auto over = this->state.limiter.try_acquire(request.workspace,
                                                    request.cost,
                                                    request.priority,
                                                    this->state.clock());
@@ -43,9 +43,9 @@
     const base::instant now = this->state.clock();
     quota::usage_limiter& limiter = this->state.limiter;
     if (request.sent_at)
-        limiter.not_run(request.workspace, request.cost, now);
+        limiter.refund_not_run(request.workspace, request.cost, now);
     else
-        limiter.withdrawn(request.workspace, request.cost, now);
+        limiter.refund_unsent(request.workspace, request.cost, now);
 }
 
 // The entry that counts says what it went by; where it placed for another one,
@@ -56,8 +56,8 @@
                                      base::duration retry_after)
 {
     const base::instant now = this->state.clock();
-    const quota::limit_view seen = this->state.limiter.view(workspace, now);
-    const double kept = this->state.limiter.kept_for_more_urgent(
+    const quota::limit_status seen = this->state.limiter.status_of(workspace, now);
+    const double kept = this->state.limiter.reserved_for_higher_priority(
         workspace, cost, priority, now);
     const routing::workspace* of =
         this->state.cluster.routes()->find_workspace(workspace);
@@ -68,11 +68,11 @@
                            {"cost", cost},
                            {"priority", priority},
                            {"kept_for_more_urgent", kept},
-                           {"limit_level", seen.level},
-                           {"sent_here", seen.sent_here},
-                           {"sent", seen.sent},
-                           {"waiting", seen.waiting},
-                           {"bound", seen.bound},
+                           {"limit_level", seen.bucket_level},
+                           {"sent_here", seen.own_sent},
+                           {"sent", seen.all_sent},
+                           {"waiting", seen.all_waiting},
+                           {"bound", seen.window_bound},
                            {"absent_share", seen.absent_share},
                            {"window_known", seen.window_known},
                            {"retry_after_ms", to_milliseconds(retry_after)}});
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -77,8 +77,8 @@
             known->sender, known->incarnation, known->usage, now);
     else
         this->state.limiter.restart(now);
-    this->state.limiter.set_unheard_peers(unheard);
-    this->state.limiter.assume_silent_peers(now);
+    this->state.limiter.set_never_heard_peer_count(unheard);
+    this->state.limiter.update_silent_peers(now);
     this->state.delegating = false;
     this->state.scheduler.delegate(false);
     this->count_waiting_requests();
@@ -109,7 +109,7 @@
 {
     const base::instant now = this->state.clock();
     for (const dispatch::counted_cost& cost : news.withdrawn)
-        this->state.limiter.withdrawn(cost.workspace, cost.amount, now);
+        this->state.limiter.refund_unsent(cost.workspace, cost.amount, now);
     for (const traffic::event& one : news.events)
         this->submit_event(one);
     for (const auto& [id, wanted] : news.arrived)
@@ -121,7 +121,7 @@
 {
     const auto over = wanted.counted
                           ? std::nullopt
-                          : this->state.limiter.take(wanted.facts.workspace,
+                          : this->state.limiter.try_acquire(wanted.facts.workspace,
                                                      wanted.cost,
                                                      wanted.facts.priority,
                                                      this->state.clock());
@@ -139,7 +139,7 @@
 }
 
 // As the configuration in force here says: members ask by route and workspace.
-routing::homes
+routing::data_centre_constraint
 request_handler::homes_of(const traffic::request_facts& facts) const
 {
     const routing::route_table_ptr& table = this->state.cluster.routes();
@@ -147,28 +147,28 @@
         table ? table->find_route(facts.kind) : nullptr;
     if (route == nullptr)
         return {};
-    return routing::homes_of(
+    return routing::data_centre_constraint_of(
         *route, table->find_workspace(facts.workspace), this->state.regions);
 }
 
 void request_handler::grant_slot(const traffic::send_request& order)
 {
     const base::instant now = this->state.clock();
-    if (this->state.cluster.upstreams().find(order.upstream) == nullptr) {
+    if (this->state.cluster.upstreams().find_usable(order.upstream) == nullptr) {
         // It left within this very turn.
         if (const auto cost = this->members.forget(order.request))
-            this->state.limiter.withdrawn(cost->workspace, cost->amount, now);
+            this->state.limiter.refund_unsent(cost->workspace, cost->amount, now);
         return this->submit_event(traffic::caller_left{order.request});
     }
     if (const auto cost = this->members.granted(order))
-        this->state.limiter.sent(cost->workspace, cost->amount, now);
+        this->state.limiter.on_sent(cost->workspace, cost->amount, now);
 }
 
 void request_handler::decline_slot(const traffic::end_request& order)
 {
     const auto cost = this->members.declined(order.request, order.verdict);
     if (cost)
-        this->state.limiter.withdrawn(
+        this->state.limiter.refund_unsent(
             cost->workspace, cost->amount, this->state.clock());
 }
 
--- a/src/greengagedrum/entry/peer_protocol.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -253,7 +253,7 @@
                                       : gossip::message_kind::load);
     out.uses = this->state.scheduler.own_uses(now);
     out.waiting = this->state.scheduler.own_waiting(now);
-    out.workspace_uses = this->state.limiter.own_uses(now);
+    out.workspace_uses = this->state.limiter.own_usage(now);
     out.known = this->table.some_known(who, now);
     out.suspects = this->suspects_for(who == gossip::audience::own_data_centre
                                           ? this->suspects_to_near
@@ -304,7 +304,7 @@
         this->events.member_lost(base::slot_id(peer));
     }
     this->count_entries(now);
-    this->state.limiter.assume_silent_peers(now);
+    this->state.limiter.update_silent_peers(now);
     const auto newest = this->table.newest_source(now, this->turn);
     const bool changed =
         newest && newest->change_revision > this->state.cluster.last_change_revision();
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -61,7 +61,7 @@
         return;
     const auto changes =
         this->state.scheduler.crash_suspects().merge(received.suspects, now);
-    for (const quarantine::standing_change& one : changes)
+    for (const quarantine::quarantine_state_change& one : changes)
         log_crash_suspect(this->state, one, received.instance);
 }
 
@@ -81,7 +81,7 @@
     if (this->large)
         this->counting[slot] = told.address;
     this->state.scheduler.peer_told(slot, told.uses, told.waiting, now);
-    this->state.limiter.peer_told(
+    this->state.limiter.on_peer_report(
         slot, told.incarnation, told.workspace_uses, told.stopping, now);
     if (this->state.scheduler.waiting() > 0)
         this->events.peer_load_changed();
@@ -125,7 +125,7 @@
     if (told.workspace_uses.empty())
         return;
     if (!this->state.delegating) {
-        this->state.limiter.peer_told(
+        this->state.limiter.on_peer_report(
             slot, told.incarnation, told.workspace_uses, told.stopping, now);
         if (told.delegating)
             this->state.limiter.forget_peer(slot);
--- a/src/greengagedrum/entry/peer_sending.cpp
+++ b/src/greengagedrum/entry/peer_sending.cpp
@@ -37,7 +37,7 @@
     const bool all = now - sent_all_at >= suspects_gap;
     if (all)
         sent_all_at = now;
-    return suspects.reports(now, all);
+    return suspects.collect_reports(now, all);
 }
 
 // Its members leave at the first sign of it, so those next in line are told of
@@ -58,7 +58,7 @@
         return;
     gossip::message out = this->own_message(gossip::message_kind::reply);
     out.delegating = true;
-    out.workspace_uses = this->state.limiter.window_uses(now);
+    out.workspace_uses = this->state.limiter.window_usage(now);
     this->transport.send(gossip::encode(out), *this->dispatcher);
 }
 
@@ -173,7 +173,7 @@
         out.suspects = suspects;
         out.reply = this->events.make_reply(slot);
         if (std::find(next.begin(), next.end(), one.address) != next.end())
-            out.workspace_uses = this->state.limiter.window_uses(now);
+            out.workspace_uses = this->state.limiter.window_usage(now);
         this->transport.send(gossip::encode(out), one.address);
     }
 }
--- a/src/greengagedrum/entry/quarantine_endpoint.cpp
+++ b/src/greengagedrum/entry/quarantine_endpoint.cpp
@@ -21,14 +21,14 @@
     const quarantine::suspect_table& suspects =
         state.scheduler.crash_suspects();
     nlohmann::json out = nlohmann::json::array();
-    for (const quarantine::standing_change& one : suspects.barred(now))
+    for (const quarantine::quarantine_state_change& one : suspects.list_quarantined(now))
         out.push_back(
             {{"digest", base::to_hex(one.request)},
              {"workspace", workspace_name(state, one.workspace)},
-             {"standing", quarantine::to_string(one.now)},
+             {"standing", quarantine::to_string(one.state)},
              {"crashes", one.crashes},
              {"pause_ms",
-              to_milliseconds(suspects.pause_left(one.request, now))}});
+              to_milliseconds(suspects.time_until_trial(one.request, now))}});
     return {relay::status_ok, "application/json", out.dump() + "\n"};
 }
 
@@ -36,11 +36,11 @@
 {
     const base::instant now = state.clock();
     quarantine::suspect_table& suspects = state.scheduler.crash_suspects();
-    for (const quarantine::standing_change& one : suspects.barred(now)) {
+    for (const quarantine::quarantine_state_change& one : suspects.list_quarantined(now)) {
         if (base::to_hex(one.request) != digest)
             continue;
-        for (const quarantine::standing_change& change :
-             suspects.cleared(one.request, now))
+        for (const quarantine::quarantine_state_change& change :
+             suspects.clear_suspicion(one.request, now))
             log_crash_suspect(state, change, "operator");
         return {relay::status_ok, "text/plain", "released\n"};
     }
--- a/src/greengagedrum/entry/request_handler.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -90,7 +90,7 @@
     if (!this->state.cluster.routes())
         return out;
     const routing::caller_limits& limits =
-        this->state.cluster.routes()->source().limits;
+        this->state.cluster.routes()->config().limits;
     if (limits.head_bytes > 0)
         out.read.head_bytes = limits.head_bytes;
     if (limits.body_bytes > 0)
@@ -131,7 +131,7 @@
             ? nullptr
             : table->find_workspace(out.origin.marks.key);
     const bool needs_key =
-        !route->anonymous && !table->source().workspaces.empty();
+        !route->anonymous && !table->config().workspaces.empty();
     if (needs_key && owner == nullptr)
         return own_answer{401, "no such key", {}};
     this->fill_facts(*route, owner, waited, out);
@@ -151,13 +151,13 @@
     traffic::request_facts& facts = out.facts;
     facts.service = target.service;
     facts.kind = route.id;
-    facts.rule = route.rule;
+    facts.rule = route.retry;
     facts.stream = route.stream;
-    facts.priority = this->state.cluster.routes()->urgency(route, owner);
-    facts.sends_max = route.sends_max;
-    facts.homes = routing::homes_of(route, owner, this->state.regions);
-    facts.objective = route.objective;
-    facts.gap_objective = route.gap_objective;
+    facts.priority = this->state.cluster.routes()->effective_priority(route, owner);
+    facts.sends_max = route.attempts_max;
+    facts.homes = routing::data_centre_constraint_of(route, owner, this->state.regions);
+    facts.objective = route.latency_objective;
+    facts.gap_objective = route.event_gap_objective;
     facts.prompt_tokens = marks.prompt_tokens.value_or(0);
     facts.output_tokens =
         marks.expected_tokens.value_or(marks.output_tokens / output_divisor);
@@ -167,7 +167,7 @@
     facts.time_left = std::max(left, base::duration(0));
     out.origin.route = route.name;
     out.origin.stream = route.stream;
-    out.origin.repeatable = route.rule != routing::repeat_rule::at_most_once;
+    out.origin.repeatable = route.retry != routing::retry_policy::at_most_once;
     out.series = {"", tier_of(facts.priority), route.name};
     if (owner == nullptr)
         return;
@@ -178,7 +178,7 @@
     const double tokens =
         marks.prompt_tokens
             ? static_cast<double>(*marks.prompt_tokens) + marks.output_tokens
-            : owner->limit.plain_tokens;
+            : owner->limit.default_request_tokens;
     out.cost = owner->limit.in_tokens ? tokens : 1;
 }
 
@@ -198,7 +198,7 @@
     const bool counted_here = !this->state.delegating;
     const auto retry_after =
         counted_here
-            ? this->state.limiter.take(
+            ? this->state.limiter.try_acquire(
                   request.workspace, request.cost, request.facts.priority, now)
             : std::nullopt;
     this->state.log.write(
@@ -215,7 +215,7 @@
          {"config_version", this->state.cluster.configuration_version()},
          {"cost", request.cost},
          {"limit_level",
-          this->state.limiter.view(request.workspace, now).level}});
+          this->state.limiter.status_of(request.workspace, now).bucket_level}});
     if (retry_after) {
         this->log_over_limit(
             request.workspace, request.cost, request.facts.priority, *retry_after);
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -40,7 +40,7 @@
 struct limit_handover {
     base::slot_id sender;
     base::incarnation incarnation;
-    std::vector<quota::workspace_use> usage;
+    std::vector<quota::workspace_usage> usage;
     bool sender_stopping = false; // it has none but its own requests from then on
     base::instant received_at;
 };
@@ -154,11 +154,11 @@
     void execute_action(const traffic::end_request& action);
     void execute_action(const traffic::check_upstream& action);
     void execute_action(const traffic::trust_changed& change);
-    void execute_action(const quarantine::standing_change& change);
+    void execute_action(const quarantine::quarantine_state_change& change);
     void grant_slot(const traffic::send_request& action);
     void decline_slot(const traffic::end_request& action);
     void apply_member_changes(const dispatch::request_changes& news);
-    routing::homes homes_of(const traffic::request_facts& facts) const;
+    routing::data_centre_constraint homes_of(const traffic::request_facts& facts) const;
     void add_member_request(base::request_id id,
                            const dispatch::slot_request& wanted);
     void count_waiting_requests();
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -93,7 +93,7 @@
         this->state.scheduler.upstream_left(one.id);
     // The same news may have taken away what it brought.
     for (const routing::published_upstream& one : changes.added) {
-        if (this->state.cluster.upstreams().find(one.id) != nullptr)
+        if (this->state.cluster.upstreams().find_usable(one.id) != nullptr)
             this->state.scheduler.upstream_joined(one, now);
     }
 }
@@ -114,7 +114,7 @@
     active_request& request = this->requests.at(action.request);
     const base::instant now = this->state.clock();
     const routing::published_upstream* to =
-        this->state.cluster.upstreams().find(action.upstream);
+        this->state.cluster.upstreams().find_usable(action.upstream);
     if (to == nullptr) {
         // It left within this very turn.
         return this->submit_event(traffic::not_sent{action.request, action.send});
@@ -125,7 +125,7 @@
     if (!request.sent_at) {
         request.sent_at = now;
         if (request.counted_here)
-            this->state.limiter.sent(request.workspace, request.cost, now);
+            this->state.limiter.on_sent(request.workspace, request.cost, now);
     }
     const std::shared_ptr<exchange> http_exchange = request.http_exchange;
     this->state.log.write(now,
@@ -209,7 +209,7 @@
          {"bad_share", change.bad_share}});
 }
 
-void request_handler::execute_action(const quarantine::standing_change& change)
+void request_handler::execute_action(const quarantine::quarantine_state_change& change)
 {
     log_crash_suspect(this->state, change, "own");
 }
--- a/src/greengagedrum/entry/store_reader.cpp
+++ b/src/greengagedrum/entry/store_reader.cpp
@@ -112,26 +112,26 @@
                                : std::min(this->pages_revision, page->as_of);
     if (page->more)
         return this->on_partial_page(page->items);
-    for (routing::published_item& one : page->items)
+    for (routing::store_item& one : page->items)
         this->pages.push_back(std::move(one));
     this->failures = 0;
     this->last_revision = this->pages_revision;
     this->last_key.clear();
     this->events.call_answered();
-    const routing::item_list all = std::exchange(this->pages, {});
+    const routing::store_item_list all = std::exchange(this->pages, {});
     this->events.items_received(all, this->last_revision, true);
     this->schedule_next_call(this->poll_interval);
 }
 
 // Other programs' items may fill a thousand pages. The configuration, which is
 // on the first one, must not wait for the last.
-void store_reader::on_partial_page(routing::item_list& items)
+void store_reader::on_partial_page(routing::store_item_list& items)
 {
     if (items.empty() || items.back().key <= this->last_key)
         return this->on_failure("page does not go beyond the previous one");
     this->events.page_received(items);
     this->last_key = items.back().key;
-    for (routing::published_item& one : items)
+    for (routing::store_item& one : items)
         this->pages.push_back(std::move(one));
     this->start_call();
 }
--- a/src/greengagedrum/entry/store_reader.hpp
+++ b/src/greengagedrum/entry/store_reader.hpp
@@ -9,7 +9,7 @@
 #include <greengagedrum/base/ip_address.hpp>
 #include <greengagedrum/base/time.hpp>
 #include <greengagedrum/relay/http_get.hpp>
-#include <greengagedrum/routing/published_item.hpp>
+#include <greengagedrum/routing/store_item.hpp>
 
 #include <cstdint>
 #include <functional>
@@ -22,11 +22,11 @@
 struct store_events {
     // All items (`whole`), or those changed since the last call.
     std::function<void(
-        const routing::item_list& items, std::uint64_t as_of, bool whole)>
+        const routing::store_item_list& items, std::uint64_t as_of, bool whole)>
         items_received;
     // A part of all items, reported before the rest is read. The items are
     // valid, but the call does not mean that anything else is up to date.
-    std::function<void(const routing::item_list& items)> page_received;
+    std::function<void(const routing::store_item_list& items)> page_received;
     std::function<void(const std::string& why)> call_failed;
     std::function<void()> call_answered;
     // True while another entry reads the store for this one.
@@ -66,7 +66,7 @@
     void request_watch();
     void on_page(const relay::fetched& response);
     void on_watch(const relay::fetched& response);
-    void on_partial_page(routing::item_list& items);
+    void on_partial_page(routing::store_item_list& items);
     void on_watch_failed(const std::string& why);
     void schedule_next_call(base::duration pause);
     bool is_idle() const;
@@ -76,7 +76,7 @@
     std::shared_ptr<relay::http_get> client;
     base::ip_endpoint store;
     store_events events;
-    routing::item_list pages; // the pages of a full listing in progress
+    routing::store_item_list pages; // the pages of a full listing in progress
     std::string last_key;
     std::uint64_t pages_revision = 0;
     base::duration poll_interval{0}; // pause between watches
--- a/src/greengagedrum/entry/test/dispatch_test.cpp
+++ b/src/greengagedrum/entry/test/dispatch_test.cpp
@@ -135,7 +135,7 @@
            dispatch::dispatcher_reply& into)
 {
     into.granted.push_back(
-        {wanted.name, routing::life_id("i-1", std::nullopt), 50ms, 0, 5});
+        {wanted.name, routing::incarnation_id("i-1", std::nullopt), 50ms, 0, 5});
 }
 
 } // namespace
--- a/src/greengagedrum/entry/test/quarantine_endpoint_test.cpp
+++ b/src/greengagedrum/entry/test/quarantine_endpoint_test.cpp
@@ -28,7 +28,7 @@
         quarantine::suspect_table& suspects =
             this->state.scheduler.crash_suspects();
         for (const char* name : {"i-1", "i-2"})
-            suspects.crashed(this->request,
+            suspects.on_crash(this->request,
                              base::workspace_id("shop"),
                              base::upstream_id(name),
                              this->now);
--- a/src/greengagedrum/entry/test/store_reader_test.cpp
+++ b/src/greengagedrum/entry/test/store_reader_test.cpp
@@ -34,10 +34,10 @@
     {
         this->store.start();
         store_events callbacks;
-        callbacks.items_received = [this](const routing::item_list&,
+        callbacks.items_received = [this](const routing::store_item_list&,
                                           std::uint64_t,
                                           bool) { this->listings += 1; };
-        callbacks.page_received = [this](const routing::item_list& items) {
+        callbacks.page_received = [this](const routing::store_item_list& items) {
             this->partial_pages += 1;
             CHECK(items.front().key == "op/config");
         };
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -80,11 +80,11 @@
     return out;
 }
 
-std::vector<quota::workspace_use>
+std::vector<quota::workspace_usage>
 workspace_uses_of(const flatbuffers::Vector<const wire::WorkspaceUse*>& list,
                   const wire::Message& from)
 {
-    std::vector<quota::workspace_use> out;
+    std::vector<quota::workspace_usage> out;
     for (const wire::WorkspaceUse* one : list) {
         const std::size_t at = out.size();
         out.push_back(
@@ -166,11 +166,11 @@
     std::vector<std::uint32_t> spent_lately;
     std::vector<std::uint32_t> spent_by_all;
     for (const auto& one : told.workspace_uses) {
-        spent.emplace_back(one.workspace.value, one.used);
+        spent.emplace_back(one.workspace.value, one.sent_total);
         spent_waiting.push_back(one.waiting);
-        spent_lately.push_back(one.lately);
+        spent_lately.push_back(one.sent_in_window);
         spent_by_all.insert(
-            spent_by_all.end(), one.all_lately.begin(), one.all_lately.end());
+            spent_by_all.end(), one.all_sent_in_window.begin(), one.all_sent_in_window.end());
     }
     std::vector<wire::Known> known;
     std::vector<wire::Standing> standings;
@@ -268,7 +268,7 @@
 {
     flatbuffers::FlatBufferBuilder builder;
     std::vector<flatbuffers::Offset<wire::Item>> items;
-    for (const routing::published_item& one : passed.items)
+    for (const routing::store_item& one : passed.items)
         items.push_back(wire::CreateItem(builder,
                                          builder.CreateString(one.key),
                                          builder.CreateString(one.value),
--- a/src/greengagedrum/gossip/message.hpp
+++ b/src/greengagedrum/gossip/message.hpp
@@ -6,7 +6,7 @@
 #include <greengagedrum/dispatch/messages.hpp>
 #include <greengagedrum/quarantine/messages.hpp>
 #include <greengagedrum/quota/usage_limiter.hpp>
-#include <greengagedrum/routing/published_item.hpp>
+#include <greengagedrum/routing/store_item.hpp>
 #include <greengagedrum/traffic/scheduler.hpp>
 
 #include <cstdint>
@@ -62,7 +62,7 @@
     base::duration store_age{0}; // since the store last answered the sender
     std::vector<traffic::upstream_use> uses;
     std::vector<traffic::service_waiting> waiting;
-    std::vector<quota::workspace_use> workspace_uses;
+    std::vector<quota::workspace_usage> workspace_uses;
     std::vector<known_entry> known;
     std::uint32_t cpu_millicores = 0; // thousandths of a processor
     base::duration uptime{0};         // the sender's process, at least
@@ -78,7 +78,7 @@
     base::incarnation incarnation;     // of the sender
     std::uint64_t changes = 0;         // of it
     bool whole = false; // all that there is; what is missing was removed
-    routing::item_list items;
+    routing::store_item_list items;
 };
 
 std::string encode(const message& told);
--- a/src/greengagedrum/platform/documents.cpp
+++ b/src/greengagedrum/platform/documents.cpp
@@ -54,14 +54,14 @@
     return out;
 }
 
-routing::repeat_rule read_rule(const json& from)
+routing::retry_policy read_rule(const json& from)
 {
     const auto type = from.value("routeType", "non_idempotent"s);
     if (type == "idempotent")
-        return routing::repeat_rule::idempotent;
+        return routing::retry_policy::idempotent;
     if (type == "streaming" && from.value("streamResume", false))
-        return routing::repeat_rule::resumable;
-    return routing::repeat_rule::at_most_once;
+        return routing::retry_policy::resumable;
+    return routing::retry_policy::at_most_once;
 }
 
 routing::route read_route(const json& from)
@@ -69,16 +69,16 @@
     routing::route out;
     out.name = from.at("name").get<std::string>();
     out.id = base::kind_id(out.name);
-    out.host = routing::plain_host(from.at("hostname").get<std::string>());
+    out.host = routing::normalized_host(from.at("hostname").get<std::string>());
     out.prefix = from.at("prefix").get<std::string>();
-    out.rule = read_rule(from);
+    out.retry = read_rule(from);
     out.stream = from.value("routeType", ""s) == "streaming";
     out.anonymous = from.value("anonymous", false);
     out.priority = bounded_number(from, "priority", 0U);
-    out.sends_max = std::max(1U, bounded_number(from, "maxAttempts", 1U));
+    out.attempts_max = std::max(1U, bounded_number(from, "maxAttempts", 1U));
     out.timeout = milliseconds_of(from, "timeoutMs");
-    out.objective = milliseconds_of(from, "targetLatencyMs");
-    out.gap_objective = milliseconds_of(from, "targetGapMs");
+    out.latency_objective = milliseconds_of(from, "targetLatencyMs");
+    out.event_gap_objective = milliseconds_of(from, "targetGapMs");
     out.targets = read_targets(from);
     out.regions = from.value("allowedRegions", std::vector<std::string>());
     return out;
@@ -92,7 +92,8 @@
     out.engine = from.contains("engine");
     out.connections_max = bounded_number(from, "maxConnections", 0U);
     out.warmup = time_of(from, "warmupS", second);
-    out.warmup_per_second = std::max(0.0, from.value("warmupPerS", 0.0));
+    out.warmup_requests_per_second =
+        std::max(0.0, from.value("warmupPerS", 0.0));
     return out;
 }
 
@@ -110,7 +111,7 @@
     out.limit.burst = from.value("burst", 0.0);
     out.limit.in_tokens = from.value("unit", ""s) == "tokens";
     // Not about a cache: what a request without a token count costs.
-    out.limit.plain_tokens = from.value("uncachedTokens", 0.0);
+    out.limit.default_request_tokens = from.value("uncachedTokens", 0.0);
     return out;
 }
 
@@ -169,8 +170,8 @@
 {
     routing::published_upstream out;
     out.name = name;
-    out.born = read_born(from);
-    out.id = routing::life_id(name, out.born);
+    out.started_unix_ms = read_born(from);
+    out.id = routing::incarnation_id(name, out.started_unix_ms);
     out.service = base::class_id(from.at("service").get<std::string>());
     const auto address = from.at("address").get<std::string>();
     const auto endpoint = base::endpoint_from(address);
@@ -213,7 +214,7 @@
 }
 
 tl::expected<routing::configuration, std::string>
-read_configuration(const routing::published_item& item)
+read_configuration(const routing::store_item& item)
 {
     try {
         const json from = json::parse(item.value);
@@ -234,7 +235,7 @@
 }
 
 tl::expected<routing::published_upstream, std::string>
-read_upstream(const routing::published_item& item)
+read_upstream(const routing::store_item& item)
 {
     if (item.value.size() > upstream_bytes_most)
         return tl::unexpected(std::string("too large"));
--- a/src/greengagedrum/platform/test/platform_test.cpp
+++ b/src/greengagedrum/platform/test/platform_test.cpp
@@ -117,29 +117,29 @@
     CHECK(read->revision == 31);
     const routing::route& stream = read->routes.at(0);
     CHECK(stream.host == "hall.example");
-    CHECK(stream.rule == routing::repeat_rule::resumable);
+    CHECK(stream.retry == routing::retry_policy::resumable);
     CHECK(stream.stream);
     CHECK(stream.regions == std::vector<std::string>{"west"});
     CHECK(read->routes.at(1).regions.empty());
     CHECK(read->workspaces.at(0).regions.size() == 2);
-    CHECK(stream.sends_max == 2);
+    CHECK(stream.attempts_max == 2);
     CHECK(stream.timeout == 12s);
-    CHECK(stream.objective == 800ms);
+    CHECK(stream.latency_objective == 800ms);
     CHECK(stream.targets.size() == 2);
     const routing::route& plain = read->routes.at(1);
-    CHECK(plain.rule == routing::repeat_rule::at_most_once);
+    CHECK(plain.retry == routing::retry_policy::at_most_once);
     CHECK(plain.anonymous);
-    CHECK(plain.sends_max == 1);
+    CHECK(plain.attempts_max == 1);
     CHECK(plain.targets.at(0).service_name == "s-2");
     CHECK(read->services.at(0).engine);
     CHECK(read->services.at(0).warmup == 2500ms);
-    CHECK(read->services.at(0).warmup_per_second == 7.3);
-    CHECK(read->services.at(1).warmup_per_second == 0);
+    CHECK(read->services.at(0).warmup_requests_per_second == 7.3);
+    CHECK(read->services.at(1).warmup_requests_per_second == 0);
     CHECK_FALSE(read->services.at(1).engine);
     const routing::workspace& owner = read->workspaces.at(0);
     CHECK(owner.keys.size() == 2);
     CHECK(owner.limit.in_tokens);
-    CHECK(owner.limit.plain_tokens == 200);
+    CHECK(owner.limit.default_request_tokens == 200);
     CHECK(read->limits.idle_timeout == 15s);
 }
 
@@ -152,7 +152,7 @@
          1,
          false});
     REQUIRE(read);
-    CHECK(read->routes.at(0).rule == routing::repeat_rule::at_most_once);
+    CHECK(read->routes.at(0).retry == routing::retry_policy::at_most_once);
 }
 
 TEST_CASE("configuration_without_its_fields_is_refused")
--- a/src/greengagedrum/quarantine/suspect_table.cpp
+++ b/src/greengagedrum/quarantine/suspect_table.cpp
@@ -40,20 +40,21 @@
            static_cast<double>(parts);
 }
 
-standing suspect_table::standing_of(const base::request_digest& request,
-                                    base::instant now) const
+quarantine_state suspect_table::state_of(const base::request_digest& request,
+                                         base::instant now) const
 {
     const auto found = this->records.find(request);
     return found == this->records.end()
-               ? standing::clear
-               : found->second.known.standing_at(now, this->offset(request));
+               ? quarantine_state::clear
+               : found->second.known.state_at(now, this->offset(request));
 }
 
-base::duration suspect_table::pause_left(const base::request_digest& request,
-                                         base::instant now) const
+base::duration
+suspect_table::time_until_trial(const base::request_digest& request,
+                                base::instant now) const
 {
     constexpr base::duration least = std::chrono::seconds(1);
-    if (this->standing_of(request, now) != standing::quarantined)
+    if (this->state_of(request, now) != quarantine_state::quarantined)
         return base::duration(0);
     const crash_record& known = this->records.at(request).known;
     return std::max(known.trial_from(this->offset(request)) - now, least);
@@ -61,11 +62,12 @@
 
 void suspect_table::note_change(const base::request_digest& request,
                                 const entry& of,
-                                standing before,
+                                quarantine_state before,
                                 base::instant now,
                                 changes& out) const
 {
-    const standing after = of.known.standing_at(now, this->offset(request));
+    const quarantine_state after =
+        of.known.state_at(now, this->offset(request));
     if (after != before)
         out.push_back({request, of.known.workspace(), after, of.known.count()});
 }
@@ -73,17 +75,17 @@
 // ---- What this entry sees ---------------------------------------------------
 
 suspect_table::changes
-suspect_table::crashed(const base::request_digest& request,
-                       base::workspace_id workspace,
-                       base::upstream_id upstream,
-                       base::instant now)
+suspect_table::on_crash(const base::request_digest& request,
+                        base::workspace_id workspace,
+                        base::upstream_id upstream,
+                        base::instant now)
 {
     changes out;
     const auto answered = this->answers.last(request);
     if (answered && now <= *answered + answer_holds)
         return out;
     entry& own = this->find_or_add(request, workspace);
-    const standing before = this->standing_of(request, now);
+    const quarantine_state before = this->state_of(request, now);
     if (own.known.add(upstream, now, false))
         own.changed_at = now;
     this->presumed_gone[upstream] = now;
@@ -92,7 +94,8 @@
 }
 
 suspect_table::changes
-suspect_table::cleared(const base::request_digest& request, base::instant now)
+suspect_table::clear_suspicion(const base::request_digest& request,
+                               base::instant now)
 {
     changes out;
     this->answers.add(request, now);
@@ -100,17 +103,18 @@
     if (found == this->records.end())
         return out;
     entry& own = found->second;
-    const standing before = this->standing_of(request, now);
+    const quarantine_state before = this->state_of(request, now);
     own.known.answered(now);
-    if (before != standing::clear)
+    if (before != quarantine_state::clear)
         own.changed_at = now;
     this->note_change(request, own, before, now, out);
     return out;
 }
 
-void suspect_table::sent(const base::request_digest& request, base::instant now)
+void suspect_table::on_sent(const base::request_digest& request,
+                            base::instant now)
 {
-    if (this->standing_of(request, now) != standing::trial_due)
+    if (this->state_of(request, now) != quarantine_state::trial_due)
         return;
     entry& own = this->records.at(request);
     own.known.trial_sent(now);
@@ -123,7 +127,7 @@
 {
     changes out;
     for (auto& [request, own] : this->records) {
-        const standing before = this->standing_of(request, now);
+        const quarantine_state before = this->state_of(request, now);
         if (apply(own.known))
             own.changed_at = now;
         this->note_change(request, own, before, now, out);
@@ -132,17 +136,19 @@
 }
 
 suspect_table::changes
-suspect_table::upstream_answered(base::upstream_id upstream, base::instant now)
+suspect_table::on_upstream_answered(base::upstream_id upstream,
+                                    base::instant now)
 {
     const auto gone = this->presumed_gone.find(upstream);
     if (gone == this->presumed_gone.end() || now < gone->second + read_late)
         return {};
-    return this->upstream_accepts(upstream, now);
+    return this->on_upstream_reachable(upstream, now);
 }
 
 // Its connections were reset, no more.
 suspect_table::changes
-suspect_table::upstream_accepts(base::upstream_id upstream, base::instant now)
+suspect_table::on_upstream_reachable(base::upstream_id upstream,
+                                     base::instant now)
 {
     this->presumed_gone.erase(upstream);
     this->found_alive[upstream] = now;
@@ -150,8 +156,8 @@
         now, [&](crash_record& known) { return known.remove(upstream); });
 }
 
-suspect_table::changes suspect_table::upstream_gone(base::upstream_id upstream,
-                                                    base::instant now)
+suspect_table::changes
+suspect_table::on_upstream_gone(base::upstream_id upstream, base::instant now)
 {
     return this->change_all(
         now, [&](crash_record& known) { return known.confirm(upstream); });
@@ -159,7 +165,8 @@
 
 // ---- What peers see ---------------------------------------------------------
 
-std::vector<suspect_report> suspect_table::reports(base::instant now, bool rest)
+std::vector<suspect_report> suspect_table::collect_reports(base::instant now,
+                                                           bool rest)
 {
     std::vector<suspect_report> out;
     for (const auto& [request, own] : this->records) {
@@ -204,7 +211,7 @@
         if (!this->has_room_for(one))
             continue;
         entry& own = this->find_or_add(one.request, one.workspace);
-        const standing before = this->standing_of(one.request, now);
+        const quarantine_state before = this->state_of(one.request, now);
         if (this->merge_one(own, one, now))
             own.changed_at = now;
         this->note_change(one.request, own, before, now, out);
@@ -217,7 +224,7 @@
                               base::instant now)
 {
     bool changed = own.known.merge_times(received, now);
-    for (const crash_sighting& one : received.crashes) {
+    for (const reported_crash& one : received.crashes) {
         if (this->found_alive.contains(one.upstream))
             continue;
         if (!own.known.add(one.upstream, now - one.age, true))
@@ -302,7 +309,7 @@
     this->records.erase(which);
 }
 
-void suspect_table::tick(base::instant now)
+void suspect_table::remove_expired(base::instant now)
 {
     if (now < this->swept_at + sweep_gap)
         return;
@@ -324,7 +331,7 @@
     std::erase_if(this->found_alive, old);
 }
 
-suspect_table::changes suspect_table::barred(base::instant now) const
+suspect_table::changes suspect_table::list_quarantined(base::instant now) const
 {
     changes out;
     for (const auto& [request, own] : this->records) {
@@ -332,7 +339,7 @@
         if (crashes >= crashes_allowed)
             out.push_back({request,
                            own.known.workspace(),
-                           this->standing_of(request, now),
+                           this->state_of(request, now),
                            crashes});
     }
     return out;
--- a/src/greengagedrum/quarantine/suspect_table.hpp
+++ b/src/greengagedrum/quarantine/suspect_table.hpp
@@ -27,46 +27,48 @@
 class suspect_table
 {
 public:
-    using changes = std::vector<standing_change>;
+    using changes = std::vector<quarantine_state_change>;
 
     // `salt` differs between entries, so that their trials don't coincide.
     explicit suspect_table(std::uint64_t salt) : salt(salt) {}
 
-    standing standing_of(const base::request_digest& request,
-                         base::instant now) const;
-    // Until a trial may be made; zero for what is not quarantined.
-    base::duration pause_left(const base::request_digest& request,
+    quarantine_state state_of(const base::request_digest& request,
                               base::instant now) const;
+    // Until a trial may be made; zero for what is not quarantined.
+    base::duration time_until_trial(const base::request_digest& request,
+                                    base::instant now) const;
 
-    // ---- What this entry sees, and whose standing changes by it
+    // ---- What this entry sees, and whose quarantine state changes by it
 
-    changes crashed(const base::request_digest& request,
-                    base::workspace_id workspace,
-                    base::upstream_id upstream,
-                    base::instant now);
+    changes on_crash(const base::request_digest& request,
+                     base::workspace_id workspace,
+                     base::upstream_id upstream,
+                     base::instant now);
     // It was answered, whatever the answer says, or an operator released it.
-    changes cleared(const base::request_digest& request, base::instant now);
+    changes clear_suspicion(const base::request_digest& request,
+                            base::instant now);
     // A copy of it is sent; a trial, if one is due.
-    void sent(const base::request_digest& request, base::instant now);
+    void on_sent(const base::request_digest& request, base::instant now);
     // An upstream has answered something.
-    changes upstream_answered(base::upstream_id upstream, base::instant now);
+    changes on_upstream_answered(base::upstream_id upstream, base::instant now);
     // After its connections were lost it takes new ones, or does not.
-    changes upstream_accepts(base::upstream_id upstream, base::instant now);
-    changes upstream_gone(base::upstream_id upstream, base::instant now);
+    changes on_upstream_reachable(base::upstream_id upstream,
+                                  base::instant now);
+    changes on_upstream_gone(base::upstream_id upstream, base::instant now);
 
     // ---- What peers see
 
     // What is new, and beside it, with `rest`, a part of all else by turns.
-    std::vector<suspect_report> reports(base::instant now, bool rest);
+    std::vector<suspect_report> collect_reports(base::instant now, bool rest);
     changes merge(std::span<const suspect_report> received, base::instant now);
 
     // Drops what has lapsed.
-    void tick(base::instant now);
+    void remove_expired(base::instant now);
 
     bool empty() const { return this->records.empty(); }
     std::size_t size() const { return this->records.size(); }
     // Those that crashed too many upstreams, for metrics and operators.
-    changes barred(base::instant now) const;
+    changes list_quarantined(base::instant now) const;
 
 private:
     struct entry {
@@ -84,10 +86,10 @@
     bool
     merge_one(entry& own, const suspect_report& received, base::instant now);
     double offset(const base::request_digest& request) const;
-    // Adds the standing to `out` if it differs from `before`.
+    // Adds the quarantine state to `out` if it differs from `before`.
     void note_change(const base::request_digest& request,
                      const entry& of,
-                     standing before,
+                     quarantine_state before,
                      base::instant now,
                      changes& out) const;
     template <class Change>
--- a/src/greengagedrum/quarantine/test/suspect_table_test.cpp
+++ b/src/greengagedrum/quarantine/test/suspect_table_test.cpp
@@ -27,17 +27,17 @@
 
     suspect_table::changes crash(const base::request_digest& what, int upstream)
     {
-        auto out = this->tested.crashed(
+        auto out = this->tested.on_crash(
             what, this->shop, this->upstream(upstream), this->now);
-        this->tested.upstream_gone(this->upstream(upstream), this->now);
+        this->tested.on_upstream_gone(this->upstream(upstream), this->now);
         return out;
     }
 
     void crash_at_peer(int upstream)
     {
-        this->peer.crashed(
+        this->peer.on_crash(
             this->request, this->shop, this->upstream(upstream), this->now);
-        this->peer.upstream_gone(this->upstream(upstream), this->now);
+        this->peer.on_upstream_gone(this->upstream(upstream), this->now);
     }
 
     static base::upstream_id upstream(int number)
@@ -45,21 +45,21 @@
         return base::upstream_id("i-" + std::to_string(number));
     }
 
-    standing is() const
+    quarantine_state is() const
     {
-        return this->tested.standing_of(this->request, this->now);
+        return this->tested.state_of(this->request, this->now);
     }
 
     void quarantine()
     {
         this->crash(this->request, 1);
         this->crash(this->request, 2);
-        REQUIRE(this->is() == standing::quarantined);
+        REQUIRE(this->is() == quarantine_state::quarantined);
     }
 
     void tell(suspect_table& from, suspect_table& to, bool rest = false)
     {
-        to.merge(from.reports(this->now, rest), this->now);
+        to.merge(from.collect_reports(this->now, rest), this->now);
     }
 };
 
@@ -69,9 +69,9 @@
 {
     const auto change = this->crash(this->request, 1);
     REQUIRE(change.size() == 1);
-    CHECK(change.front().now == standing::suspected);
-    CHECK(this->is() == standing::suspected);
-    CHECK(this->tested.pause_left(this->request, this->now) == 0s);
+    CHECK(change.front().state == quarantine_state::suspected);
+    CHECK(this->is() == quarantine_state::suspected);
+    CHECK(this->tested.time_until_trial(this->request, this->now) == 0s);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "request_crashes_two_upstreams_quarantined")
@@ -79,10 +79,10 @@
     this->crash(this->request, 1);
     const auto change = this->crash(this->request, 2);
     REQUIRE(change.size() == 1);
-    CHECK(change.front().now == standing::quarantined);
+    CHECK(change.front().state == quarantine_state::quarantined);
     CHECK(change.front().crashes == 2);
-    CHECK(this->tested.pause_left(this->request, this->now) >= 60s);
-    CHECK(this->tested.barred(this->now).size() == 1);
+    CHECK(this->tested.time_until_trial(this->request, this->now) >= 60s);
+    CHECK(this->tested.list_quarantined(this->now).size() == 1);
 }
 
 // Two requests that broke with one upstream are two sights of one crash.
@@ -91,26 +91,26 @@
 {
     this->crash(this->request, 1);
     CHECK(this->crash(this->request, 1).empty());
-    CHECK(this->is() == standing::suspected);
+    CHECK(this->is() == quarantine_state::suspected);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "request_answered_cleared")
 {
     this->quarantine();
-    const auto change = this->tested.cleared(this->request, this->now);
+    const auto change = this->tested.clear_suspicion(this->request, this->now);
     REQUIRE(change.size() == 1);
-    CHECK(change.front().now == standing::clear);
-    CHECK(this->is() == standing::clear);
+    CHECK(change.front().state == quarantine_state::clear);
+    CHECK(this->is() == quarantine_state::clear);
 }
 
 // A body that many callers send runs on each upstream that ever crashes.
 TEST_CASE_FIXTURE(table_fixture, "request_answered_lately_not_suspected")
 {
-    this->tested.cleared(this->request, this->now);
+    this->tested.clear_suspicion(this->request, this->now);
     this->now += 9s;
     CHECK(this->crash(this->request, 1).empty());
     CHECK(this->crash(this->request, 2).empty());
-    CHECK(this->is() == standing::clear);
+    CHECK(this->is() == quarantine_state::clear);
     this->now += 2s;
     CHECK(this->crash(this->request, 3).size() == 1);
 }
@@ -120,73 +120,75 @@
 {
     this->quarantine();
     const std::vector<suspect_report> told =
-        this->tested.reports(this->now, false);
-    this->tested.upstream_answered(this->upstream(1), this->now + 50ms);
-    CHECK(this->is() == standing::quarantined); // written before its end
-    this->tested.upstream_answered(this->upstream(1), this->now + 150ms);
-    CHECK(this->is() == standing::suspected);
+        this->tested.collect_reports(this->now, false);
+    this->tested.on_upstream_answered(this->upstream(1), this->now + 50ms);
+    CHECK(this->is() ==
+          quarantine_state::quarantined); // written before its end
+    this->tested.on_upstream_answered(this->upstream(1), this->now + 150ms);
+    CHECK(this->is() == quarantine_state::suspected);
     this->now += 200ms;
     this->tested.merge(told, this->now);
-    CHECK(this->is() == standing::suspected);
+    CHECK(this->is() == quarantine_state::suspected);
 }
 
 // Connections that were reset are no crash, at once and for all entries.
 TEST_CASE_FIXTURE(table_fixture, "upstream_takes_connections_crash_taken_back")
 {
     for (const int number : {1, 2})
-        this->tested.crashed(
+        this->tested.on_crash(
             this->request, this->shop, upstream(number), this->now);
-    REQUIRE(this->is() == standing::quarantined);
+    REQUIRE(this->is() == quarantine_state::quarantined);
     const auto change =
-        this->tested.upstream_accepts(upstream(1), this->now + 20ms);
+        this->tested.on_upstream_reachable(upstream(1), this->now + 20ms);
     REQUIRE(change.size() == 1);
-    CHECK(change.front().now == standing::suspected);
+    CHECK(change.front().state == quarantine_state::suspected);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "crash_not_confirmed_not_told_to_peers")
 {
-    this->tested.crashed(this->request, this->shop, upstream(1), this->now);
+    this->tested.on_crash(this->request, this->shop, upstream(1), this->now);
     this->tell(this->tested, this->peer);
-    CHECK(this->peer.standing_of(this->request, this->now) == standing::clear);
+    CHECK(this->peer.state_of(this->request, this->now) ==
+          quarantine_state::clear);
     this->now += 300ms;
-    this->tested.upstream_gone(upstream(1), this->now);
+    this->tested.on_upstream_gone(upstream(1), this->now);
     this->tell(this->tested, this->peer);
-    CHECK(this->peer.standing_of(this->request, this->now) ==
-          standing::suspected);
+    CHECK(this->peer.state_of(this->request, this->now) ==
+          quarantine_state::suspected);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "trial_due_after_pause_one_copy_sent")
 {
     this->quarantine();
     this->now += 59s;
-    CHECK(this->is() == standing::quarantined);
+    CHECK(this->is() == quarantine_state::quarantined);
     this->now += 62s;
-    CHECK(this->is() == standing::trial_due);
-    this->tested.sent(this->request, this->now);
-    CHECK(this->is() == standing::quarantined);
-    CHECK(this->tested.pause_left(this->request, this->now) > 0s);
+    CHECK(this->is() == quarantine_state::trial_due);
+    this->tested.on_sent(this->request, this->now);
+    CHECK(this->is() == quarantine_state::quarantined);
+    CHECK(this->tested.time_until_trial(this->request, this->now) > 0s);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "trial_crashes_next_pause_ten_times_as_long")
 {
     this->quarantine();
     this->now += 121s;
-    this->tested.sent(this->request, this->now);
+    this->tested.on_sent(this->request, this->now);
     this->now += 1s;
     this->crash(this->request, 3);
     this->now += 590s;
-    CHECK(this->is() == standing::quarantined);
+    CHECK(this->is() == quarantine_state::quarantined);
     this->now += 620s;
-    CHECK(this->is() == standing::trial_due);
+    CHECK(this->is() == quarantine_state::trial_due);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "trial_never_ends_another_may_be_made")
 {
     this->quarantine();
     this->now += 121s;
-    this->tested.sent(this->request, this->now);
+    this->tested.on_sent(this->request, this->now);
     this->now += 31s;
-    CHECK(this->is() == standing::trial_due);
+    CHECK(this->is() == quarantine_state::trial_due);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "trial_of_a_peer_told_no_second_one_here")
@@ -194,10 +196,10 @@
     this->quarantine();
     this->tell(this->tested, this->peer);
     this->now += 125s;
-    this->peer.sent(this->request, this->now);
-    REQUIRE(this->is() == standing::trial_due);
+    this->peer.on_sent(this->request, this->now);
+    REQUIRE(this->is() == quarantine_state::trial_due);
     this->tell(this->peer, this->tested);
-    CHECK(this->is() == standing::quarantined);
+    CHECK(this->is() == quarantine_state::quarantined);
 }
 
 TEST_CASE_FIXTURE(table_fixture,
@@ -206,12 +208,12 @@
     this->crash(this->request, 1);
     this->crash_at_peer(1);
     this->tell(this->peer, this->tested);
-    CHECK(this->is() == standing::suspected);
+    CHECK(this->is() == quarantine_state::suspected);
     this->crash_at_peer(2);
     this->tell(this->peer, this->tested);
-    CHECK(this->is() == standing::quarantined);
+    CHECK(this->is() == quarantine_state::quarantined);
     this->tell(this->peer, this->tested);
-    CHECK(this->tested.barred(this->now).front().crashes == 2);
+    CHECK(this->tested.list_quarantined(this->now).front().crashes == 2);
 }
 
 // Two entries repeat to each other what they know: it is no news to either.
@@ -219,10 +221,10 @@
 {
     this->quarantine();
     this->tell(this->tested, this->peer);
-    CHECK(this->peer.reports(this->now, false).size() == 1);
+    CHECK(this->peer.collect_reports(this->now, false).size() == 1);
     this->now += 500ms;
     this->tell(this->tested, this->peer, true);
-    CHECK(this->peer.reports(this->now, false).empty());
+    CHECK(this->peer.collect_reports(this->now, false).empty());
 }
 
 TEST_CASE_FIXTURE(table_fixture, "answer_at_a_peer_told_cleared_here")
@@ -230,20 +232,20 @@
     this->quarantine();
     this->tell(this->tested, this->peer);
     this->now += 1s;
-    this->peer.cleared(this->request, this->now);
+    this->peer.clear_suspicion(this->request, this->now);
     this->tell(this->peer, this->tested);
-    CHECK(this->is() == standing::clear);
+    CHECK(this->is() == quarantine_state::clear);
 }
 
 // A peer has answered the same request, and hears that it is suspected.
 TEST_CASE_FIXTURE(table_fixture, "suspicion_told_to_one_that_answered_cleared")
 {
-    this->peer.cleared(this->request, this->now);
+    this->peer.clear_suspicion(this->request, this->now);
     this->now += 1s;
     this->quarantine();
     this->tell(this->tested, this->peer);
     this->tell(this->peer, this->tested);
-    CHECK(this->is() == standing::clear);
+    CHECK(this->is() == quarantine_state::clear);
 }
 
 // A process that starts anew learns what is no longer news to the others.
@@ -255,10 +257,10 @@
     for (std::uint64_t number = 1; number <= 40; ++number)
         this->crash(body(number), 9);
     this->now += 5s;
-    CHECK(this->tested.reports(this->now, false).empty());
+    CHECK(this->tested.collect_reports(this->now, false).empty());
     this->tell(this->tested, this->peer, true);
-    CHECK(this->peer.standing_of(this->request, this->now) ==
-          standing::quarantined);
+    CHECK(this->peer.state_of(this->request, this->now) ==
+          quarantine_state::quarantined);
     for (int turn = 0; turn < 10; ++turn)
         this->tell(this->tested, this->peer, true);
     CHECK(this->peer.size() == 41);
@@ -273,16 +275,16 @@
     for (std::uint64_t number = 1; number <= 5000; ++number) {
         this->now += 1ms;
         const int upstream = 10 + static_cast<int>(number);
-        this->tested.crashed(
+        this->tested.on_crash(
             body(number), hostile, this->upstream(upstream), this->now);
-        this->tested.crashed(
+        this->tested.on_crash(
             body(number), hostile, this->upstream(-upstream), this->now);
     }
     CHECK(this->tested.size() <= 513);
-    CHECK(this->is() == standing::quarantined);
-    CHECK(this->tested.standing_of(body(5000), this->now) ==
-          standing::quarantined);
-    CHECK(this->tested.reports(this->now, true).size() <= 28);
+    CHECK(this->is() == quarantine_state::quarantined);
+    CHECK(this->tested.state_of(body(5000), this->now) ==
+          quarantine_state::quarantined);
+    CHECK(this->tested.collect_reports(this->now, true).size() <= 28);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "single_crash_lapses_quarantine_stays")
@@ -291,11 +293,11 @@
     this->crash(other, 1);
     this->quarantine();
     this->now += 11min;
-    this->tested.tick(this->now);
-    CHECK(this->tested.standing_of(other, this->now) == standing::clear);
+    this->tested.remove_expired(this->now);
+    CHECK(this->tested.state_of(other, this->now) == quarantine_state::clear);
     CHECK(this->tested.size() == 1);
     this->now += 49h;
-    this->tested.tick(this->now);
+    this->tested.remove_expired(this->now);
     CHECK(this->tested.empty());
 }
 
--- a/src/greengagedrum/quota/test/entries_run.cpp
+++ b/src/greengagedrum/quota/test/entries_run.cpp
@@ -128,7 +128,7 @@
                 base::incarnation{this->next_life++},
                 this->factors.back().second};
     // Its settings name some of the others.
-    fresh.limiter.set_unheard_peers(
+    fresh.limiter.set_never_heard_peer_count(
         std::min<std::size_t>(3, this->entries.size() - 1));
     this->entries[at] = std::move(fresh);
     this->configure(this->entries[at]);
@@ -150,7 +150,7 @@
 {
     for (std::size_t from = 0; from < this->entries.size(); ++from) {
         entry& one = this->entries[from];
-        const auto uses = one.limiter.own_uses(this->now);
+        const auto uses = one.limiter.own_usage(this->now);
         for (std::size_t to = 0; to < this->entries.size(); ++to) {
             if (to != from && this->connected(from, to))
                 this->messages.push_back(
@@ -168,8 +168,8 @@
         if (told.life != this->entries[told.from].life)
             continue; // of a process that has ended
         usage_limiter& to = this->entries[told.to].limiter;
-        to.set_unheard_peers(0);
-        to.peer_told(
+        to.set_never_heard_peer_count(0);
+        to.on_peer_report(
             name_of(told.from), told.life, told.uses, false, this->now);
     }
 }
@@ -179,7 +179,7 @@
     entry& one = this->entries[at];
     this->result.asked += cost;
     this->asked_by_time.emplace_back(this->now, cost);
-    if (one.limiter.take(busy, cost, 0, this->now)) {
+    if (one.limiter.try_acquire(busy, cost, 0, this->now)) {
         this->result.refused += cost;
         return;
     }
@@ -219,10 +219,10 @@
         if (of.life != one.life)
             return true; // its process has ended
         if (!one.sent) {
-            of.limiter.withdrawn(busy, one.cost, this->now);
+            of.limiter.refund_unsent(busy, one.cost, this->now);
             return true;
         }
-        of.limiter.sent(busy, one.cost, this->now);
+        of.limiter.on_sent(busy, one.cost, this->now);
         this->ran.push_back({one.taken, this->now, one.cost});
         this->result.let += one.cost;
         return true;
@@ -238,7 +238,7 @@
         this->restart_due();
         this->deliver_messages();
         for (entry& one : this->entries)
-            one.limiter.assume_silent_peers(this->now);
+            one.limiter.update_silent_peers(this->now);
         this->ask();
         this->end_waiting();
         if (this->now < messages_at)
--- a/src/greengagedrum/quota/test/handover_test.cpp
+++ b/src/greengagedrum/quota/test/handover_test.cpp
@@ -21,7 +21,7 @@
     CHECK(this->take(this->peer, 400));
     for (int message = 0; message < 30; ++message) {
         this->now += 100ms;
-        this->hear_peer(this->peer.own_uses(this->now), true);
+        this->hear_peer(this->peer.own_usage(this->now), true);
         this->own.forget_peer(base::slot_id("peer"));
     }
     CHECK(this->take(this->own, 490));
@@ -33,13 +33,13 @@
 TEST_CASE_FIXTURE(limiter_fixture, "peer_that_places_again_counts_what_is_new")
 {
     CHECK(this->take(this->peer, 400));
-    this->hear_peer(this->peer.own_uses(this->now), false);
+    this->hear_peer(this->peer.own_usage(this->now), false);
     this->own.forget_peer(base::slot_id("peer"));
     this->now += 100ms;
     this->peer.set_tolerance({8s, 0.25, 0});
     this->peer.restart(this->now);
     CHECK(this->take(this->peer, 20));
-    this->hear_peer(this->peer.own_uses(this->now), false);
+    this->hear_peer(this->peer.own_usage(this->now), false);
     CHECK_FALSE(this->take(this->own, 490));
     CHECK(this->take(this->own, 470));
 }
@@ -53,7 +53,7 @@
     usage_limiter next = this->fresh_limiter({8s, 0, 0});
     next.take_over(base::slot_id("peer"),
                    base::incarnation{2},
-                   this->peer.window_uses(this->now),
+                   this->peer.window_usage(this->now),
                    this->now);
     CHECK(this->take(next, 390));
     CHECK_FALSE(this->take(next, 20));
@@ -66,11 +66,11 @@
 // where they are counted anew.
 TEST_CASE_FIXTURE(limiter_fixture, "requests_waiting_at_the_former_are_no_use")
 {
-    CHECK_FALSE(this->peer.take(planning, 400, 0, this->now));
+    CHECK_FALSE(this->peer.try_acquire(planning, 400, 0, this->now));
     usage_limiter next = this->fresh_limiter({8s, 0, 0});
     next.take_over(base::slot_id("peer"),
                    base::incarnation{2},
-                   this->peer.window_uses(this->now),
+                   this->peer.window_usage(this->now),
                    this->now);
     CHECK(this->take(next, 800));
 }
@@ -84,13 +84,13 @@
     usage_limiter next = this->fresh_limiter({8s, 0, 0});
     next.take_over(base::slot_id("peer"),
                    base::incarnation{2},
-                   this->peer.window_uses(this->now),
-                   this->now);
-    next.peer_told(base::slot_id("own"),
-                   base::incarnation{1},
-                   this->own.own_uses(this->now),
-                   false,
+                   this->peer.window_usage(this->now),
                    this->now);
+    next.on_peer_report(base::slot_id("own"),
+                        base::incarnation{1},
+                        this->own.own_usage(this->now),
+                        false,
+                        this->now);
     CHECK(this->take(next, 310));
     CHECK_FALSE(this->take(next, 20));
 }
@@ -99,12 +99,12 @@
 // same.
 TEST_CASE_FIXTURE(limiter_fixture, "part_of_unreported_members_is_kept")
 {
-    this->own.set_unreported_members(0.5, this->now);
-    this->own.assume_silent_peers(this->now);
+    this->own.set_unreported_member_share(0.5, this->now);
+    this->own.update_silent_peers(this->now);
     CHECK(this->take(this->own, 400));
     CHECK_FALSE(this->take(this->own, 60));
-    this->own.set_unreported_members(0, this->now);
-    this->own.assume_silent_peers(this->now);
+    this->own.set_unreported_member_share(0, this->now);
+    this->own.update_silent_peers(this->now);
     this->now += 9s;
     CHECK(this->take(this->own, 800));
 }
@@ -115,8 +115,8 @@
                   "part_of_unreported_members_leaves_peers_theirs")
 {
     this->talk();
-    this->own.set_unreported_members(0.5, this->now);
-    this->own.assume_silent_peers(this->now);
+    this->own.set_unreported_member_share(0.5, this->now);
+    this->own.update_silent_peers(this->now);
     CHECK(this->take(this->own, 600));
     CHECK_FALSE(this->take(this->own, 60));
 }
@@ -139,14 +139,15 @@
     now += 2min; // the buckets are full
     for (const routing::workspace& one : config.workspaces) {
         const double cost = one.id == busy ? 800 : 10;
-        REQUIRE_FALSE(former.take(one.id, cost, 0, now));
-        former.sent(one.id, cost, now);
+        REQUIRE_FALSE(former.try_acquire(one.id, cost, 0, now));
+        former.on_sent(one.id, cost, now);
     }
-    const std::vector<workspace_use> told = former.window_uses(now);
+    const std::vector<workspace_usage> told = former.window_usage(now);
     CHECK(told.size() == 300);
-    CHECK(std::any_of(told.begin(), told.end(), [&](const workspace_use& one) {
-        return one.workspace == busy && one.lately == 800;
-    }));
+    CHECK(
+        std::any_of(told.begin(), told.end(), [&](const workspace_usage& one) {
+            return one.workspace == busy && one.sent_in_window == 800;
+        }));
 }
 
 } // namespace greengagedrum::quota
--- a/src/greengagedrum/quota/test/limiter_fixture.hpp
+++ b/src/greengagedrum/quota/test/limiter_fixture.hpp
@@ -58,34 +58,34 @@
 
     bool take(usage_limiter& from, double cost)
     {
-        if (from.take(planning, cost, 0, this->now))
+        if (from.try_acquire(planning, cost, 0, this->now))
             return false;
-        from.sent(planning, cost, this->now);
+        from.on_sent(planning, cost, this->now);
         return true;
     }
 
-    void hear_peer(const std::vector<workspace_use>& uses, bool stopping)
+    void hear_peer(const std::vector<workspace_usage>& uses, bool stopping)
     {
-        this->own.peer_told(base::slot_id("peer"),
-                            base::incarnation{2},
-                            uses,
-                            stopping,
-                            this->now);
+        this->own.on_peer_report(base::slot_id("peer"),
+                                 base::incarnation{2},
+                                 uses,
+                                 stopping,
+                                 this->now);
     }
 
     // Each tells the other all that it let through.
     void talk()
     {
-        this->own.peer_told(base::slot_id("peer"),
-                            base::incarnation{2},
-                            this->peer.own_uses(this->now),
-                            false,
-                            this->now);
-        this->peer.peer_told(base::slot_id("own"),
-                             base::incarnation{1},
-                             this->own.own_uses(this->now),
-                             false,
-                             this->now);
+        this->own.on_peer_report(base::slot_id("peer"),
+                                 base::incarnation{2},
+                                 this->peer.own_usage(this->now),
+                                 false,
+                                 this->now);
+        this->peer.on_peer_report(base::slot_id("own"),
+                                  base::incarnation{1},
+                                  this->own.own_usage(this->now),
+                                  false,
+                                  this->now);
     }
 };
 
--- a/src/greengagedrum/quota/test/usage_limiter_test.cpp
+++ b/src/greengagedrum/quota/test/usage_limiter_test.cpp
@@ -54,7 +54,7 @@
     CHECK(this->take(this->own, 760));
     CHECK(this->take(this->peer, 90));
     this->talk();
-    CHECK(this->own.view(planning, this->now).level < 0);
+    CHECK(this->own.status_of(planning, this->now).bucket_level < 0);
     this->limit_to(50, 100);
     CHECK_FALSE(this->take(this->own, 30));
     this->now += 1s;
@@ -73,7 +73,7 @@
 TEST_CASE_FIXTURE(limiter_fixture, "refused_request_says_when_there_is_room")
 {
     CHECK(this->take(this->own, burst));
-    const auto wait = this->own.take(planning, 50, 0, this->now);
+    const auto wait = this->own.try_acquire(planning, 50, 0, this->now);
     REQUIRE(wait);
     this->now += *wait + 1ms;
     CHECK(this->take(this->own, 50));
@@ -82,10 +82,10 @@
 TEST_CASE_FIXTURE(limiter_fixture, "cost_of_a_request_not_run_is_given_back")
 {
     CHECK(this->take(this->own, 500));
-    CHECK_FALSE(this->own.take(planning, 300, 0, this->now));
-    this->own.withdrawn(planning, 300, this->now);
+    CHECK_FALSE(this->own.try_acquire(planning, 300, 0, this->now));
+    this->own.refund_unsent(planning, 300, this->now);
     CHECK(this->take(this->own, 310));
-    CHECK(this->own.own_uses(this->now).front().used == 810);
+    CHECK(this->own.own_usage(this->now).front().sent_total == 810);
 }
 
 // Two data centres are cut off from each other while one workspace sends at
@@ -104,8 +104,8 @@
     double let = 0;
     for (int step = 0; step < 400; ++step) {
         this->now += 20ms;
-        this->own.assume_silent_peers(this->now);
-        this->peer.assume_silent_peers(this->now);
+        this->own.update_silent_peers(this->now);
+        this->peer.update_silent_peers(this->now);
         let += this->take(this->own, 4) ? 4 : 0;
         let += this->take(this->peer, 4) ? 4 : 0;
     }
@@ -132,12 +132,12 @@
 TEST_CASE_FIXTURE(limiter_fixture, "history_of_peers_is_no_use_of_now")
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0.25, 0});
-    const workspace_use long_ago[] = {{planning, 5'000'000}};
-    fresh.peer_told(base::slot_id("peer"),
-                    base::incarnation{2},
-                    long_ago,
-                    false,
-                    this->now);
+    const workspace_usage long_ago[] = {{planning, 5'000'000}};
+    fresh.on_peer_report(base::slot_id("peer"),
+                         base::incarnation{2},
+                         long_ago,
+                         false,
+                         this->now);
     CHECK(this->take(fresh, burst / 4));
 }
 
@@ -198,9 +198,9 @@
 // window it must not make room for a second time.
 TEST_CASE_FIXTURE(limiter_fixture, "cost_given_back_late_makes_room_once")
 {
-    CHECK_FALSE(this->own.take(planning, 800, 0, this->now));
+    CHECK_FALSE(this->own.try_acquire(planning, 800, 0, this->now));
     this->now += 2s;
-    this->own.withdrawn(planning, 800, this->now);
+    this->own.refund_unsent(planning, 800, this->now);
     CHECK(this->take(this->own, 800));
     this->now += 7s;
     double let = 0;
@@ -231,8 +231,8 @@
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0, 0});
     this->now += 90s;
-    const workspace_use told[] = {{planning, 5'000'000, 0, 300}};
-    fresh.peer_told(
+    const workspace_usage told[] = {{planning, 5'000'000, 0, 300}};
+    fresh.on_peer_report(
         base::slot_id("peer"), base::incarnation{2}, told, false, this->now);
     CHECK(this->take(fresh, 590));
     CHECK_FALSE(this->take(fresh, 110));
@@ -243,8 +243,8 @@
 TEST_CASE_FIXTURE(limiter_fixture, "fresh_process_learns_the_window_of_peers")
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0.25, 0});
-    const workspace_use told[] = {{planning, 300, 0, 300, {900}}};
-    fresh.peer_told(
+    const workspace_usage told[] = {{planning, 300, 0, 300, {900}}};
+    fresh.on_peer_report(
         base::slot_id("peer"), base::incarnation{2}, told, false, this->now);
     CHECK_FALSE(this->take(fresh, 10));
 }
@@ -256,7 +256,7 @@
 {
     this->hear_peer({{planning, 0, 400, 0}}, false);
     this->now += 500ms;
-    this->own.assume_silent_peers(this->now);
+    this->own.update_silent_peers(this->now);
     CHECK(this->take(this->own, 400));
     CHECK_FALSE(this->take(this->own, 100));
 }
@@ -267,7 +267,7 @@
 {
     this->hear_peer({{planning, 100, 0, 100}}, true);
     this->now += 500ms;
-    this->own.assume_silent_peers(this->now);
+    this->own.update_silent_peers(this->now);
     CHECK(this->take(this->own, 790));
 }
 
@@ -277,10 +277,10 @@
 {
     this->hear_peer({{planning, 100, 0, 100}}, false);
     this->now += 20s;
-    this->own.assume_silent_peers(this->now);
+    this->own.update_silent_peers(this->now);
     CHECK_FALSE(this->take(this->own, 800));
     this->now += 11s;
-    this->own.assume_silent_peers(this->now);
+    this->own.update_silent_peers(this->now);
     // It had used all of the limit: the bucket is filled from then on.
     this->now += 82s;
     CHECK(this->take(this->own, 800));
@@ -302,11 +302,11 @@
 {
     CHECK(this->take(this->own, 300));
     this->hear_peer({{planning, 200, 50, 200}}, false);
-    const limit_view seen = this->own.view(planning, this->now);
-    CHECK(seen.sent_here == 300);
-    CHECK(seen.sent == 500);
-    CHECK(seen.waiting == 50);
-    CHECK(seen.bound == rate * window_seconds + burst);
+    const limit_status seen = this->own.status_of(planning, this->now);
+    CHECK(seen.own_sent == 300);
+    CHECK(seen.all_sent == 500);
+    CHECK(seen.all_waiting == 50);
+    CHECK(seen.window_bound == rate * window_seconds + burst);
     CHECK(seen.absent_share == 0);
     CHECK(seen.window_known);
 }
@@ -325,7 +325,7 @@
     std::multimap<base::instant, double> returns;
     for (int caller = 0; caller < 10; ++caller) {
         this->now += 10ms;
-        const auto wait = this->own.take(planning, 30, 0, this->now);
+        const auto wait = this->own.try_acquire(planning, 30, 0, this->now);
         REQUIRE(wait);
         returns.emplace(this->now + *wait, 30);
     }
@@ -343,7 +343,7 @@
                   "return_is_not_sooner_than_the_window_allows")
 {
     this->hear_peer({{planning, 5'000'000, 0, 850}}, false);
-    const auto wait = this->own.take(planning, 102, 0, this->now);
+    const auto wait = this->own.try_acquire(planning, 102, 0, this->now);
     REQUIRE(wait);
     CHECK(*wait >= 7900ms);
     this->now += *wait + 1ms;
@@ -357,7 +357,7 @@
 {
     CHECK(this->take(this->own, burst));
     for (int caller = 0; caller < 500; ++caller) {
-        const auto wait = this->own.take(planning, 50, 0, this->now);
+        const auto wait = this->own.try_acquire(planning, 50, 0, this->now);
         REQUIRE(wait);
         CHECK(*wait <= 8s);
     }
--- a/src/greengagedrum/quota/usage_limiter.cpp
+++ b/src/greengagedrum/quota/usage_limiter.cpp
@@ -49,16 +49,16 @@
 // and work within the limits is refused.
 void usage_limiter::take_over(base::slot_id former,
                               base::incarnation life,
-                              std::span<const workspace_use> uses,
+                              std::span<const workspace_usage> uses,
                               base::instant now)
 {
     this->restart(now);
-    this->peer_told(former, life, uses, true, now);
+    this->on_peer_report(former, life, uses, true, now);
     // Requests that wait there are asked for here.
     this->forget_peer(former);
     this->took_over =
-        std::any_of(uses.begin(), uses.end(), [](const workspace_use& one) {
-            return !one.all_lately.empty();
+        std::any_of(uses.begin(), uses.end(), [](const workspace_usage& one) {
+            return !one.all_sent_in_window.empty();
         });
     if (!this->took_over)
         return;
@@ -105,10 +105,11 @@
 
 // ---- Own requests ---------------------------------------------------------
 
-std::optional<base::duration> usage_limiter::take(base::workspace_id workspace,
-                                                  double cost,
-                                                  std::uint32_t priority,
-                                                  base::instant now)
+std::optional<base::duration>
+usage_limiter::try_acquire(base::workspace_id workspace,
+                           double cost,
+                           std::uint32_t priority,
+                           base::instant now)
 {
     workspace_limit* own = this->find_limited(workspace);
     if (own == nullptr)
@@ -126,9 +127,9 @@
     return std::nullopt;
 }
 
-void usage_limiter::sent(base::workspace_id workspace,
-                         double cost,
-                         base::instant now)
+void usage_limiter::on_sent(base::workspace_id workspace,
+                            double cost,
+                            base::instant now)
 {
     workspace_limit* own = this->find_limited(workspace);
     if (own == nullptr)
@@ -141,9 +142,9 @@
     this->absent.own_used(workspace, cost, now);
 }
 
-void usage_limiter::withdrawn(base::workspace_id workspace,
-                              double cost,
-                              base::instant now)
+void usage_limiter::refund_unsent(base::workspace_id workspace,
+                                  double cost,
+                                  base::instant now)
 {
     workspace_limit* own = this->find_limited(workspace);
     if (own == nullptr)
@@ -152,17 +153,16 @@
     own->restore(cost, this->rules(now), now);
 }
 
-void usage_limiter::not_run(base::workspace_id workspace,
-                            double cost,
-                            base::instant now)
+void usage_limiter::refund_not_run(base::workspace_id workspace,
+                                   double cost,
+                                   base::instant now)
 {
     if (workspace_limit* own = this->find_limited(workspace))
         own->restore(cost, this->rules(now), now);
 }
 
-std::vector<std::uint32_t> usage_limiter::all_lately(const workspace_limit& own,
-                                                     std::size_t parts,
-                                                     base::instant now) const
+std::vector<std::uint32_t> usage_limiter::all_sent_in_window(
+    const workspace_limit& own, std::size_t parts, base::instant now) const
 {
     // What was learnt of peers in the first moments has left by then as well:
     // passed on, it would count twice with the next process that starts.
@@ -175,21 +175,21 @@
     return out;
 }
 
-workspace_use usage_limiter::use_of(base::workspace_id workspace,
-                                    const workspace_limit& own,
-                                    std::size_t parts,
-                                    base::instant now) const
+workspace_usage usage_limiter::use_of(base::workspace_id workspace,
+                                      const workspace_limit& own,
+                                      std::size_t parts,
+                                      base::instant now) const
 {
     return {workspace,
             static_cast<std::uint64_t>(own.own_sent),
             whole_part(own.own_waiting),
             whole_part(own.own_recent.sum()),
-            this->all_lately(own, parts, now)};
+            this->all_sent_in_window(own, parts, now)};
 }
 
-std::vector<workspace_use> usage_limiter::own_uses(base::instant now)
+std::vector<workspace_usage> usage_limiter::own_usage(base::instant now)
 {
-    std::vector<workspace_use> out;
+    std::vector<workspace_usage> out;
     for (auto& [workspace, own] : this->limits) {
         own.drop_old(this->allowed.window, now);
         if (own.own_sent > 0 || own.own_waiting > 0)
@@ -201,7 +201,7 @@
 // Failure guarded against: with thousands of workspaces the message is larger
 // than a datagram, and with it the sign of life that it bears is lost. Those
 // nearest to their limits are told; of the others there is room enough.
-std::vector<workspace_use> usage_limiter::window_uses(base::instant now)
+std::vector<workspace_usage> usage_limiter::window_usage(base::instant now)
 {
     const limit_rules valid = this->rules(now);
     std::vector<std::pair<double, base::workspace_id>> used;
@@ -219,7 +219,7 @@
                          std::greater<>());
         used.resize(most_handed_over);
     }
-    std::vector<workspace_use> out;
+    std::vector<workspace_usage> out;
     out.reserve(used.size());
     for (const auto& [share, workspace] : used)
         out.push_back(this->use_of(
@@ -230,17 +230,17 @@
 // ---- Entries that are not heard
 // -----------------------------------------------
 
-void usage_limiter::set_unheard_peers(std::size_t count)
+void usage_limiter::set_never_heard_peer_count(std::size_t count)
 {
     this->absent.set_unheard(count);
 }
 
-void usage_limiter::set_unreported_members(double part, base::instant now)
+void usage_limiter::set_unreported_member_share(double part, base::instant now)
 {
     this->absent.set_unreported(part, now);
 }
 
-void usage_limiter::assume_silent_peers(base::instant now)
+void usage_limiter::update_silent_peers(base::instant now)
 {
     this->drop_forgotten(now);
     std::vector<absent_peers::limited> rates;
@@ -255,32 +255,32 @@
     }
 }
 
-double usage_limiter::kept_for_more_urgent(base::workspace_id workspace,
-                                           double cost,
-                                           std::uint32_t priority,
-                                           base::instant now) const
+double usage_limiter::reserved_for_higher_priority(base::workspace_id workspace,
+                                                   double cost,
+                                                   std::uint32_t priority,
+                                                   base::instant now) const
 {
     const auto found = this->limits.find(workspace);
     if (found == this->limits.end())
         return 0;
-    return found->second.kept_for_more_urgent(
+    return found->second.reserved_for_higher_priority(
         cost, priority, this->rules(now), now);
 }
 
-limit_view usage_limiter::view(base::workspace_id workspace,
-                               base::instant now) const
+limit_status usage_limiter::status_of(base::workspace_id workspace,
+                                      base::instant now) const
 {
-    limit_view out;
+    limit_status out;
     out.window_known = this->window_known(now);
     const auto found = this->limits.find(workspace);
     if (found == this->limits.end())
         return out;
     const workspace_limit& own = found->second;
-    out.level = own.level;
-    out.sent_here = own.own_recent.sum();
-    out.sent = own.recent.sum();
-    out.waiting = own.own_waiting + own.peers_waiting;
-    out.bound = own.window_bound(this->rules(now));
+    out.bucket_level = own.level;
+    out.own_sent = own.own_recent.sum();
+    out.all_sent = own.recent.sum();
+    out.all_waiting = own.own_waiting + own.peers_waiting;
+    out.window_bound = own.window_bound(this->rules(now));
     out.absent_share = own.absent.share;
     return out;
 }
--- a/src/greengagedrum/quota/usage_limiter.hpp
+++ b/src/greengagedrum/quota/usage_limiter.hpp
@@ -32,23 +32,24 @@
 {
 
 // What one entry let through, in the limit's unit.
-struct workspace_use {
+struct workspace_usage {
     base::workspace_id workspace;
-    std::uint64_t used = 0;    // sent to upstreams since its start
-    std::uint32_t waiting = 0; // let through and not sent yet
-    std::uint32_t lately = 0;  // of `used`, within the operator's window
+    std::uint64_t sent_total = 0; // sent to upstreams since its start
+    std::uint32_t waiting = 0;    // let through and not sent yet
+    std::uint32_t sent_in_window =
+        0; // of `sent_total`, within the operator's window
     // The same of all entries, by equal parts of the window, the newest first;
     // empty where the sender does not know the window.
-    std::vector<std::uint32_t> all_lately{};
+    std::vector<std::uint32_t> all_sent_in_window{};
 };
 
 // What one workspace's limit rests on at this entry, in its unit. For the log.
-struct limit_view {
-    double level = 0;        // of the bucket; below zero: overdrawn
-    double sent_here = 0;    // within the window, by this entry
-    double sent = 0;         // within the window, by all entries
-    double waiting = 0;      // let through and not sent yet, by all entries
-    double bound = 0;        // what a window may hold
+struct limit_status {
+    double bucket_level = 0; // of the bucket; below zero: overdrawn
+    double own_sent = 0;     // within the window, by this entry
+    double all_sent = 0;     // within the window, by all entries
+    double all_waiting = 0;  // let through and not sent yet, by all entries
+    double window_bound = 0; // what a window may hold
     double absent_share = 0; // of the limit, kept for entries not heard
     bool window_known = false;
 };
@@ -70,7 +71,7 @@
     // it told so last: this one counts in its place.
     void take_over(base::slot_id former,
                    base::incarnation life,
-                   std::span<const workspace_use> uses,
+                   std::span<const workspace_usage> uses,
                    base::instant now);
 
     void set_limits(const routing::configuration& config, base::instant now);
@@ -78,28 +79,30 @@
     // Empty: the request is within the limit and waits to be sent. Else when
     // to come back. Beyond the limit more urgent requests (0: the most) go
     // first.
-    std::optional<base::duration> take(base::workspace_id workspace,
-                                       double cost,
-                                       std::uint32_t priority,
-                                       base::instant now);
+    std::optional<base::duration> try_acquire(base::workspace_id workspace,
+                                              double cost,
+                                              std::uint32_t priority,
+                                              base::instant now);
 
     // It goes to an upstream, for the first time. It counts for the window
     // from here on: a caller's request that waits is sent later, never sooner.
-    void sent(base::workspace_id workspace, double cost, base::instant now);
+    void on_sent(base::workspace_id workspace, double cost, base::instant now);
 
     // It ended without having been sent.
     void
-    withdrawn(base::workspace_id workspace, double cost, base::instant now);
+    refund_unsent(base::workspace_id workspace, double cost, base::instant now);
 
     // It was sent, and did not run after all. The window goes on counting it:
     // taken out late, it would make room once more as its time leaves.
-    void not_run(base::workspace_id workspace, double cost, base::instant now);
+    void refund_not_run(base::workspace_id workspace,
+                        double cost,
+                        base::instant now);
 
-    void peer_told(base::slot_id peer,
-                   base::incarnation life,
-                   std::span<const workspace_use> uses,
-                   bool stopping,
-                   base::instant now);
+    void on_peer_report(base::slot_id peer,
+                        base::incarnation life,
+                        std::span<const workspace_usage> uses,
+                        bool stopping,
+                        base::instant now);
 
     // It lets nothing through by itself any more: another entry counts for it.
     // No part of a limit is kept for it. What was counted of it stays known for
@@ -109,21 +112,22 @@
     void forget_peers();
 
     // Time has passed: who has fallen silent is assumed to use its part.
-    void assume_silent_peers(base::instant now);
+    void update_silent_peers(base::instant now);
     // Entries that are named somewhere and were never heard.
-    void set_unheard_peers(std::size_t count);
+    void set_never_heard_peer_count(std::size_t count);
     // Of those that this entry counts for, the part that does not report.
-    void set_unreported_members(double part, base::instant now);
+    void set_unreported_member_share(double part, base::instant now);
 
-    std::vector<workspace_use> own_uses(base::instant now);
+    std::vector<workspace_usage> own_usage(base::instant now);
     // For whoever may take over: also what only others used, in finer parts.
-    std::vector<workspace_use> window_uses(base::instant now);
-    limit_view view(base::workspace_id workspace, base::instant now) const;
+    std::vector<workspace_usage> window_usage(base::instant now);
+    limit_status status_of(base::workspace_id workspace,
+                           base::instant now) const;
     // What such a request has to leave of the limit for those more urgent.
-    double kept_for_more_urgent(base::workspace_id workspace,
-                                double cost,
-                                std::uint32_t priority,
-                                base::instant now) const;
+    double reserved_for_higher_priority(base::workspace_id workspace,
+                                        double cost,
+                                        std::uint32_t priority,
+                                        base::instant now) const;
 
 private:
     struct peer_use {
@@ -142,19 +146,19 @@
     limit_rules rules(base::instant now) const;
     bool started_lately(base::instant now) const;
     bool window_known(base::instant now) const;
-    workspace_use use_of(base::workspace_id workspace,
-                         const workspace_limit& own,
-                         std::size_t parts,
-                         base::instant now) const;
-    std::vector<std::uint32_t> all_lately(const workspace_limit& own,
-                                          std::size_t parts,
-                                          base::instant now) const;
+    workspace_usage use_of(base::workspace_id workspace,
+                           const workspace_limit& own,
+                           std::size_t parts,
+                           base::instant now) const;
+    std::vector<std::uint32_t> all_sent_in_window(const workspace_limit& own,
+                                                  std::size_t parts,
+                                                  base::instant now) const;
     void count_peer(base::slot_id peer,
                     peer_use& known,
-                    const workspace_use& told,
+                    const workspace_usage& told,
                     bool anew,
                     base::instant now);
-    void learn_history(const workspace_use& told, base::instant now);
+    void learn_history(const workspace_usage& told, base::instant now);
     void forget_waiting(peer_state& peer);
     void drop_forgotten(base::instant now);
 
--- a/src/greengagedrum/quota/usage_of_peers.cpp
+++ b/src/greengagedrum/quota/usage_of_peers.cpp
@@ -10,11 +10,11 @@
 namespace greengagedrum::quota
 {
 
-void usage_limiter::peer_told(base::slot_id peer,
-                              base::incarnation life,
-                              std::span<const workspace_use> uses,
-                              bool stopping,
-                              base::instant now)
+void usage_limiter::on_peer_report(base::slot_id peer,
+                                   base::incarnation life,
+                                   std::span<const workspace_usage> uses,
+                                   bool stopping,
+                                   base::instant now)
 {
     const auto [found, fresh] = this->peers.try_emplace(peer);
     peer_state& known = found->second;
@@ -32,10 +32,10 @@
     // Of what was before this process a peer tells once, when it is first
     // heard.
     const bool history = fresh && this->started_lately(now);
-    for (const workspace_use& one : uses) {
+    for (const workspace_usage& one : uses) {
         peer_use& use = known.uses[one.workspace];
         if (history) {
-            use.sent = static_cast<double>(one.used);
+            use.sent = static_cast<double>(one.sent_total);
             this->learn_history(one, now);
         }
         this->count_peer(peer, use, one, fresh || restarted || returned, now);
@@ -47,16 +47,17 @@
 // are not told.
 void usage_limiter::count_peer(base::slot_id peer,
                                peer_use& known,
-                               const workspace_use& told,
+                               const workspace_usage& told,
                                bool anew,
                                base::instant now)
 {
-    const auto used = static_cast<double>(told.used);
+    const auto used = static_cast<double>(told.sent_total);
     // Most messages tell of most workspaces what is known.
     if (!anew && used == known.sent && told.waiting == known.waiting)
         return;
     const double more = std::max(0.0, used - known.sent);
-    const double counted = anew ? std::min<double>(more, told.lately) : more;
+    const double counted =
+        anew ? std::min<double>(more, told.sent_in_window) : more;
     const double waiting_more = told.waiting - known.waiting;
     known = {used, static_cast<double>(told.waiting)};
     const auto found = this->limits.find(told.workspace);
@@ -77,24 +78,25 @@
 // An entry restarts in a busy workspace's window: each peer tells what it let
 // through itself, and all of them together what this entry's former process
 // did. Each counts once.
-void usage_limiter::learn_history(const workspace_use& told, base::instant now)
+void usage_limiter::learn_history(const workspace_usage& told,
+                                  base::instant now)
 {
     const auto found = this->limits.find(told.workspace);
     if (found == this->limits.end())
         return;
     workspace_limit& own = found->second;
-    const double all =
-        std::accumulate(told.all_lately.begin(), told.all_lately.end(), 0.0);
+    const double all = std::accumulate(
+        told.all_sent_in_window.begin(), told.all_sent_in_window.end(), 0.0);
     const double unknown = all > 0 ? std::max(0.0, 1 - own.history / all) : 0;
-    const auto parts = static_cast<int>(told.all_lately.size());
+    const auto parts = static_cast<int>(told.all_sent_in_window.size());
     // Each part as of its end: counted for its length too long, never too
     // short.
     for (int at = 0; at < parts; ++at)
         own.recent.add_earlier(
-            unknown * told.all_lately[static_cast<std::size_t>(at)],
+            unknown * told.all_sent_in_window[static_cast<std::size_t>(at)],
             now - at * this->allowed.window / parts);
     own.history = std::max(own.history, all);
-    own.told_of_peers += told.lately;
+    own.told_of_peers += told.sent_in_window;
     own.recent.add(std::max(0.0, own.told_of_peers - own.history), now);
     own.history = std::max(own.history, own.told_of_peers);
 }
--- a/src/greengagedrum/routing/configuration.hpp
+++ b/src/greengagedrum/routing/configuration.hpp
@@ -18,7 +18,7 @@
 {
 
 // How often a request may be run.
-enum class repeat_rule : std::uint8_t {
+enum class retry_policy : std::uint8_t {
     idempotent,   // again, after any failure
     at_most_once, // once in all
     resumable     // a stream; again, from its last event on
@@ -35,16 +35,17 @@
     base::kind_id id;
     std::string host;   // lower case, without port
     std::string prefix; // begins and ends with a slash
-    repeat_rule rule = repeat_rule::at_most_once;
+    retry_policy retry = retry_policy::at_most_once;
     bool stream = false;
-    bool anonymous = false;      // needs no key
-    std::uint32_t priority = 0;  // 0 is the most urgent
-    std::uint32_t sends_max = 1; // upstreams that one request may be sent to
-    base::duration timeout{0};   // 0: none
-    base::duration objective{0}; // to the answer, or a stream's first event
-    base::duration gap_objective{0};   // between a stream's events
-    std::vector<route_target> targets; // never empty
-    std::vector<std::string> regions;  // where it may run; empty: anywhere
+    bool anonymous = false;         // needs no key
+    std::uint32_t priority = 0;     // 0 is the most urgent
+    std::uint32_t attempts_max = 1; // upstreams that one request may be sent to
+    base::duration timeout{0};      // 0: none
+    base::duration latency_objective{
+        0}; // to the answer, or a stream's first event
+    base::duration event_gap_objective{0}; // between a stream's events
+    std::vector<route_target> targets;     // never empty
+    std::vector<std::string> regions;      // where it may run; empty: anywhere
 };
 
 struct service {
@@ -54,15 +55,16 @@
     std::uint32_t connections_max = 0; // of one upstream, all callers; 0: none
     base::duration warmup{0};          // how long one is cold after its start
     // Requests that a cold one takes, of all callers; 0: no bound is published.
-    double warmup_per_second = 0;
+    double warmup_requests_per_second = 0;
 };
 
 // A limit on what a workspace may ask for, over all entries together.
 struct usage_limit {
     double per_second = 0; // 0: unlimited
     double burst = 0;
-    bool in_tokens = false;  // else in requests
-    double plain_tokens = 0; // what a request without a token count costs
+    bool in_tokens = false; // else in requests
+    double default_request_tokens =
+        0; // what a request without a token count costs
 };
 
 struct workspace {
--- a/src/greengagedrum/routing/route_table.hpp
+++ b/src/greengagedrum/routing/route_table.hpp
@@ -19,7 +19,7 @@
 public:
     explicit route_table(configuration_ptr given);
 
-    const configuration& source() const { return *this->config; }
+    const configuration& config() const { return *this->published; }
 
     // `host` as received; `path` without its query. Null: no such route.
     const route* find_route(std::string_view host, std::string_view path) const;
@@ -36,13 +36,14 @@
     // 0 is the most urgent. A workspace's own priority goes before the
     // route's, which orders the requests of workspaces alike; steps that no
     // workspace or route uses are left out.
-    std::uint32_t urgency(const route& of, const workspace* owner) const;
+    std::uint32_t effective_priority(const route& of,
+                                     const workspace* owner) const;
 
     // `draw` in [0, 1) picks a target by weight.
     static const route_target& pick_target(const route& from, double draw);
 
 private:
-    configuration_ptr config;
+    configuration_ptr published;
     std::unordered_map<std::string, const route*> by_prefix;
     std::unordered_map<base::kind_id, const route*> by_kind;
     std::unordered_map<std::string_view, const workspace*> by_key;
@@ -54,6 +55,6 @@
 using route_table_ptr = std::shared_ptr<const route_table>;
 
 // Lower case and without a port, as `route::host` is kept.
-std::string plain_host(std::string_view host);
+std::string normalized_host(std::string_view host);
 
 } // namespace greengagedrum::routing
--- a/src/greengagedrum/routing/upstream_directory.cpp
+++ b/src/greengagedrum/routing/upstream_directory.cpp
@@ -6,16 +6,17 @@
 namespace greengagedrum::routing
 {
 
-base::upstream_id life_id(std::string_view name,
-                          std::optional<std::uint64_t> born)
+base::upstream_id incarnation_id(std::string_view name,
+                                 std::optional<std::uint64_t> started_unix_ms)
 {
-    if (!born)
+    if (!started_unix_ms)
         return base::upstream_id(name);
-    return base::upstream_id(std::string(name) + '#' + std::to_string(*born));
+    return base::upstream_id(std::string(name) + '#' +
+                             std::to_string(*started_unix_ms));
 }
 
 std::optional<base::upstream_id>
-upstream_directory::life_of(std::string_view name) const
+upstream_directory::latest_incarnation(std::string_view name) const
 {
     const auto found = this->states.find(std::string(name));
     if (found == this->states.end() || found->second.entry.id.empty())
@@ -24,7 +25,7 @@
 }
 
 const upstream_directory::state*
-upstream_directory::find_life(base::upstream_id id) const
+upstream_directory::find_incarnation(base::upstream_id id) const
 {
     const auto name = this->names.find(id);
     return name == this->names.end() ? nullptr : &this->states.at(name->second);
@@ -32,8 +33,9 @@
 
 bool upstream_directory::alive(const state& of)
 {
-    const bool older_life = of.newest_born && of.entry.born < of.newest_born;
-    return !of.gone && !older_life && of.left_life != of.entry.id;
+    const bool older_life =
+        of.newest_start && of.entry.started_unix_ms < of.newest_start;
+    return !of.gone && !older_life && of.leaving_incarnation != of.entry.id;
 }
 
 bool upstream_directory::usable(const state& of) const
@@ -49,11 +51,11 @@
 // life said that it leaves, is written late and has the highest revision.
 void upstream_directory::note(state& own, const published_upstream& entry)
 {
-    own.newest_born = std::max(own.newest_born, entry.born);
-    if (entry.born < own.newest_born)
+    own.newest_start = std::max(own.newest_start, entry.started_unix_ms);
+    if (entry.started_unix_ms < own.newest_start)
         return;
     if (entry.leaving)
-        own.left_life = entry.id;
+        own.leaving_incarnation = entry.id;
     const bool same_life = own.entry.id == entry.id;
     if (entry.revision <= own.removed_at ||
         (same_life && entry.revision <= own.entry.revision))
@@ -65,7 +67,7 @@
     own.lapses_at.reset();
 }
 
-upstream_change upstream_directory::learn(const published_upstream& entry)
+upstream_change upstream_directory::update(const published_upstream& entry)
 {
     state& own = this->states[entry.name];
     const bool was_usable = this->usable(own);
@@ -90,9 +92,9 @@
 // Remembered also of an unknown one, so that older news of it from a peer finds
 // it gone.
 upstream_change
-upstream_directory::removed(std::string_view name,
-                            std::uint64_t revision,
-                            std::optional<base::instant> lapse_bound)
+upstream_directory::remove(std::string_view name,
+                           std::uint64_t revision,
+                           std::optional<base::instant> lapse_bound)
 {
     state& own = this->states[std::string(name)];
     own.removed_at = std::max(own.removed_at, revision);
@@ -108,7 +110,7 @@
     return was_usable ? upstream_change::left : upstream_change::none;
 }
 
-upstream_change upstream_directory::misdirected(base::upstream_id id)
+upstream_change upstream_directory::mark_misdirected(base::upstream_id id)
 {
     const auto name = this->names.find(id);
     if (name == this->names.end())
@@ -121,8 +123,8 @@
     return was_usable ? upstream_change::left : upstream_change::none;
 }
 
-void upstream_directory::expire(base::instant now,
-                                std::vector<std::string>& gone)
+void upstream_directory::remove_expired(base::instant now,
+                                        std::vector<std::string>& gone)
 {
     if (!this->may_lapse)
         return;
@@ -138,16 +140,17 @@
     }
 }
 
-const published_upstream* upstream_directory::find(base::upstream_id id) const
+const published_upstream*
+upstream_directory::find_usable(base::upstream_id id) const
 {
-    const state* own = this->find_life(id);
+    const state* own = this->find_incarnation(id);
     return own != nullptr && this->usable(*own) ? &own->entry : nullptr;
 }
 
 const published_upstream*
 upstream_directory::find_alive(base::upstream_id id) const
 {
-    const state* own = this->find_life(id);
+    const state* own = this->find_incarnation(id);
     return own != nullptr && alive(*own) ? &own->entry : nullptr;
 }
 
--- a/src/greengagedrum/routing/upstream_directory.hpp
+++ b/src/greengagedrum/routing/upstream_directory.hpp
@@ -5,10 +5,10 @@
 // never takes anything back.
 //
 // An upstream may start again under its name. Each of its lives, told by when
-// it was born, is an upstream of its own for all who send to it: it has another
-// id, so that nothing learnt of one life (by this entry or told by a peer)
-// counts for another. What was published by an older life never replaces a
-// newer one, and a life that said it leaves never returns.
+// it was started, is an upstream of its own for all who send to it: it
+// has another id, so that nothing learnt of one life (by this entry or told by
+// a peer) counts for another. What was published by an older life never
+// replaces a newer one, and a life that said it leaves never returns.
 //
 // Upstreams of an evacuated data centre stay known and may be given no work
 // until their data centre is taken back.
@@ -32,8 +32,9 @@
 
 struct published_upstream {
     std::string name;
-    base::upstream_id id;              // of this life, see life_id()
-    std::optional<std::uint64_t> born; // Unix milliseconds, by its own clock
+    base::upstream_id id; // of this life, see incarnation_id()
+    std::optional<std::uint64_t>
+        started_unix_ms; // Unix milliseconds, by its own clock
     base::class_id service;
     base::ip_endpoint address;
     std::string data_centre;
@@ -43,9 +44,9 @@
     std::uint64_t revision = 0; // the store's
 };
 
-// One life of an upstream; without `born` a name has a single one.
-base::upstream_id life_id(std::string_view name,
-                          std::optional<std::uint64_t> born);
+// One life of an upstream; without `started_unix_ms` a name has a single one.
+base::upstream_id incarnation_id(std::string_view name,
+                                 std::optional<std::uint64_t> started_unix_ms);
 
 enum class upstream_change : std::uint8_t {
     none,
@@ -59,7 +60,7 @@
 {
 public:
     // Takes one published entry.
-    upstream_change learn(const published_upstream& entry);
+    upstream_change update(const published_upstream& entry);
 
     // The entry was removed at that revision. While the store was away, or
     // for a while after, it may only have lapsed: its upstream is then kept
@@ -68,21 +69,22 @@
     // Failure guarded against: an outage of the store outlasts the leases of
     // all entries; with its return every upstream would be gone at once, and
     // requests fail until each has reported again.
-    upstream_change removed(std::string_view name,
-                            std::uint64_t revision,
-                            std::optional<base::instant> lapse_bound);
+    upstream_change remove(std::string_view name,
+                           std::uint64_t revision,
+                           std::optional<base::instant> lapse_bound);
 
     // Something else answers at its address: gone until published anew.
-    upstream_change misdirected(base::upstream_id id);
+    upstream_change mark_misdirected(base::upstream_id id);
 
     // Takes out those whose lapse bound has passed; appends their names.
-    void expire(base::instant now, std::vector<std::string>& gone);
+    void remove_expired(base::instant now, std::vector<std::string>& gone);
 
     // The life of that name that was published last; none while unknown.
-    std::optional<base::upstream_id> life_of(std::string_view name) const;
+    std::optional<base::upstream_id>
+    latest_incarnation(std::string_view name) const;
 
     // Null when that incarnation is gone, leaving or evacuated.
-    const published_upstream* find(base::upstream_id id) const;
+    const published_upstream* find_usable(base::upstream_id id) const;
 
     // Null when that incarnation is gone or leaving.
     const published_upstream* find_alive(base::upstream_id id) const;
@@ -108,13 +110,14 @@
         bool gone = true;
         std::optional<base::instant> lapses_at;
         std::uint64_t removed_at = 0; // revision of the last removal
-        std::optional<std::uint64_t> newest_born;
-        std::optional<base::upstream_id> left_life; // that said it leaves
+        std::optional<std::uint64_t> newest_start;
+        std::optional<base::upstream_id>
+            leaving_incarnation; // that said it leaves
     };
 
     static bool alive(const state& of);
     bool usable(const state& of) const;
-    const state* find_life(base::upstream_id id) const;
+    const state* find_incarnation(base::upstream_id id) const;
     void note(state& own, const published_upstream& entry);
 
     std::unordered_map<std::string, state> states; // by name
--- a/src/greengagedrum/traffic/containment.cpp
+++ b/src/greengagedrum/traffic/containment.cpp
@@ -6,7 +6,7 @@
 namespace greengagedrum::traffic
 {
 
-using quarantine::standing;
+using quarantine::quarantine_state;
 
 namespace
 {
@@ -19,8 +19,8 @@
 bool scheduler::is_quarantined(const request& item) const
 {
     return !this->suspects.empty() &&
-           this->suspects.standing_of(item.facts.digest, this->now) ==
-               standing::quarantined;
+           this->suspects.state_of(item.facts.digest, this->now) ==
+               quarantine_state::quarantined;
 }
 
 // Of a suspect one copy runs at a time: its end says whether there may be
@@ -28,8 +28,8 @@
 bool scheduler::awaits_copy(const request& item) const
 {
     if (this->suspects.empty() ||
-        this->suspects.standing_of(item.facts.digest, this->now) ==
-            standing::clear)
+        this->suspects.state_of(item.facts.digest, this->now) ==
+            quarantine_state::clear)
         return false;
     return std::any_of(
         this->requests.begin(), this->requests.end(), [&](const auto& one) {
@@ -43,10 +43,10 @@
 {
     if (item.uncertain > 0)
         return this->end(item, base::may_have_run(base::reason::quarantined));
-    this->end(
-        item,
-        base::not_run(base::reason::quarantined,
-                      this->suspects.pause_left(item.facts.digest, this->now)));
+    this->end(item,
+              base::not_run(base::reason::quarantined,
+                            this->suspects.time_until_trial(item.facts.digest,
+                                                            this->now)));
 }
 
 // The send ends here, without an answer. Where its upstream has shown no sign
@@ -63,23 +63,25 @@
 {
     if (item.facts.digest.empty())
         return;
-    this->tell(this->suspects.crashed(
+    this->tell(this->suspects.on_crash(
         item.facts.digest, item.facts.workspace, item.upstream, this->now));
     this->out->push_back(check_upstream{item.upstream});
 }
 
 void scheduler::on(const upstream_checked& what)
 {
-    this->tell(what.accepts
-                   ? this->suspects.upstream_accepts(what.upstream, this->now)
-                   : this->suspects.upstream_gone(what.upstream, this->now));
+    this->tell(
+        what.accepts
+            ? this->suspects.on_upstream_reachable(what.upstream, this->now)
+            : this->suspects.on_upstream_gone(what.upstream, this->now));
 }
 
 void scheduler::note_answer(const request& item)
 {
-    this->tell(this->suspects.upstream_answered(item.upstream, this->now));
+    this->tell(this->suspects.on_upstream_answered(item.upstream, this->now));
     if (!item.facts.digest.empty())
-        this->tell(this->suspects.cleared(item.facts.digest, this->now));
+        this->tell(
+            this->suspects.clear_suspicion(item.facts.digest, this->now));
 }
 
 void scheduler::tell(const quarantine::suspect_table::changes& changes)
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -11,7 +11,7 @@
 #include <greengagedrum/base/verdict.hpp>
 #include <greengagedrum/quarantine/messages.hpp>
 #include <greengagedrum/routing/configuration.hpp>
-#include <greengagedrum/routing/homes.hpp>
+#include <greengagedrum/routing/data_centre_constraint.hpp>
 
 #include <cstdint>
 #include <string_view>
@@ -27,7 +27,7 @@
     base::workspace_id workspace;
     base::kind_id kind;          // its route
     base::request_digest digest; // empty: not known here
-    routing::repeat_rule rule = routing::repeat_rule::at_most_once;
+    routing::retry_policy rule = routing::retry_policy::at_most_once;
     bool stream = false;
     std::uint32_t priority = 0; // 0 is the most urgent
     std::uint32_t prompt_tokens = 0;
@@ -37,7 +37,7 @@
     base::duration gap_objective{0}; // between events
     base::duration time_left{0};     // until the caller or the route gives up
     bool returning = false;          // the caller resumes a stream by itself
-    routing::homes homes{};          // not told between entries
+    routing::data_centre_constraint homes{}; // not told between entries
     // Of another entry, which asks for a place only: it sends the request, sees
     // what becomes of it and decides what may be sent again.
     bool delegated = false;
@@ -201,7 +201,7 @@
                             end_request,
                             check_upstream,
                             trust_changed,
-                            quarantine::standing_change>;
+                            quarantine::quarantine_state_change>;
 
 using actions = std::vector<action>;
 
--- a/src/greengagedrum/traffic/placing.cpp
+++ b/src/greengagedrum/traffic/placing.cpp
@@ -117,7 +117,7 @@
             this->send(item, *where);
             free = this->pool.free_places(service, this->now);
             starved = queue.starved(this->now);
-        } else if (item.tried.empty() && !item.facts.homes.bound) {
+        } else if (item.tried.empty() && !item.facts.homes.restricted) {
             return; // nobody behind it finds a place either
         }
     }
@@ -188,7 +188,7 @@
     item.sends += 1;
     item.uncertain += 1;
     this->pool.sent(where, item.facts.prompt_tokens, this->now);
-    this->suspects.sent(item.facts.digest, this->now);
+    this->suspects.on_sent(item.facts.digest, this->now);
     this->count.sent += 1;
     if (item.sends > 1)
         this->count.retried += 1;
--- a/src/greengagedrum/traffic/test/containment_test.cpp
+++ b/src/greengagedrum/traffic/test/containment_test.cpp
@@ -37,8 +37,8 @@
 TEST_CASE_FIXTURE(containment_fixture, "request_crashed_two_upstreams_not_sent")
 {
     this->crash();
-    CHECK(this->order<quarantine::standing_change>()->now ==
-          quarantine::standing::suspected);
+    CHECK(this->order<quarantine::quarantine_state_change>()->state ==
+          quarantine::quarantine_state::suspected);
     this->crash();
     this->arrive(this->facts);
     CHECK(this->order<send_request>() == nullptr);
@@ -98,7 +98,7 @@
 TEST_CASE_FIXTURE(containment_fixture,
                   "repeatable_request_ends_at_second_crash")
 {
-    this->facts.rule = routing::repeat_rule::idempotent;
+    this->facts.rule = routing::retry_policy::idempotent;
     this->facts.sends_max = 4;
     const base::request_id id = this->arrive(this->facts);
     this->end_upstream(id);
