--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.cpp
@@ -24,7 +24,7 @@
     case send_change::failing:
         return traffic::answered{id, only_send, false};
     case send_change::not_sent:
-        return traffic::not_sent{id, only_send};
+        return traffic::connect_failed{id, only_send};
     case send_change::full:
         return traffic::turned_away{id, only_send, traffic::turn_away::full};
     case send_change::misdirected:
--- a/src/greengagedrum/dispatch/send_journal.cpp
+++ b/src/greengagedrum/dispatch/send_journal.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t news_most = 64;
 
 struct change_reader {
-    send_change operator()(const traffic::not_sent&) const
+    send_change operator()(const traffic::connect_failed&) const
     {
         return send_change::not_sent;
     }
--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -117,7 +117,7 @@
         this->state.known.upstreams().find(order.upstream);
     if (to == nullptr) {
         // It left within this very turn.
-        return this->told(traffic::not_sent{order.request, order.send});
+        return this->told(traffic::connect_failed{order.request, order.send});
     }
     this->sent_to[order.request] = order.upstream;
     request.last_sent_at = now;
--- a/src/greengagedrum/entry/exchange.cpp
+++ b/src/greengagedrum/entry/exchange.cpp
@@ -85,7 +85,8 @@
     out.not_connected = [self] {
         self->call.reset();
         self->report("no connection");
-        self->events.told(traffic::not_sent{self->origin.id, self->number});
+        self->events.told(
+            traffic::connect_failed{self->origin.id, self->number});
     };
     out.head = [self] { self->on_head(); };
     out.body = [self](std::string_view bytes) { self->on_body(bytes); };
--- a/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
@@ -239,7 +239,7 @@
         to.runs.push_back(fresh);
         return;
     }
-    this->tell(at, traffic::not_sent{order.request, order.send});
+    this->tell(at, traffic::connect_failed{order.request, order.send});
 }
 
 // ---- Upstreams --------------------------------------------------------------
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -64,7 +64,7 @@
 };
 
 // The connect failed: no byte of the request was written.
-struct not_sent {
+struct connect_failed {
     base::request_id request;
     std::uint32_t send = 0;
 };
@@ -133,7 +133,7 @@
 
 using event = std::variant<request_arrived,
                            caller_left,
-                           not_sent,
+                           connect_failed,
                            turned_away,
                            progressed,
                            answered,
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -129,7 +129,7 @@
 
 // ---- What becomes of a send -------------------------------------------------
 
-void scheduler::on(const not_sent& what)
+void scheduler::on(const connect_failed& what)
 {
     request* item = this->under_way(what.request, what.send);
     if (item == nullptr)
--- a/src/greengagedrum/traffic/test/delegation_test.cpp
+++ b/src/greengagedrum/traffic/test/delegation_test.cpp
@@ -64,7 +64,7 @@
 {
     const auto id = this->arrive(stream_facts());
     this->step(this->granted(id));
-    this->step(not_sent{id, 1});
+    this->step(connect_failed{id, 1});
     CHECK(this->tested.waiting_sends(this->now).at(0).send == 2);
     this->step(this->granted(id, 1));
     CHECK(this->order<send_request>() == nullptr);
@@ -150,7 +150,7 @@
     this->step(broken{id, 1});
     CHECK(this->order<send_request>() == nullptr);
     const auto second = this->arrive(facts);
-    this->step(not_sent{second, 1});
+    this->step(connect_failed{second, 1});
     CHECK(this->order<send_request>() == nullptr);
     CHECK(this->tested.in_flight() == 0);
 }
--- a/src/greengagedrum/traffic/test/scheduler_test.cpp
+++ b/src/greengagedrum/traffic/test/scheduler_test.cpp
@@ -81,7 +81,7 @@
     this->upstreams(3, 5);
     const auto id = this->arrive(facts_of(at_most_once, 1));
     const auto first = this->sent().upstream;
-    this->step(not_sent{id, this->sent().send});
+    this->step(connect_failed{id, this->sent().send});
     CHECK(this->sent().upstream != first);
     this->answer(id, this->sent().send);
     CHECK(this->order<deliver_answer>() != nullptr);
@@ -95,7 +95,7 @@
 {
     this->upstreams(1, 5);
     const auto lost = this->arrive(stream_facts());
-    this->step(not_sent{lost, this->sent().send});
+    this->step(connect_failed{lost, this->sent().send});
     CHECK(this->order<send_request>() == nullptr);
     this->pass(260ms);
     // It was tried for the first request; another one is the probe.
@@ -136,7 +136,7 @@
         if (own)
             break;
         failed += 1;
-        this->step(not_sent{id, send.send});
+        this->step(connect_failed{id, send.send});
     }
     REQUIRE(this->order<send_request>() != nullptr);
     CHECK(failed <= 6);
@@ -158,7 +158,7 @@
                 break;
             }
             failed += 1;
-            this->step(not_sent{id, send.send});
+            this->step(connect_failed{id, send.send});
         }
     }
     // Each once at first, and then four a second for five seconds.
