--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.cpp
@@ -26,10 +26,11 @@
     case send_change::not_sent:
         return traffic::connect_failed{id, only_send};
     case send_change::full:
-        return traffic::turned_away{id, only_send, traffic::turn_away::full};
+        return traffic::send_rejected{
+            id, only_send, traffic::rejection::not_run};
     case send_change::misdirected:
-        return traffic::turned_away{
-            id, only_send, traffic::turn_away::misdirected};
+        return traffic::send_rejected{
+            id, only_send, traffic::rejection::misdirected};
     case send_change::broken:
         break;
     }
--- a/src/greengagedrum/dispatch/send_journal.cpp
+++ b/src/greengagedrum/dispatch/send_journal.cpp
@@ -18,9 +18,9 @@
     {
         return send_change::not_sent;
     }
-    send_change operator()(const traffic::turned_away& what) const
+    send_change operator()(const traffic::send_rejected& what) const
     {
-        return what.why == traffic::turn_away::misdirected
+        return what.why == traffic::rejection::misdirected
                    ? send_change::misdirected
                    : send_change::full;
     }
--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -73,8 +73,8 @@
 
 void front::note_misdirection(const traffic::event& what)
 {
-    const auto* away = std::get_if<traffic::turned_away>(&what);
-    if (away == nullptr || away->why != traffic::turn_away::misdirected)
+    const auto* away = std::get_if<traffic::send_rejected>(&what);
+    if (away == nullptr || away->why != traffic::rejection::misdirected)
         return;
     const auto found = this->sent_to.find(away->request);
     if (found != this->sent_to.end())
--- a/src/greengagedrum/entry/exchange.cpp
+++ b/src/greengagedrum/entry/exchange.cpp
@@ -226,10 +226,10 @@
         this->report(misdirected ? "another upstream answers there"
                                  : "turned away");
         this->events.told(
-            traffic::turned_away{this->origin.id,
-                                 this->number,
-                                 misdirected ? traffic::turn_away::misdirected
-                                             : traffic::turn_away::full});
+            traffic::send_rejected{this->origin.id,
+                                   this->number,
+                                   misdirected ? traffic::rejection::misdirected
+                                               : traffic::rejection::not_run});
         return;
     }
     const std::string fault = this->head_fault();
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -69,16 +69,16 @@
     std::uint32_t send = 0;
 };
 
-enum class turn_away : std::uint8_t {
-    full,        // it did not run the request, whatever its reason
+enum class rejection : std::uint8_t {
+    not_run,     // it did not run the request, whatever its reason
     misdirected, // another upstream answers at that address
 };
 
 // The upstream promises that it did not run the request.
-struct turned_away {
+struct send_rejected {
     base::request_id request;
     std::uint32_t send = 0;
-    turn_away why = turn_away::full;
+    rejection why = rejection::not_run;
 };
 
 // Events of a stream have come; `events` counts all of this send.
@@ -134,7 +134,7 @@
 using event = std::variant<request_arrived,
                            caller_left,
                            connect_failed,
-                           turned_away,
+                           send_rejected,
                            progressed,
                            answered,
                            broken,
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -148,7 +148,7 @@
     this->join_queue(*item);
 }
 
-void scheduler::on(const turned_away& what)
+void scheduler::on(const send_rejected& what)
 {
     request* item = this->under_way(what.request, what.send);
     if (item == nullptr)
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -156,7 +156,7 @@
     void on(const request_arrived& what);
     void on(const caller_left& what);
     void on(const connect_failed& what);
-    void on(const turned_away& what);
+    void on(const send_rejected& what);
     void on(const progressed& what);
     void on(const answered& what);
     void on(const broken& what);
--- a/src/greengagedrum/traffic/test/scheduler_test.cpp
+++ b/src/greengagedrum/traffic/test/scheduler_test.cpp
@@ -55,9 +55,9 @@
     this->upstreams(3, 5);
     const auto id = this->arrive(facts_of(at_most_once, 2));
     const auto first = this->sent().upstream;
-    this->step(turned_away{id, this->sent().send, turn_away::full});
+    this->step(send_rejected{id, this->sent().send, rejection::not_run});
     CHECK(this->sent().upstream != first);
-    this->step(turned_away{id, this->sent().send, turn_away::full});
+    this->step(send_rejected{id, this->sent().send, rejection::not_run});
     CHECK(this->verdict().run == base::run_state::not_run);
     CHECK(this->verdict().retry_after);
 }
@@ -70,7 +70,7 @@
     this->upstreams(3, 5);
     const auto id = this->arrive(facts_of(idempotent, 2));
     this->step(broken{id, this->sent().send});
-    this->step(turned_away{id, this->sent().send, turn_away::full});
+    this->step(send_rejected{id, this->sent().send, rejection::not_run});
     CHECK(this->verdict().run == base::run_state::may_have_run);
 }
 
