--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.cpp
@@ -18,7 +18,7 @@
 {
     switch (what) {
     case send_change::first_event:
-        return traffic::progressed{id, only_send, 1};
+        return traffic::events_received{id, only_send, 1};
     case send_change::good:
         return traffic::answered{id, only_send, true};
     case send_change::failing:
--- a/src/greengagedrum/dispatch/send_journal.cpp
+++ b/src/greengagedrum/dispatch/send_journal.cpp
@@ -24,7 +24,7 @@
                    ? send_change::misdirected
                    : send_change::full;
     }
-    send_change operator()(const traffic::progressed&) const
+    send_change operator()(const traffic::events_received&) const
     {
         return send_change::first_event;
     }
--- a/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
+++ b/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
@@ -203,8 +203,8 @@
 {
     send_journal journal;
     const base::request_id id{5};
-    journal.note(traffic::progressed{id, 1, 1});
-    journal.note(traffic::progressed{id, 1, 9});
+    journal.note(traffic::events_received{id, 1, 1});
+    journal.note(traffic::events_received{id, 1, 9});
     journal.note(traffic::answered{id, 1, true});
     REQUIRE(journal.untold().size() == 2);
     CHECK(journal.untold()[0].what == send_change::first_event);
--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -48,7 +48,7 @@
 
 void front::note_progress(const traffic::event& what)
 {
-    const auto* progress = std::get_if<traffic::progressed>(&what);
+    const auto* progress = std::get_if<traffic::events_received>(&what);
     if (progress == nullptr)
         return;
     const auto found = this->requests.find(progress->request);
--- a/src/greengagedrum/entry/exchange.cpp
+++ b/src/greengagedrum/entry/exchange.cpp
@@ -187,8 +187,8 @@
         this->held_back = true;
         this->call->pause(true);
     }
-    this->events.told(
-        traffic::progressed{this->origin.id, this->number, this->events_seen});
+    this->events.told(traffic::events_received{
+        this->origin.id, this->number, this->events_seen});
 }
 
 void exchange::relieve()
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -82,7 +82,7 @@
 };
 
 // Events of a stream have come; `events` counts all of this send.
-struct progressed {
+struct events_received {
     base::request_id request;
     std::uint32_t send = 0;
     std::uint32_t events = 0;
@@ -135,7 +135,7 @@
                            caller_left,
                            connect_failed,
                            send_rejected,
-                           progressed,
+                           events_received,
                            answered,
                            broken,
                            upstream_checked,
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -165,7 +165,7 @@
     this->refuse(*item, base::reason::overloaded);
 }
 
-void scheduler::on(const progressed& what)
+void scheduler::on(const events_received& what)
 {
     request* item = this->under_way(what.request, what.send);
     if (item == nullptr || what.events <= item->events)
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -157,7 +157,7 @@
     void on(const caller_left& what);
     void on(const connect_failed& what);
     void on(const send_rejected& what);
-    void on(const progressed& what);
+    void on(const events_received& what);
     void on(const answered& what);
     void on(const broken& what);
     void on(const upstream_checked& what);
--- a/src/greengagedrum/traffic/test/burst_run.cpp
+++ b/src/greengagedrum/traffic/test/burst_run.cpp
@@ -268,7 +268,7 @@
                     what.in_time = this->now - what.arrived <=
                                    kinds.at(what.kind).objective;
                     this->step(each.entry,
-                               progressed{each.request, each.send, 1});
+                               events_received{each.request, each.send, 1});
                 }
                 if (each.ends_at <= this->now)
                     ended.push_back(each);
@@ -284,9 +284,9 @@
 
     void finish(const run& what)
     {
-        this->step(
-            what.entry,
-            progressed{what.request, what.send, kinds.at(what.kind).events});
+        this->step(what.entry,
+                   events_received{
+                       what.request, what.send, kinds.at(what.kind).events});
         this->step(what.entry, answered{what.request, what.send, true});
         const asked_request& asked_one = this->asked[what.request];
         if (!asked_one.counted)
--- a/src/greengagedrum/traffic/test/containment_test.cpp
+++ b/src/greengagedrum/traffic/test/containment_test.cpp
@@ -136,7 +136,7 @@
     const base::request_id second = this->arrive(this->facts);
     const send_request order = this->sent();
     this->pass(500ms);
-    this->step(progressed{second, order.send, 1});
+    this->step(events_received{second, order.send, 1});
     this->pass(1500ms);
     this->step(caller_left{second});
     CHECK(this->order<check_upstream>() == nullptr);
--- a/src/greengagedrum/traffic/test/delegation_test.cpp
+++ b/src/greengagedrum/traffic/test/delegation_test.cpp
@@ -165,7 +165,7 @@
     facts.delegated = true;
     facts.patience = 2s;
     const auto id = this->arrive(facts);
-    this->step(progressed{id, 1, 1});
+    this->step(events_received{id, 1, 1});
     for (int count = 0; count < 20; ++count) {
         this->pass(300ms);
         CHECK(this->order<trust_changed>() == nullptr);
--- a/src/greengagedrum/traffic/test/homes_test.cpp
+++ b/src/greengagedrum/traffic/test/homes_test.cpp
@@ -61,7 +61,7 @@
 {
     const auto id = this->arrive(bound_facts());
     const auto first = this->sent();
-    this->step(progressed{id, first.send, 2});
+    this->step(events_received{id, first.send, 2});
     this->step(broken{id, first.send});
     CHECK(is_home(this->sent().upstream));
     CHECK(this->sent().upstream != first.upstream);
--- a/src/greengagedrum/traffic/test/placing_test.cpp
+++ b/src/greengagedrum/traffic/test/placing_test.cpp
@@ -44,10 +44,10 @@
         const send_request order = this->sent();
         REQUIRE(order.upstream == quick);
         this->now += 70ms;
-        this->step(progressed{id, order.send, 1});
+        this->step(events_received{id, order.send, 1});
         for (std::uint32_t event = 2; event <= 120; ++event) {
             this->now += event % 12 == 0 ? 5 * quick_gap : quick_gap;
-            this->step(progressed{id, order.send, event});
+            this->step(events_received{id, order.send, event});
         }
         this->answer(id, order.send);
     }
--- a/src/greengagedrum/traffic/test/scheduler_test.cpp
+++ b/src/greengagedrum/traffic/test/scheduler_test.cpp
@@ -218,7 +218,7 @@
     const auto other = this->arrive(facts_of(resumable, 2));
     const auto send = this->sent().send;
     for (std::uint32_t events = 1; events < 30; ++events) {
-        this->step(progressed{other, send, events});
+        this->step(events_received{other, send, events});
         this->pass(100ms);
         REQUIRE(this->order<stop_send>() == nullptr);
     }
@@ -233,7 +233,7 @@
     this->upstreams(2, 5);
     const auto id = this->arrive(facts_of(resumable, 2));
     const auto first = this->sent();
-    this->step(progressed{id, first.send, 3});
+    this->step(events_received{id, first.send, 3});
     base::duration passed{0};
     while (this->order<stop_send>() == nullptr && passed < 2s) {
         this->pass(20ms);
--- a/src/greengagedrum/traffic/test/wait_queue_test.cpp
+++ b/src/greengagedrum/traffic/test/wait_queue_test.cpp
@@ -185,9 +185,9 @@
         const auto send = this->sent();
         const bool slow = send.upstream == base::upstream_id("i-1");
         this->now += 60ms;
-        this->step(progressed{id, send.send, 1});
+        this->step(events_received{id, send.send, 1});
         this->now += slow ? 1500ms : 300ms;
-        this->step(progressed{id, send.send, 30});
+        this->step(events_received{id, send.send, 30});
         this->answer(id, send.send);
         // Keeps the faster one busy now and then, so that both are known.
         if (round % 3 == 0)
--- a/src/programs/ggd_bench_traffic.cpp
+++ b/src/programs/ggd_bench_traffic.cpp
@@ -77,7 +77,7 @@
             const std::uint32_t order = send->send;
             traffic::actions rest;
             this->tested.step(
-                traffic::progressed{id, order, 1}, this->now, rest);
+                traffic::events_received{id, order, 1}, this->now, rest);
             this->tested.step(
                 traffic::answered{id, order, true}, this->now, rest);
             return;
