--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.cpp
@@ -20,9 +20,9 @@
     case send_change::first_event:
         return traffic::events_received{id, only_send, 1};
     case send_change::good:
-        return traffic::answered{id, only_send, true};
+        return traffic::answer_received{id, only_send, true};
     case send_change::failing:
-        return traffic::answered{id, only_send, false};
+        return traffic::answer_received{id, only_send, false};
     case send_change::not_sent:
         return traffic::connect_failed{id, only_send};
     case send_change::full:
@@ -34,7 +34,7 @@
     case send_change::broken:
         break;
     }
-    return traffic::broken{id, only_send};
+    return traffic::answer_interrupted{id, only_send};
 }
 
 } // namespace
--- a/src/greengagedrum/dispatch/send_journal.cpp
+++ b/src/greengagedrum/dispatch/send_journal.cpp
@@ -28,11 +28,11 @@
     {
         return send_change::first_event;
     }
-    send_change operator()(const traffic::answered& what) const
+    send_change operator()(const traffic::answer_received& what) const
     {
         return what.good ? send_change::good : send_change::failing;
     }
-    send_change operator()(const traffic::broken&) const
+    send_change operator()(const traffic::answer_interrupted&) const
     {
         return send_change::broken;
     }
--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -185,12 +185,12 @@
     const base::duration takes =
         this->given.work + queued + 2 * this->given.way;
     this->works[order.request.value] = order.upstream;
-    this->at(
-        this->now + takes,
-        [this, from, request = order.request, send = order.send] {
-            if (this->end_work(request))
-                this->member_step(from, traffic::answered{request, send, true});
-        });
+    this->at(this->now + takes,
+             [this, from, request = order.request, send = order.send] {
+                 if (this->end_work(request))
+                     this->member_step(
+                         from, traffic::answer_received{request, send, true});
+             });
 }
 
 // False when it was broken off before.
--- a/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
+++ b/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
@@ -144,7 +144,7 @@
     this->told.running.clear();
     const request_changes news = this->report();
     REQUIRE(news.events.size() == 2);
-    CHECK(std::get<traffic::answered>(news.events[1]).request == id);
+    CHECK(std::get<traffic::answer_received>(news.events[1]).request == id);
     CHECK(this->report().events.empty());
     CHECK(this->book.reply(member, this->now).news_taken == 2);
 }
@@ -205,7 +205,7 @@
     const base::request_id id{5};
     journal.note(traffic::events_received{id, 1, 1});
     journal.note(traffic::events_received{id, 1, 9});
-    journal.note(traffic::answered{id, 1, true});
+    journal.note(traffic::answer_received{id, 1, true});
     REQUIRE(journal.untold().size() == 2);
     CHECK(journal.untold()[0].what == send_change::first_event);
     journal.taken(1);
@@ -217,7 +217,7 @@
 {
     send_journal journal;
     for (std::uint64_t one = 1; one <= 1000; ++one)
-        journal.note(traffic::broken{base::request_id{one}, 1});
+        journal.note(traffic::answer_interrupted{base::request_id{one}, 1});
     CHECK(journal.untold().size() == 64);
     CHECK(journal.untold().back().number == 1000);
 }
--- a/src/greengagedrum/entry/exchange.cpp
+++ b/src/greengagedrum/entry/exchange.cpp
@@ -23,11 +23,11 @@
            type->starts_with("text/event-stream");
 }
 
-traffic::break_cause cause_of(relay::call_fault what)
+traffic::interruption_cause cause_of(relay::call_fault what)
 {
     return what == relay::call_fault::malformed
-               ? traffic::break_cause::malformed
-               : traffic::break_cause::connection_lost;
+               ? traffic::interruption_cause::malformed
+               : traffic::interruption_cause::connection_lost;
 }
 
 unsigned status_of(const base::verdict& verdict)
@@ -148,7 +148,7 @@
     const std::string fault = this->head_fault();
     if (!fault.empty()) {
         this->stop_send();
-        return this->on_broken(traffic::break_cause::malformed, fault);
+        return this->on_broken(traffic::interruption_cause::malformed, fault);
     }
     this->streaming = true;
 }
@@ -206,7 +206,7 @@
     if (this->streaming) {
         this->report({});
         this->events.told(
-            traffic::answered{this->origin.id, this->number, true});
+            traffic::answer_received{this->origin.id, this->number, true});
         return;
     }
     this->judge();
@@ -234,19 +234,21 @@
     }
     const std::string fault = this->head_fault();
     if (!fault.empty())
-        return this->on_broken(traffic::break_cause::malformed, fault);
+        return this->on_broken(traffic::interruption_cause::malformed, fault);
     this->report({});
     this->events.told(
-        traffic::answered{this->origin.id,
-                          this->number,
-                          this->answer.status < first_server_error});
+        traffic::answer_received{this->origin.id,
+                                 this->number,
+                                 this->answer.status < first_server_error});
 }
 
-void exchange::on_broken(traffic::break_cause cause, const std::string& why)
+void exchange::on_broken(traffic::interruption_cause cause,
+                         const std::string& why)
 {
     this->call.reset();
     this->report(why);
-    this->events.told(traffic::broken{this->origin.id, this->number, cause});
+    this->events.told(
+        traffic::answer_interrupted{this->origin.id, this->number, cause});
 }
 
 void exchange::report(std::string why) const
--- a/src/greengagedrum/entry/exchange.hpp
+++ b/src/greengagedrum/entry/exchange.hpp
@@ -75,7 +75,7 @@
     void on_head();
     void on_body(std::string_view bytes);
     void on_done();
-    void on_broken(traffic::break_cause cause, const std::string& why);
+    void on_broken(traffic::interruption_cause cause, const std::string& why);
     void forward_events();
     void judge();
     // Empty when the head can be this request's answer.
--- a/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
@@ -248,7 +248,7 @@
 {
     node* at = this->fleet.at(one.entry);
     if (at != nullptr && this->works[one.entry].process == one.process)
-        this->tell(*at, traffic::broken{one.request, one.send});
+        this->tell(*at, traffic::answer_interrupted{one.request, one.send});
 }
 
 void crashing_fleet::end_upstream(upstream& one)
@@ -304,7 +304,8 @@
             node* at = this->fleet.at(ended.entry);
             if (at != nullptr &&
                 this->works[ended.entry].process == ended.process)
-                this->tell(*at, traffic::answered{ended.request, ended.send});
+                this->tell(*at,
+                           traffic::answer_received{ended.request, ended.send});
         }
     }
 }
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -90,22 +90,22 @@
 
 // The upstream's whole answer has come. One that is not `good` may still be
 // replaced by another upstream's.
-struct answered {
+struct answer_received {
     base::request_id request;
     std::uint32_t send = 0;
     bool good = true;
 };
 
-enum class break_cause : std::uint8_t {
+enum class interruption_cause : std::uint8_t {
     connection_lost,
     malformed, // what came can't be this request's answer
 };
 
 // The answer broke off, or never came; the request may have run.
-struct broken {
+struct answer_interrupted {
     base::request_id request;
     std::uint32_t send = 0;
-    break_cause cause = break_cause::connection_lost;
+    interruption_cause cause = interruption_cause::connection_lost;
 };
 
 // What became of a `check_upstream`.
@@ -136,8 +136,8 @@
                            connect_failed,
                            send_rejected,
                            events_received,
-                           answered,
-                           broken,
+                           answer_received,
+                           answer_interrupted,
                            upstream_checked,
                            place_granted,
                            place_declined>;
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -189,7 +189,7 @@
     item->silence_told = false;
 }
 
-void scheduler::on(const answered& what)
+void scheduler::on(const answer_received& what)
 {
     request* item = this->under_way(what.request, what.send);
     if (item == nullptr)
@@ -226,13 +226,13 @@
     this->forget(*item);
 }
 
-void scheduler::on(const broken& what)
+void scheduler::on(const answer_interrupted& what)
 {
     request* item = this->under_way(what.request, what.send);
     if (item == nullptr)
         return;
     this->bad_end(item->upstream, trouble::broken);
-    if (what.cause == break_cause::connection_lost)
+    if (what.cause == interruption_cause::connection_lost)
         this->note_crash(*item);
     item->tried.push_back(item->upstream);
     this->leave_upstream(*item);
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -158,8 +158,8 @@
     void on(const connect_failed& what);
     void on(const send_rejected& what);
     void on(const events_received& what);
-    void on(const answered& what);
-    void on(const broken& what);
+    void on(const answer_received& what);
+    void on(const answer_interrupted& what);
     void on(const upstream_checked& what);
     void on(const place_granted& what);
     void on(const place_declined& what);
--- a/src/greengagedrum/traffic/test/burst_run.cpp
+++ b/src/greengagedrum/traffic/test/burst_run.cpp
@@ -287,7 +287,7 @@
         this->step(what.entry,
                    events_received{
                        what.request, what.send, kinds.at(what.kind).events});
-        this->step(what.entry, answered{what.request, what.send, true});
+        this->step(what.entry, answer_received{what.request, what.send, true});
         const asked_request& asked_one = this->asked[what.request];
         if (!asked_one.counted)
             return;
--- a/src/greengagedrum/traffic/test/containment_test.cpp
+++ b/src/greengagedrum/traffic/test/containment_test.cpp
@@ -26,7 +26,7 @@
     {
         const send_request order = this->sent();
         this->tested.upstream_left(order.upstream);
-        this->step(broken{id, order.send});
+        this->step(answer_interrupted{id, order.send});
     }
 
     void crash() { this->end_upstream(this->arrive(this->facts)); }
@@ -62,7 +62,8 @@
 {
     for (int time = 0; time < 3; ++time) {
         const base::request_id id = this->arrive(this->facts);
-        this->step(broken{id, this->sent().send, break_cause::malformed});
+        this->step(answer_interrupted{
+            id, this->sent().send, interruption_cause::malformed});
     }
     this->arrive(this->facts);
     CHECK(this->order<send_request>() != nullptr);
@@ -78,7 +79,7 @@
     this->arrive(this->facts);
     CHECK(this->order<send_request>() == nullptr);
     this->tested.upstream_left(sent_first.upstream);
-    this->step(broken{first, sent_first.send});
+    this->step(answer_interrupted{first, sent_first.send});
     CHECK(this->order<send_request>() == nullptr);
     CHECK(this->verdict().why == base::reason::quarantined);
     CHECK(this->tested.waiting() == 0);
--- a/src/greengagedrum/traffic/test/delegation_test.cpp
+++ b/src/greengagedrum/traffic/test/delegation_test.cpp
@@ -55,7 +55,7 @@
     this->step(this->granted(id));
     this->step(this->granted(id));
     CHECK(this->order<send_request>() == nullptr);
-    this->step(broken{id, 1});
+    this->step(answer_interrupted{id, 1});
     this->step(this->granted(id, 2));
     CHECK(this->order<send_request>() == nullptr);
 }
@@ -109,7 +109,7 @@
     again.sends_max = 2;
     const auto id = this->arrive(again);
     this->step(this->granted(id));
-    this->step(broken{id, 1});
+    this->step(answer_interrupted{id, 1});
     this->step(
         place_declined{id, 2, base::not_run(base::reason::overloaded, 1s)});
     const auto* end = this->order<end_request>();
@@ -147,7 +147,7 @@
     facts.rule = routing::repeat_rule::idempotent;
     const auto id = this->arrive(facts);
     REQUIRE(this->order<send_request>() != nullptr);
-    this->step(broken{id, 1});
+    this->step(answer_interrupted{id, 1});
     CHECK(this->order<send_request>() == nullptr);
     const auto second = this->arrive(facts);
     this->step(connect_failed{second, 1});
--- a/src/greengagedrum/traffic/test/homes_test.cpp
+++ b/src/greengagedrum/traffic/test/homes_test.cpp
@@ -62,10 +62,10 @@
     const auto id = this->arrive(bound_facts());
     const auto first = this->sent();
     this->step(events_received{id, first.send, 2});
-    this->step(broken{id, first.send});
+    this->step(answer_interrupted{id, first.send});
     CHECK(is_home(this->sent().upstream));
     CHECK(this->sent().upstream != first.upstream);
-    this->step(broken{id, this->sent().send});
+    this->step(answer_interrupted{id, this->sent().send});
     CHECK(this->order<send_request>() == nullptr);
 }
 
--- a/src/greengagedrum/traffic/test/scheduler_fixture.hpp
+++ b/src/greengagedrum/traffic/test/scheduler_fixture.hpp
@@ -100,7 +100,7 @@
 
     void answer(base::request_id id, std::uint32_t send, bool good = true)
     {
-        this->step(answered{id, send, good});
+        this->step(answer_received{id, send, good});
     }
 };
 
--- a/src/greengagedrum/traffic/test/scheduler_test.cpp
+++ b/src/greengagedrum/traffic/test/scheduler_test.cpp
@@ -42,7 +42,7 @@
 {
     this->upstreams(3, 5);
     const auto id = this->arrive(facts_of(at_most_once, 3));
-    this->step(broken{id, this->sent().send});
+    this->step(answer_interrupted{id, this->sent().send});
     CHECK(this->order<send_request>() == nullptr);
     CHECK(this->verdict().run == base::run_state::may_have_run);
 }
@@ -69,7 +69,7 @@
 {
     this->upstreams(3, 5);
     const auto id = this->arrive(facts_of(idempotent, 2));
-    this->step(broken{id, this->sent().send});
+    this->step(answer_interrupted{id, this->sent().send});
     this->step(send_rejected{id, this->sent().send, rejection::not_run});
     CHECK(this->verdict().run == base::run_state::may_have_run);
 }
@@ -183,8 +183,8 @@
     this->upstreams(2, 5);
     const auto id = this->arrive(facts_of(idempotent, 3));
     const auto first = this->sent().send;
-    this->step(broken{id, first});
-    this->step(broken{id, first});
+    this->step(answer_interrupted{id, first});
+    this->step(answer_interrupted{id, first});
     CHECK(this->last.empty());
     CHECK(this->tested.in_flight() == 1);
 }
--- a/src/greengagedrum/traffic/upstream_trust.hpp
+++ b/src/greengagedrum/traffic/upstream_trust.hpp
@@ -18,7 +18,7 @@
     unreachable, // no connection
     silent,      // no first event for long past its time
     broken,      // an answer broke off
-    failing,     // it answered with a failure of its own
+    failing,     // it answer_received with a failure of its own
 };
 
 std::string_view to_string(trouble what);
--- a/src/programs/ggd_bench_traffic.cpp
+++ b/src/programs/ggd_bench_traffic.cpp
@@ -79,7 +79,7 @@
             this->tested.step(
                 traffic::events_received{id, order, 1}, this->now, rest);
             this->tested.step(
-                traffic::answered{id, order, true}, this->now, rest);
+                traffic::answer_received{id, order, true}, this->now, rest);
             return;
         }
     }
