--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -246,7 +246,7 @@
     if (one_member.unanswered <= what.report_taken)
         one_member.unanswered = 0;
     for (const granted_place& one : what.granted) {
-        traffic::place_granted event;
+        traffic::slot_granted event;
         event.request = one.name.request;
         event.send = one.name.send;
         event.upstream = one.upstream;
@@ -255,9 +255,9 @@
     for (const declined_place& one : what.declined)
         this->member_step(
             to,
-            traffic::place_declined{one.name.request,
-                                    one.name.send,
-                                    base::not_run(one.why, one.retry_after)});
+            traffic::slot_declined{one.name.request,
+                                   one.name.send,
+                                   base::not_run(one.why, one.retry_after)});
 }
 
 // ---- Their dispatcher -----------------------------------------------------
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -41,17 +41,17 @@
 {
     this->journal.taken(what.news_taken);
     for (const dispatch::granted_place& one : what.granted)
-        this->told(traffic::place_granted{one.name.request,
-                                          one.name.send,
-                                          one.upstream,
-                                          one.expected,
-                                          one.taken,
-                                          one.places});
+        this->told(traffic::slot_granted{one.name.request,
+                                         one.name.send,
+                                         one.upstream,
+                                         one.expected,
+                                         one.taken,
+                                         one.places});
     for (const dispatch::declined_place& one : what.declined)
         this->told(
-            traffic::place_declined{one.name.request,
-                                    one.name.send,
-                                    base::not_run(one.why, one.retry_after)});
+            traffic::slot_declined{one.name.request,
+                                   one.name.send,
+                                   base::not_run(one.why, one.retry_after)});
 }
 
 void front::delegate()
--- a/src/greengagedrum/traffic/delegation.cpp
+++ b/src/greengagedrum/traffic/delegation.cpp
@@ -51,7 +51,7 @@
     return &found->second;
 }
 
-void scheduler::on(const place_granted& what)
+void scheduler::on(const slot_granted& what)
 {
     request* item = this->awaiting(what.request, what.send);
     if (item == nullptr || this->held || !this->delegating)
@@ -80,7 +80,7 @@
     this->send(*item, where);
 }
 
-void scheduler::on(const place_declined& what)
+void scheduler::on(const slot_declined& what)
 {
     request* item = this->awaiting(what.request, what.send);
     if (item == nullptr || !this->delegating)
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -116,7 +116,7 @@
 
 // Another entry, which places this one's requests, has a place for the send
 // that was asked for, or will have none in time.
-struct place_granted {
+struct slot_granted {
     base::request_id request;
     std::uint32_t send = 0;
     base::upstream_id upstream;
@@ -125,7 +125,7 @@
     std::uint32_t places = 0;
 };
 
-struct place_declined {
+struct slot_declined {
     base::request_id request;
     std::uint32_t send = 0;
     base::verdict verdict;
@@ -139,8 +139,8 @@
                            answer_received,
                            answer_interrupted,
                            upstream_checked,
-                           place_granted,
-                           place_declined>;
+                           slot_granted,
+                           slot_declined>;
 
 // ---- Actions ------------------------------------------------------------
 
--- a/src/greengagedrum/traffic/test/containment_test.cpp
+++ b/src/greengagedrum/traffic/test/containment_test.cpp
@@ -176,7 +176,7 @@
          {},
          {}}};
     this->tested.crash_suspects().merge(told, this->now);
-    this->step(place_granted{id, 1, base::upstream_id("i-0")});
+    this->step(slot_granted{id, 1, base::upstream_id("i-0")});
     CHECK(this->order<send_request>() == nullptr);
     CHECK(this->verdict().why == base::reason::quarantined);
 }
--- a/src/greengagedrum/traffic/test/delegation_test.cpp
+++ b/src/greengagedrum/traffic/test/delegation_test.cpp
@@ -18,9 +18,9 @@
         this->tested.delegate(true);
     }
 
-    place_granted granted(base::request_id id, std::uint32_t send = 1)
+    slot_granted granted(base::request_id id, std::uint32_t send = 1)
     {
-        place_granted out;
+        slot_granted out;
         out.request = id;
         out.send = send;
         out.upstream = engine;
@@ -93,7 +93,7 @@
 {
     const auto id = this->arrive(stream_facts());
     this->step(
-        place_declined{id, 1, base::not_run(base::reason::limit_reached, 3s)});
+        slot_declined{id, 1, base::not_run(base::reason::limit_reached, 3s)});
     const auto* end = this->order<end_request>();
     REQUIRE(end != nullptr);
     CHECK(end->verdict.run == base::run_state::not_run);
@@ -111,7 +111,7 @@
     this->step(this->granted(id));
     this->step(answer_interrupted{id, 1});
     this->step(
-        place_declined{id, 2, base::not_run(base::reason::overloaded, 1s)});
+        slot_declined{id, 2, base::not_run(base::reason::overloaded, 1s)});
     const auto* end = this->order<end_request>();
     REQUIRE(end != nullptr);
     CHECK(end->verdict.run == base::run_state::may_have_run);
--- a/src/greengagedrum/traffic/test/homes_test.cpp
+++ b/src/greengagedrum/traffic/test/homes_test.cpp
@@ -83,9 +83,9 @@
 {
     this->tested.delegate(true);
     const auto id = this->arrive(bound_facts());
-    this->step(place_granted{id, 1, base::upstream_id("near"), 50ms, 0, 1});
+    this->step(slot_granted{id, 1, base::upstream_id("near"), 50ms, 0, 1});
     CHECK(this->order<send_request>() == nullptr);
-    this->step(place_granted{id, 2, base::upstream_id("home-1"), 50ms, 0, 1});
+    this->step(slot_granted{id, 2, base::upstream_id("home-1"), 50ms, 0, 1});
     CHECK(this->sent().upstream == base::upstream_id("home-1"));
 }
 
