--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -154,7 +154,7 @@
     for (const traffic::action& order : orders) {
         if (const auto* send = std::get_if<traffic::send_request>(&order))
             this->send(number, *send);
-        if (const auto* stop = std::get_if<traffic::stop_send>(&order))
+        if (const auto* stop = std::get_if<traffic::cancel_send>(&order))
             this->end_work(stop->request);
         if (std::holds_alternative<traffic::deliver_answer>(order))
             this->out.answered += 1;
--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -146,7 +146,7 @@
     wire->send(order.send, *to, order.end_at - now);
 }
 
-void front::carry_out_one(const traffic::stop_send& order)
+void front::carry_out_one(const traffic::cancel_send& order)
 {
     const auto found = this->requests.find(order.request);
     if (found == this->requests.end())
--- a/src/greengagedrum/entry/front.hpp
+++ b/src/greengagedrum/entry/front.hpp
@@ -149,7 +149,7 @@
     void note_misdirection(const traffic::event& what);
     void carry_out(const traffic::actions& orders);
     void carry_out_one(const traffic::send_request& order);
-    void carry_out_one(const traffic::stop_send& order);
+    void carry_out_one(const traffic::cancel_send& order);
     void carry_out_one(const traffic::deliver_answer& order);
     void carry_out_one(const traffic::end_request& order);
     void carry_out_one(const traffic::check_upstream& order);
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -165,7 +165,7 @@
 };
 
 // Close that connection; whatever still comes on it is nobody's.
-struct stop_send {
+struct cancel_send {
     base::request_id request;
     std::uint32_t send = 0;
 };
@@ -196,7 +196,7 @@
 };
 
 using action = std::variant<send_request,
-                            stop_send,
+                            cancel_send,
                             deliver_answer,
                             end_request,
                             check_upstream,
--- a/src/greengagedrum/traffic/patience.cpp
+++ b/src/greengagedrum/traffic/patience.cpp
@@ -78,7 +78,7 @@
         return this->refuse(item, base::reason::overloaded);
     if (this->now >= item.end_at) {
         if (item.send != 0) {
-            this->out->push_back(stop_send{item.id, item.send});
+            this->out->push_back(cancel_send{item.id, item.send});
             this->note_unfinished(item);
             this->pool.probe_void(item.upstream);
             this->leave_upstream(item);
@@ -115,7 +115,7 @@
     const base::upstream_id upstream = item.upstream;
     if (!this->retries.spend(item.facts.service, this->now))
         return;
-    this->out->push_back(stop_send{item.id, send});
+    this->out->push_back(cancel_send{item.id, send});
     this->leave_upstream(item);
     item.tried.push_back(upstream);
     this->join_queue(item);
--- a/src/greengagedrum/traffic/test/delegation_test.cpp
+++ b/src/greengagedrum/traffic/test/delegation_test.cpp
@@ -169,7 +169,7 @@
     for (int count = 0; count < 20; ++count) {
         this->pass(300ms);
         CHECK(this->order<trust_changed>() == nullptr);
-        CHECK(this->order<stop_send>() == nullptr);
+        CHECK(this->order<cancel_send>() == nullptr);
     }
 }
 
--- a/src/greengagedrum/traffic/test/scheduler_test.cpp
+++ b/src/greengagedrum/traffic/test/scheduler_test.cpp
@@ -220,7 +220,7 @@
     for (std::uint32_t events = 1; events < 30; ++events) {
         this->step(events_received{other, send, events});
         this->pass(100ms);
-        REQUIRE(this->order<stop_send>() == nullptr);
+        REQUIRE(this->order<cancel_send>() == nullptr);
     }
     CHECK(this->tested.in_flight() == 2);
     static_cast<void>(waiting);
@@ -235,7 +235,7 @@
     const auto first = this->sent();
     this->step(events_received{id, first.send, 3});
     base::duration passed{0};
-    while (this->order<stop_send>() == nullptr && passed < 2s) {
+    while (this->order<cancel_send>() == nullptr && passed < 2s) {
         this->pass(20ms);
         passed += 20ms;
     }
@@ -250,11 +250,11 @@
     const auto id = this->arrive(facts_of(at_most_once, 2));
     for (int step = 0; step < 590; ++step) {
         this->pass(20ms);
-        REQUIRE(this->order<stop_send>() == nullptr);
+        REQUIRE(this->order<cancel_send>() == nullptr);
         REQUIRE(this->order<end_request>() == nullptr);
     }
     this->pass(250ms);
-    CHECK(this->order<stop_send>()->request == id);
+    CHECK(this->order<cancel_send>()->request == id);
     CHECK(this->verdict().why == base::reason::deadline);
     CHECK(this->verdict().run == base::run_state::may_have_run);
 }
