--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -196,7 +196,7 @@
     check->start(to->address, check_after);
 }
 
-void front::carry_out_one(const traffic::trust_changed& change)
+void front::carry_out_one(const traffic::suspicion_changed& change)
 {
     const routing::published_upstream* of =
         this->state.known.upstreams().find_alive(change.upstream);
--- a/src/greengagedrum/entry/front.hpp
+++ b/src/greengagedrum/entry/front.hpp
@@ -153,7 +153,7 @@
     void carry_out_one(const traffic::deliver_answer& order);
     void carry_out_one(const traffic::end_request& order);
     void carry_out_one(const traffic::check_upstream& order);
-    void carry_out_one(const traffic::trust_changed& change);
+    void carry_out_one(const traffic::suspicion_changed& change);
     void carry_out_one(const quarantine::standing_change& change);
     void grant(const traffic::send_request& order);
     void decline(const traffic::end_request& order);
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -188,7 +188,7 @@
 };
 
 // An upstream came under suspicion, or was cleared of it; for the log.
-struct trust_changed {
+struct suspicion_changed {
     base::upstream_id upstream;
     bool suspected = false;
     std::string_view cause; // what the last bad end was
@@ -200,7 +200,7 @@
                             deliver_answer,
                             end_request,
                             check_upstream,
-                            trust_changed,
+                            suspicion_changed,
                             quarantine::standing_change>;
 
 using actions = std::vector<action>;
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -121,7 +121,7 @@
     this->tell(this->pool.bad_end(upstream, what, this->now));
 }
 
-void scheduler::tell(const std::optional<trust_changed>& change)
+void scheduler::tell(const std::optional<suspicion_changed>& change)
 {
     if (change)
         this->out->push_back(*change);
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -181,7 +181,7 @@
     void send(request& item, const placing& where);
     void leave_upstream(request& item);
     void bad_end(base::upstream_id upstream, trouble what);
-    void tell(const std::optional<trust_changed>& change);
+    void tell(const std::optional<suspicion_changed>& change);
     bool is_quarantined(const request& item) const;
     bool awaits_copy(const request& item) const;
     void refuse_quarantined(request& item);
--- a/src/greengagedrum/traffic/test/delegation_test.cpp
+++ b/src/greengagedrum/traffic/test/delegation_test.cpp
@@ -168,7 +168,7 @@
     this->step(events_received{id, 1, 1});
     for (int count = 0; count < 20; ++count) {
         this->pass(300ms);
-        CHECK(this->order<trust_changed>() == nullptr);
+        CHECK(this->order<suspicion_changed>() == nullptr);
         CHECK(this->order<cancel_send>() == nullptr);
     }
 }
--- a/src/greengagedrum/traffic/test/scheduler_test.cpp
+++ b/src/greengagedrum/traffic/test/scheduler_test.cpp
@@ -105,7 +105,7 @@
     this->arrive(stream_facts());
     CHECK(this->order<send_request>() == nullptr);
     this->answer(probe, send.send);
-    CHECK(this->order<trust_changed>()->suspected == false);
+    CHECK(this->order<suspicion_changed>()->suspected == false);
     CHECK(this->order<send_request>() != nullptr);
 }
 
--- a/src/greengagedrum/traffic/upstream_pool.cpp
+++ b/src/greengagedrum/traffic/upstream_pool.cpp
@@ -287,7 +287,7 @@
         this->upstreams.erase(id);
 }
 
-std::optional<trust_changed> upstream_pool::good_end(base::upstream_id id)
+std::optional<suspicion_changed> upstream_pool::good_end(base::upstream_id id)
 {
     upstream* own = this->find(id);
     if (own == nullptr)
@@ -298,13 +298,13 @@
     own->trust.good_end();
     if (!cleared)
         return std::nullopt;
-    return trust_changed{id,
-                         false,
-                         to_string(own->trust.last_trouble()),
-                         own->trust.bad_share()};
+    return suspicion_changed{id,
+                             false,
+                             to_string(own->trust.last_trouble()),
+                             own->trust.bad_share()};
 }
 
-std::optional<trust_changed>
+std::optional<suspicion_changed>
 upstream_pool::bad_end(base::upstream_id id, trouble what, base::instant now)
 {
     upstream* own = this->find(id);
@@ -317,7 +317,7 @@
         all.bad += service_weight * (1 - all.bad);
     if (was || !own->trust.suspected())
         return std::nullopt;
-    return trust_changed{id, true, to_string(what), own->trust.bad_share()};
+    return suspicion_changed{id, true, to_string(what), own->trust.bad_share()};
 }
 
 void upstream_pool::probe_void(base::upstream_id id)
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -135,8 +135,8 @@
     void ended(base::upstream_id upstream, std::uint32_t unread);
 
     // Set when the upstream's standing changed by it.
-    std::optional<trust_changed> good_end(base::upstream_id upstream);
-    std::optional<trust_changed>
+    std::optional<suspicion_changed> good_end(base::upstream_id upstream);
+    std::optional<suspicion_changed>
     bad_end(base::upstream_id upstream, trouble what, base::instant now);
     void probe_void(base::upstream_id upstream);
 
