--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -145,7 +145,7 @@
 // ---- Actions ------------------------------------------------------------
 
 // What a choice rested on, for the log.
-struct choice_facts {
+struct choice_record {
     base::duration waited{0};
     std::uint32_t own = 0;    // requests there, of this entry
     std::uint32_t others = 0; // and of its peers, as they told
@@ -161,7 +161,7 @@
     std::uint32_t send = 0;
     base::upstream_id upstream;
     base::instant end_at; // the answer is of no use after it
-    choice_facts why;
+    choice_record why;
 };
 
 // Close that connection; whatever still comes on it is nobody's.
