--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -125,7 +125,7 @@
     return out;
 }
 
-wire::WaitingLevels levels_of(const traffic::service_waiting& told)
+wire::WaitingLevels levels_of(const traffic::queue_report& told)
 {
     std::array<std::uint16_t, traffic::priority_levels> counts{};
     std::transform(told.counts.begin(),
@@ -138,9 +138,9 @@
     return {told.service.value, counts};
 }
 
-traffic::service_waiting waiting_of(const wire::WaitingLevels& from)
+traffic::queue_report waiting_of(const wire::WaitingLevels& from)
 {
-    traffic::service_waiting out{base::class_id(from.service()), {}};
+    traffic::queue_report out{base::class_id(from.service()), {}};
     for (std::size_t level = 0; level < out.counts.size(); ++level)
         out.counts.at(level) =
             from.counts()->Get(static_cast<flatbuffers::uoffset_t>(level));
--- a/src/greengagedrum/gossip/message.hpp
+++ b/src/greengagedrum/gossip/message.hpp
@@ -61,7 +61,7 @@
     std::uint64_t change_revision = 0;
     base::duration store_age{0}; // since the store last answered the sender
     std::vector<traffic::upstream_use> uses;
-    std::vector<traffic::service_waiting> waiting;
+    std::vector<traffic::queue_report> waiting;
     std::vector<quota::workspace_use> workspace_uses;
     std::vector<known_entry> known;
     std::uint32_t strength = 0;  // thousandths of a processor
--- a/src/greengagedrum/traffic/placing.cpp
+++ b/src/greengagedrum/traffic/placing.cpp
@@ -84,7 +84,7 @@
     // little time left for anything else.
     if (!this->pool.any_open(service, this->now))
         return;
-    const waiting_counts elsewhere = this->waiting_elsewhere(service);
+    const queue_lengths elsewhere = this->waiting_elsewhere(service);
     wait_queue::level_flags starved = queue.starved(this->now);
     std::uint32_t free = this->pool.free_places(service, this->now);
     for (const waiting_request& next : queue.in_order(this->now)) {
@@ -142,15 +142,15 @@
 
 // What peers told that waits there. A peer's message counts for as long as it
 // takes that peer to tell anew.
-waiting_counts scheduler::waiting_elsewhere(base::class_id service) const
+queue_lengths scheduler::waiting_elsewhere(base::class_id service) const
 {
     constexpr base::duration load_report_holds = std::chrono::milliseconds(300);
-    waiting_counts out{};
+    queue_lengths out{};
     for (const auto& [peer, message] : this->waiting_at_peers) {
         if (message.services.empty() ||
             this->now - message.at > load_report_holds)
             continue;
-        for (const service_waiting& one : message.services) {
+        for (const queue_report& one : message.services) {
             if (one.service != service)
                 continue;
             for (std::size_t level = 0; level < out.size(); ++level)
@@ -163,7 +163,7 @@
 // Failure guarded against: a place falls free, and whoever sees it first takes
 // it for a less urgent request than one that waits at another entry.
 bool scheduler::yields_to_peers(const waiting_request& item,
-                                const waiting_counts& elsewhere,
+                                const queue_lengths& elsewhere,
                                 std::uint32_t free) const
 {
     const std::size_t level = level_of(wait_queue::rank(item, this->now));
@@ -198,9 +198,9 @@
     this->out->push_back(order);
 }
 
-std::vector<service_waiting> scheduler::own_waiting(base::instant at) const
+std::vector<queue_report> scheduler::own_queue_reports(base::instant at) const
 {
-    std::vector<service_waiting> out;
+    std::vector<queue_report> out;
     for (const auto& [service, queue] : this->queues) {
         if (!queue.empty())
             out.push_back({service, queue.counts(at)});
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -307,7 +307,7 @@
 
 void scheduler::peer_told(base::slot_id peer,
                           std::span<const upstream_use> uses,
-                          std::span<const service_waiting> waiting,
+                          std::span<const queue_report> waiting,
                           base::instant at)
 {
     peer_waiting& message = this->waiting_at_peers[peer];
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -25,9 +25,9 @@
 {
 
 // What waits at one entry for one service, as it tells its peers.
-struct service_waiting {
+struct queue_report {
     base::class_id service;
-    waiting_counts counts{};
+    queue_lengths counts{};
 };
 
 // A request of this entry that waits for a place, as it is asked for elsewhere.
@@ -78,7 +78,7 @@
 
     void peer_told(base::slot_id peer,
                    std::span<const upstream_use> uses,
-                   std::span<const service_waiting> waiting,
+                   std::span<const queue_report> waiting,
                    base::instant now);
     void peer_lost(base::slot_id peer);
     // Entries that place requests, this one included.
@@ -116,7 +116,7 @@
     {
         return this->pool.own_uses(now);
     }
-    std::vector<service_waiting> own_waiting(base::instant now) const;
+    std::vector<queue_report> own_queue_reports(base::instant now) const;
 
     // Requests that crash upstreams, as known here.
     quarantine::suspect_table& crash_suspects() { return this->suspects; }
@@ -174,9 +174,9 @@
     bool awaits_better(const request& item,
                        const waiting_request& entry,
                        const placing& offered) const;
-    waiting_counts waiting_elsewhere(base::class_id service) const;
+    queue_lengths waiting_elsewhere(base::class_id service) const;
     bool yields_to_peers(const waiting_request& item,
-                         const waiting_counts& elsewhere,
+                         const queue_lengths& elsewhere,
                          std::uint32_t free) const;
     void send(request& item, const placing& where);
     void leave_upstream(request& item);
@@ -209,7 +209,7 @@
     std::unordered_map<base::request_id, request> requests;
     struct peer_waiting {
         base::instant at;
-        std::vector<service_waiting> services;
+        std::vector<queue_report> services;
     };
     std::unordered_map<base::slot_id, peer_waiting> waiting_at_peers;
     std::size_t peers_with_queues = 0;
--- a/src/greengagedrum/traffic/test/burst_run.cpp
+++ b/src/greengagedrum/traffic/test/burst_run.cpp
@@ -81,7 +81,7 @@
     std::size_t from = 0;
     bool to_near = true; // to its own data centre, else to the others
     std::vector<upstream_use> uses;
-    std::vector<service_waiting> waiting;
+    std::vector<queue_report> waiting;
 };
 
 // An entry's messages to one side.
@@ -334,7 +334,7 @@
              from,
              to_near,
              this->entries[from]->own_uses(this->now),
-             this->entries[from]->own_waiting(this->now)});
+             this->entries[from]->own_queue_reports(this->now)});
     }
 
     burst_settings settings;
--- a/src/greengagedrum/traffic/test/wait_queue_test.cpp
+++ b/src/greengagedrum/traffic/test/wait_queue_test.cpp
@@ -90,7 +90,7 @@
     for (int count = 0; count < 4; ++count)
         this->arrive(stream_facts(2));
     this->arrive(stream_facts(0));
-    service_waiting message{engines, {9, 0, 0, 0}};
+    queue_report message{engines, {9, 0, 0, 0}};
     this->tested.peer_told(peer, {}, {&message, 1}, this->now);
     this->answer(running, send);
     CHECK(this->order<send_request>() != nullptr);
@@ -104,7 +104,7 @@
     const auto running = this->arrive(stream_facts(0));
     const auto send = this->sent().send;
     this->arrive(stream_facts(2));
-    service_waiting message{engines, {1, 0, 0, 0}};
+    queue_report message{engines, {1, 0, 0, 0}};
     this->tested.peer_told(peer, {}, {&message, 1}, this->now);
     this->answer(running, send);
     CHECK(this->order<send_request>() == nullptr);
@@ -240,7 +240,7 @@
     this->arrive(stream_facts(0));
     for (int count = 0; count < 4; ++count)
         this->arrive(stream_facts(2));
-    const service_waiting queue{engines, {9, 0, 0, 0}};
+    const queue_report queue{engines, {9, 0, 0, 0}};
     this->tested.peer_told(peer, {}, {&queue, 1}, this->now);
     this->tested.upstream_joined(upstream_named("more", 2), this->now);
     this->pass(20ms);
@@ -254,7 +254,7 @@
     this->arrive(stream_facts());
     this->arrive(stream_facts());
     for (std::uint64_t number = 0; number < 20; ++number) {
-        const service_waiting queue[] = {{engines, {5}}};
+        const queue_report queue[] = {{engines, {5}}};
         const base::slot_id one(std::to_string(number));
         this->tested.peer_told(one, {}, queue, this->now);
         this->tested.peer_lost(one);
@@ -274,7 +274,7 @@
     for (int count = 0; count < 10; ++count)
         this->arrive(stream_facts());
     for (std::uint64_t number = 0; number < peers; ++number) {
-        const service_waiting queued[] = {{engines, {5}}};
+        const queue_report queued[] = {{engines, {5}}};
         this->tested.peer_told(
             base::slot_id(std::to_string(number)), {}, queued, this->now);
     }
--- a/src/greengagedrum/traffic/wait_queue.cpp
+++ b/src/greengagedrum/traffic/wait_queue.cpp
@@ -184,9 +184,9 @@
     return found == this->holds.end() ? unknown_hold : found->second;
 }
 
-waiting_counts wait_queue::counts(base::instant now) const
+queue_lengths wait_queue::counts(base::instant now) const
 {
-    waiting_counts out{};
+    queue_lengths out{};
     for (const waiting_request& one : this->items)
         out.at(level_of(rank(one, now))) += 1;
     return out;
--- a/src/greengagedrum/traffic/wait_queue.hpp
+++ b/src/greengagedrum/traffic/wait_queue.hpp
@@ -36,7 +36,7 @@
 // workspaces times those of routes: with four, all kinds of all but the most
 // urgent workspaces were one, and dossiers were thought to wait behind notes.
 inline constexpr std::size_t priority_levels = 12;
-using waiting_counts = std::array<std::uint32_t, priority_levels>;
+using queue_lengths = std::array<std::uint32_t, priority_levels>;
 
 std::size_t level_of(std::uint32_t priority);
 
@@ -93,7 +93,7 @@
                            base::instant now) const;
 
     // By priority as it counts now, see `rank`.
-    waiting_counts counts(base::instant now) const;
+    queue_lengths counts(base::instant now) const;
 
     // Priority, one step more when it is late.
     static std::uint32_t rank(const waiting_request& item, base::instant now);
