--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -219,14 +219,14 @@
         member_report told;
         told.number = ++own.reports;
         own.unanswered = told.number;
-        for (traffic::waiting_send& wait :
-             own.decisions->waiting_sends(this->now))
+        for (traffic::queued_send& wait :
+             own.decisions->queued_sends(this->now))
             told.wanted.push_back({{wait.request, wait.send},
                                    wait.facts,
                                    std::move(wait.tried),
                                    0,
                                    true});
-        for (const traffic::sent_request& run : own.decisions->sent_requests())
+        for (const traffic::active_send& run : own.decisions->active_sends())
             told.running.push_back(
                 {{run.request, run.send}, run.upstream, run.unread_tokens});
         told.news = own.journal.untold();
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -12,8 +12,7 @@
 {
     const base::instant now = this->state.clock();
     dispatch::member_report out;
-    for (traffic::waiting_send& one :
-         this->state.scheduler.waiting_sends(now)) {
+    for (traffic::queued_send& one : this->state.scheduler.queued_sends(now)) {
         const auto found = this->requests.find(one.request);
         if (found == this->requests.end())
             continue;
@@ -26,8 +25,8 @@
                               request.cost,
                               counted});
     }
-    for (const traffic::sent_request& one :
-         this->state.scheduler.sent_requests()) {
+    for (const traffic::active_send& one :
+         this->state.scheduler.active_sends()) {
         if (dispatch::dispatcher_book::is_members(one.request))
             continue;
         out.running.push_back(
--- a/src/greengagedrum/traffic/delegation.cpp
+++ b/src/greengagedrum/traffic/delegation.cpp
@@ -7,13 +7,13 @@
 namespace greengagedrum::traffic
 {
 
-std::vector<waiting_send> scheduler::waiting_sends(base::instant at) const
+std::vector<queued_send> scheduler::queued_sends(base::instant at) const
 {
-    std::vector<waiting_send> out;
+    std::vector<queued_send> out;
     for (const auto& [id, item] : this->requests) {
         if (!item.queued || this->awaits_copy(item))
             continue;
-        waiting_send one{id, item.connects + 1, item.facts, item.tried};
+        queued_send one{id, item.connects + 1, item.facts, item.tried};
         const base::duration first = this->first_event_expected(item);
         one.facts.objective = item.arrived + item.facts.objective - at;
         one.facts.time_left = item.end_at - at;
@@ -27,9 +27,9 @@
     return out;
 }
 
-std::vector<sent_request> scheduler::sent_requests() const
+std::vector<active_send> scheduler::active_sends() const
 {
-    std::vector<sent_request> out;
+    std::vector<active_send> out;
     for (const auto& [id, item] : this->requests) {
         if (item.send == 0)
             continue;
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -31,14 +31,14 @@
 };
 
 // A request of this entry that waits for a place, as it is asked for elsewhere.
-struct waiting_send {
+struct queued_send {
     base::request_id request;
     std::uint32_t send = 0; // the number that the send will have
     request_facts facts;    // times from now on
     std::vector<base::upstream_id> tried;
 };
 
-struct sent_request {
+struct active_send {
     base::request_id request;
     std::uint32_t send = 0;
     base::upstream_id upstream;
@@ -109,8 +109,8 @@
 
     // Another entry places this one's requests: what waits is asked for there.
     void delegate(bool to_another) { this->delegating = to_another; }
-    std::vector<waiting_send> waiting_sends(base::instant now) const;
-    std::vector<sent_request> sent_requests() const;
+    std::vector<queued_send> queued_sends(base::instant now) const;
+    std::vector<active_send> active_sends() const;
 
     std::vector<upstream_use> own_uses(base::instant now) const
     {
--- a/src/greengagedrum/traffic/test/delegation_test.cpp
+++ b/src/greengagedrum/traffic/test/delegation_test.cpp
@@ -35,14 +35,14 @@
 {
     const auto id = this->arrive(stream_facts());
     CHECK(this->order<send_request>() == nullptr);
-    const auto waiting = this->tested.waiting_sends(this->now);
+    const auto waiting = this->tested.queued_sends(this->now);
     REQUIRE(waiting.size() == 1);
     CHECK(waiting[0].send == 1);
     CHECK(waiting[0].facts.delegated);
     this->step(this->granted(id));
     REQUIRE(this->order<send_request>() != nullptr);
-    CHECK(this->tested.waiting_sends(this->now).empty());
-    CHECK(this->tested.sent_requests().size() == 1);
+    CHECK(this->tested.queued_sends(this->now).empty());
+    CHECK(this->tested.active_sends().size() == 1);
 }
 
 // The reply with the place comes twice, since a report crossed it. A request
@@ -65,7 +65,7 @@
     const auto id = this->arrive(stream_facts());
     this->step(this->granted(id));
     this->step(connect_failed{id, 1});
-    CHECK(this->tested.waiting_sends(this->now).at(0).send == 2);
+    CHECK(this->tested.queued_sends(this->now).at(0).send == 2);
     this->step(this->granted(id, 1));
     CHECK(this->order<send_request>() == nullptr);
     this->step(this->granted(id, 2));
@@ -82,7 +82,7 @@
     this->tested.upstream_left(engine);
     this->step(this->granted(id));
     CHECK(this->order<send_request>() == nullptr);
-    const auto waiting = this->tested.waiting_sends(this->now);
+    const auto waiting = this->tested.queued_sends(this->now);
     REQUIRE(waiting.size() == 1);
     CHECK(waiting[0].send == 2);
     CHECK(waiting[0].tried == std::vector{engine});
