--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -58,7 +58,7 @@
 class scheduler
 {
 public:
-    scheduler(const retry_bounds& bounds, standpoint own)
+    scheduler(const retry_bounds& bounds, entry_identity own)
         : suspects(own.salt), pool(std::move(own)), retries(bounds)
     {
     }
--- a/src/greengagedrum/traffic/test/burst_run.cpp
+++ b/src/greengagedrum/traffic/test/burst_run.cpp
@@ -108,7 +108,7 @@
         for (std::size_t entry = 0; entry < given.entries; ++entry) {
             this->entries.push_back(std::make_unique<scheduler>(
                 retry_bounds{},
-                standpoint{place_of(entry, given), 1000 + entry}));
+                entry_identity{place_of(entry, given), 1000 + entry}));
             this->entries.back()->set_entries(given.entries);
             this->entries.back()->set_gossip_gap(given.near_gap);
             for (std::size_t one = 0; one < given.engines; ++one) {
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -66,7 +66,7 @@
 };
 
 // Where this entry stands, which tells its choices from its peers'.
-struct standpoint {
+struct entry_identity {
     std::string data_centre;
     std::uint64_t salt = 0; // differs between entries
 };
@@ -74,7 +74,7 @@
 class upstream_pool
 {
 public:
-    explicit upstream_pool(standpoint own) : own_place(std::move(own)) {}
+    explicit upstream_pool(entry_identity own) : own_place(std::move(own)) {}
 
     void join(const routing::published_upstream& entry, base::instant now);
     void leave(base::upstream_id upstream);
@@ -253,7 +253,7 @@
                        base::instant now) const;
     const candidate* pick(const offers& open, std::uint64_t draw) const;
 
-    standpoint own_place;
+    entry_identity own_place;
     slow_start_share cold_share{0, 1};
     std::size_t entries = 1;
     double alike = 0; // see set_entries()
