--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -21,7 +21,7 @@
 make_scheduler(const run_settings& given, std::uint64_t salt, base::instant now)
 {
     auto out = std::make_unique<traffic::scheduler>(
-        traffic::retry_bounds{0.2, 50, 10s},
+        traffic::retry_budget_settings{0.2, 50, 10s},
         traffic::entry_identity{"hall", salt});
     for (std::size_t one = 0; one < given.upstreams; ++one) {
         routing::published_upstream entry;
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -30,7 +30,7 @@
     return {(seconds << random_bits) | (device() & ((1U << random_bits) - 1))};
 }
 
-traffic::retry_bounds retry_bounds_of(const bounds& from)
+traffic::retry_budget_settings retry_bounds_of(const bounds& from)
 {
     return {from.retry_ratio, from.retry_slack, from.retry_window};
 }
@@ -197,7 +197,7 @@
     this->state.limiter.set_tolerance({this->own.bounds.usage_window,
                                        this->own.bounds.usage_overshoot,
                                        this->own.bounds.usage_slack});
-    this->state.scheduler.set_retry_bounds(retry_bounds_of(this->own.bounds));
+    this->state.scheduler.set_retry_budget(retry_bounds_of(this->own.bounds));
     if (this->store)
         this->store->set_bound(this->own.bounds.news());
     this->apply_slow_start();
--- a/src/greengagedrum/traffic/retry_share.cpp
+++ b/src/greengagedrum/traffic/retry_budget.cpp
@@ -1,4 +1,4 @@
-#include <greengagedrum/traffic/retry_share.hpp>
+#include <greengagedrum/traffic/retry_budget.hpp>
 
 #include <algorithm>
 
@@ -14,21 +14,21 @@
 
 } // namespace
 
-void retry_share::drop_old(std::deque<base::instant>& times,
-                           base::instant now) const
+void retry_budget::drop_old(std::deque<base::instant>& times,
+                            base::instant now) const
 {
     while (!times.empty() && now - times.front() > this->bounds.window)
         times.pop_front();
 }
 
-void retry_share::arrived(base::class_id service, base::instant now)
+void retry_budget::arrived(base::class_id service, base::instant now)
 {
     service_window& own = this->windows[service];
     this->drop_old(own.requests, now);
     own.requests.push_back(now);
 }
 
-bool retry_share::spend(base::class_id service, base::instant now)
+bool retry_budget::spend(base::class_id service, base::instant now)
 {
     service_window& own = this->windows[service];
     this->drop_old(own.requests, now);
--- a/src/greengagedrum/traffic/retry_share.hpp
+++ b/src/greengagedrum/traffic/retry_budget.hpp
@@ -13,18 +13,23 @@
 namespace greengagedrum::traffic
 {
 
-struct retry_bounds {
+struct retry_budget_settings {
     double ratio = 0.2; // retries for each request of the service
     double slack = 0;   // and so many beside, over all entries
     base::duration window = std::chrono::seconds(10);
 };
 
-class retry_share
+class retry_budget
 {
 public:
-    explicit retry_share(const retry_bounds& bounds) : bounds(bounds) {}
+    explicit retry_budget(const retry_budget_settings& bounds) : bounds(bounds)
+    {
+    }
 
-    void set_bounds(const retry_bounds& given) { this->bounds = given; }
+    void set_bounds(const retry_budget_settings& given)
+    {
+        this->bounds = given;
+    }
 
     // How many entries share the slack; those that were there lately count.
     void set_entries(std::size_t count) { this->entries = count; }
@@ -42,7 +47,7 @@
 
     void drop_old(std::deque<base::instant>& times, base::instant now) const;
 
-    retry_bounds bounds;
+    retry_budget_settings bounds;
     std::size_t entries = 1;
     std::unordered_map<base::class_id, service_window> windows;
 };
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -9,7 +9,7 @@
 #include <greengagedrum/quarantine/suspect_table.hpp>
 #include <greengagedrum/traffic/first_attempt_estimator.hpp>
 #include <greengagedrum/traffic/messages.hpp>
-#include <greengagedrum/traffic/retry_share.hpp>
+#include <greengagedrum/traffic/retry_budget.hpp>
 #include <greengagedrum/traffic/upstream_pool.hpp>
 #include <greengagedrum/traffic/wait_queue.hpp>
 
@@ -58,7 +58,7 @@
 class scheduler
 {
 public:
-    scheduler(const retry_bounds& bounds, entry_identity own)
+    scheduler(const retry_budget_settings& bounds, entry_identity own)
         : suspects(own.salt), pool(std::move(own)), retries(bounds)
     {
     }
@@ -99,7 +99,7 @@
     }
     // Between two messages of a peer close by, at the least.
     void set_gossip_gap(base::duration gap) { this->pool.set_gossip_gap(gap); }
-    void set_retry_bounds(const retry_bounds& bounds)
+    void set_retry_budget(const retry_budget_settings& bounds)
     {
         this->retries.set_bounds(bounds);
     }
@@ -203,7 +203,7 @@
 
     quarantine::suspect_table suspects;
     upstream_pool pool;
-    retry_share retries;
+    retry_budget retries;
     first_attempt_estimator fresh;
     std::map<base::class_id, wait_queue> queues;
     std::unordered_map<base::request_id, request> requests;
--- a/src/greengagedrum/traffic/test/burst_run.cpp
+++ b/src/greengagedrum/traffic/test/burst_run.cpp
@@ -107,7 +107,7 @@
     {
         for (std::size_t entry = 0; entry < given.entries; ++entry) {
             this->entries.push_back(std::make_unique<scheduler>(
-                retry_bounds{},
+                retry_budget_settings{},
                 entry_identity{place_of(entry, given), 1000 + entry}));
             this->entries.back()->set_entries(given.entries);
             this->entries.back()->set_gossip_gap(given.near_gap);
