--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -211,10 +211,10 @@
     const traffic::slow_start_tolerance tolerance{
         this->own.bounds.warmup_overshoot, this->own.bounds.warmup_slack};
     for (const routing::service& one : routes->source().services)
-        this->state.scheduler.set_slow_start(
+        this->state.scheduler.set_slow_start_rate(
             one.id,
             one.warmup_per_second > 0
-                ? traffic::slow_start_sends(one.warmup_per_second, tolerance)
+                ? traffic::slow_start_rate(one.warmup_per_second, tolerance)
                 : 0);
 }
 
--- a/src/greengagedrum/entry/fleet_test/cold_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/cold_fleet.cpp
@@ -52,7 +52,7 @@
     const std::size_t place = one.number % this->plan.data_centres;
     one.state.scheduler = traffic::scheduler(
         {0.2, 60, 10s}, {"centre-" + std::to_string(place), one.number + 1});
-    one.state.scheduler.set_slow_start(engines, this->plan.sends);
+    one.state.scheduler.set_slow_start_rate(engines, this->plan.sends);
     for (std::size_t each = 0; each < this->plan.data_centres; ++each)
         one.state.scheduler.upstream_joined(this->published(each),
                                             this->fleet.time());
--- a/src/greengagedrum/entry/fleet_test/cold_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/cold_fleet_test.cpp
@@ -26,7 +26,7 @@
     out.entries = entries;
     out.data_centres = data_centres;
     out.seconds = 15;
-    out.sends = traffic::slow_start_sends(per_second, tolerance);
+    out.sends = traffic::slow_start_rate(per_second, tolerance);
     return out;
 }
 
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -84,9 +84,9 @@
     // Entries that place requests, this one included.
     void set_entries(std::size_t count);
     // Of each service that publishes one: the bound on cold upstreams.
-    void set_slow_start(base::class_id service, std::uint32_t sends)
+    void set_slow_start_rate(base::class_id service, std::uint32_t sends)
     {
-        this->pool.set_slow_start(service, sends);
+        this->pool.set_slow_start_rate(service, sends);
     }
     void set_slow_start_share(const slow_start_share& share)
     {
--- a/src/greengagedrum/traffic/slow_start.cpp
+++ b/src/greengagedrum/traffic/slow_start.cpp
@@ -16,8 +16,8 @@
 
 } // namespace
 
-std::uint32_t slow_start_sends(double per_second,
-                               const slow_start_tolerance& tolerance)
+std::uint32_t slow_start_rate(double per_second,
+                              const slow_start_tolerance& tolerance)
 {
     const double bound =
         std::floor(per_second * tolerance.overshoot + tolerance.slack);
--- a/src/greengagedrum/traffic/slow_start.hpp
+++ b/src/greengagedrum/traffic/slow_start.hpp
@@ -24,8 +24,8 @@
 };
 
 // Requests in any second, of all entries that know of each other; 0: none.
-std::uint32_t slow_start_sends(double per_second,
-                               const slow_start_tolerance& tolerance);
+std::uint32_t slow_start_rate(double per_second,
+                              const slow_start_tolerance& tolerance);
 
 // Where this entry stands among those that may send to the cold upstreams of
 // its data centre.
--- a/src/greengagedrum/traffic/test/slow_start_test.cpp
+++ b/src/greengagedrum/traffic/test/slow_start_test.cpp
@@ -23,7 +23,7 @@
 }
 
 struct cold_fixture : scheduler_fixture {
-    cold_fixture() { this->tested.set_slow_start(engines, cold_sends); }
+    cold_fixture() { this->tested.set_slow_start_rate(engines, cold_sends); }
 
     void join(const routing::published_upstream& one)
     {
@@ -52,12 +52,12 @@
 
 TEST_CASE("slow_start_sends_stay_within_half_of_the_bound")
 {
-    CHECK(slow_start_sends(7.3, {1.5, 5}) == 7);
-    CHECK(slow_start_sends(100, {1, 0}) == 50);
-    CHECK(slow_start_sends(0.5, {1, 0}) == 0);
-    CHECK(slow_start_sends(1, {1, 0}) == 1);
-    CHECK(slow_start_sends(0.5, {1.5, 5}) == 1);
-    CHECK(slow_start_sends(1e30, {1e30, 1e30}) == 1'000'000);
+    CHECK(slow_start_rate(7.3, {1.5, 5}) == 7);
+    CHECK(slow_start_rate(100, {1, 0}) == 50);
+    CHECK(slow_start_rate(0.5, {1, 0}) == 0);
+    CHECK(slow_start_rate(1, {1, 0}) == 1);
+    CHECK(slow_start_rate(0.5, {1.5, 5}) == 1);
+    CHECK(slow_start_rate(1e30, {1e30, 1e30}) == 1'000'000);
 }
 
 TEST_CASE("parts_of_all_sharers_add_up_to_the_whole")
@@ -117,7 +117,7 @@
 
 TEST_CASE_FIXTURE(cold_fixture, "service_without_a_bound_is_not_held")
 {
-    this->tested.set_slow_start(engines, 0);
+    this->tested.set_slow_start_rate(engines, 0);
     this->join(cold_upstream("i-1", "away", 3s));
     CHECK(this->sends_within(1s) > 10);
 }
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -97,7 +97,7 @@
 
     // Requests that a cold upstream of the service gets in a second; 0: there
     // is no bound.
-    void set_slow_start(base::class_id service, std::uint32_t sends)
+    void set_slow_start_rate(base::class_id service, std::uint32_t sends)
     {
         this->services[service].cold_sends = sends;
     }
