--- a/src/greengagedrum/entry/peer_counting.cpp
+++ b/src/greengagedrum/entry/peer_counting.cpp
@@ -24,8 +24,8 @@
     if (this->large)
         return this->count_among_many(now);
     traffic::scheduler& scheduler = this->state.scheduler;
-    scheduler.set_entries(this->table.alive_lately(now) + 1);
-    scheduler.set_gossip_gap(
+    scheduler.set_entry_count(this->table.alive_lately(now) + 1);
+    scheduler.set_gossip_interval(
         this->schedule.gap(gossip::audience::own_data_centre));
     this->state.limiter.set_unheard_peers(this->table.unheard());
     this->state.limiter.set_unreported_members(0, now); // it has none
@@ -39,9 +39,9 @@
     const std::size_t all = this->order.size(now);
     const std::size_t placing = this->order.dispatchers(now) + 1;
     traffic::scheduler& scheduler = this->state.scheduler;
-    scheduler.set_entries(this->members.empty() ? all : placing);
-    scheduler.set_retrying_entries(all);
-    scheduler.set_gossip_gap(gossip_gap_among_many);
+    scheduler.set_entry_count(this->members.empty() ? all : placing);
+    scheduler.set_retrying_entry_count(all);
+    scheduler.set_gossip_interval(gossip_gap_among_many);
     const std::size_t unheard =
         this->order.unheard_data_centres(now) + this->unheard_near(now);
     this->state.limiter.set_unheard_peers(unheard);
--- a/src/greengagedrum/traffic/choice.cpp
+++ b/src/greengagedrum/traffic/choice.cpp
@@ -153,7 +153,7 @@
 // third of all places free. All chose the engine that looked best, of which
 // each knew of one to four requests, and met there in a queue: a third of all
 // requests came late.
-void upstream_pool::set_entries(std::size_t count)
+void upstream_pool::set_entry_count(std::size_t count)
 {
     this->entries = std::max<std::size_t>(1, count);
     this->alike =
--- a/src/greengagedrum/traffic/retry_budget.hpp
+++ b/src/greengagedrum/traffic/retry_budget.hpp
@@ -32,7 +32,7 @@
     }
 
     // How many entries share the slack; those that were there lately count.
-    void set_entries(std::size_t count) { this->entries = count; }
+    void set_entry_count(std::size_t count) { this->entries = count; }
 
     void arrived(base::class_id service, base::instant now);
 
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -332,11 +332,11 @@
     this->pool.set_waiting_peers(this->peers_with_queues);
 }
 
-void scheduler::set_entries(std::size_t count)
+void scheduler::set_entry_count(std::size_t count)
 {
     this->entries = std::max<std::size_t>(1, count);
-    this->retries.set_entries(this->entries);
-    this->pool.set_entries(this->entries);
+    this->retries.set_entry_count(this->entries);
+    this->pool.set_entry_count(this->entries);
 }
 
 } // namespace greengagedrum::traffic
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -82,7 +82,7 @@
                    base::instant now);
     void peer_lost(base::slot_id peer);
     // Entries that place requests, this one included.
-    void set_entries(std::size_t count);
+    void set_entry_count(std::size_t count);
     // Of each service that publishes one: the bound on cold upstreams.
     void set_slow_start_rate(base::class_id service, std::uint32_t sends)
     {
@@ -93,12 +93,15 @@
         this->pool.set_slow_start_share(share);
     }
     // Entries that send again what failed; all of them, unless told.
-    void set_retrying_entries(std::size_t count)
+    void set_retrying_entry_count(std::size_t count)
     {
-        this->retries.set_entries(std::max<std::size_t>(1, count));
+        this->retries.set_entry_count(std::max<std::size_t>(1, count));
     }
     // Between two messages of a peer close by, at the least.
-    void set_gossip_gap(base::duration gap) { this->pool.set_gossip_gap(gap); }
+    void set_gossip_interval(base::duration gap)
+    {
+        this->pool.set_gossip_interval(gap);
+    }
     void set_retry_budget(const retry_budget_settings& bounds)
     {
         this->retries.set_bounds(bounds);
--- a/src/greengagedrum/traffic/test/burst_run.cpp
+++ b/src/greengagedrum/traffic/test/burst_run.cpp
@@ -109,8 +109,8 @@
             this->entries.push_back(std::make_unique<scheduler>(
                 retry_budget_settings{},
                 entry_identity{place_of(entry, given), 1000 + entry}));
-            this->entries.back()->set_entries(given.entries);
-            this->entries.back()->set_gossip_gap(given.near_gap);
+            this->entries.back()->set_entry_count(given.entries);
+            this->entries.back()->set_gossip_interval(given.near_gap);
             for (std::size_t one = 0; one < given.engines; ++one) {
                 auto engine = upstream_named(std::to_string(one), given.slots);
                 engine.data_centre = place_of(one, given);
--- a/src/greengagedrum/traffic/test/scheduler_test.cpp
+++ b/src/greengagedrum/traffic/test/scheduler_test.cpp
@@ -194,7 +194,7 @@
 TEST_CASE_FIXTURE(scheduler_fixture, "retries_of_one_entry_keep_to_its_part")
 {
     this->upstreams(4, 50);
-    this->tested.set_entries(10);
+    this->tested.set_entry_count(10);
     for (int count = 0; count < 100; ++count) {
         const auto id = this->arrive(facts_of(idempotent, 2));
         this->answer(id, this->sent().send, false);
--- a/src/greengagedrum/traffic/test/wait_queue_test.cpp
+++ b/src/greengagedrum/traffic/test/wait_queue_test.cpp
@@ -219,7 +219,7 @@
 TEST_CASE_FIXTURE(scheduler_fixture,
                   "entry_with_most_callers_counts_on_the_places_it_holds")
 {
-    this->tested.set_entries(40);
+    this->tested.set_entry_count(40);
     this->upstreams(8, 5);
     for (int count = 0; count < 40; ++count)
         this->arrive(stream_facts());
--- a/src/greengagedrum/traffic/upstream_pool.cpp
+++ b/src/greengagedrum/traffic/upstream_pool.cpp
@@ -189,7 +189,7 @@
             now + this->own_turn(placement::mix(id.value, place)));
 }
 
-void upstream_pool::set_gossip_gap(base::duration gap)
+void upstream_pool::set_gossip_interval(base::duration gap)
 {
     this->peers_turn = gap + message_delay;
 }
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -88,10 +88,10 @@
     void forget_silent_peers(base::instant now);
 
     // Entries that take requests, this one included.
-    void set_entries(std::size_t count);
+    void set_entry_count(std::size_t count);
 
     // Between two messages of a peer close by, at the least.
-    void set_gossip_gap(base::duration gap);
+    void set_gossip_interval(base::duration gap);
     // Peers with requests that wait: they are after each place that falls free.
     void set_waiting_peers(std::size_t count) { this->waiting_peers = count; }
 
@@ -256,7 +256,7 @@
     entry_identity own_place;
     slow_start_share cold_share{0, 1};
     std::size_t entries = 1;
-    double alike = 0; // see set_entries()
+    double alike = 0; // see set_entry_count()
     std::size_t waiting_peers = 0;
     base::duration peers_turn = std::chrono::milliseconds(14);
     std::unordered_map<base::upstream_id, upstream> upstreams;
