--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.cpp
@@ -50,7 +50,7 @@
 dispatcher_book::report(base::slot_id member,
                         base::incarnation life,
                         const member_report& told,
-                        std::span<const traffic::upstream_use> uses)
+                        std::span<const traffic::upstream_load> uses)
 {
     request_changes out;
     member_state& state = this->of[member];
@@ -63,9 +63,9 @@
     own.report_taken = told.number;
     for (const send_news& one : told.news)
         this->take_news(own, one, out);
-    std::unordered_map<base::upstream_id, traffic::upstream_use> others;
+    std::unordered_map<base::upstream_id, traffic::upstream_load> others;
     // What it sees of upstreams' speed counts, whoever placed the request.
-    for (const traffic::upstream_use& use : uses)
+    for (const traffic::upstream_load& use : uses)
         others[use.upstream] = {use.upstream, 0, 0, use.event_gap};
     for (const running_send& one : told.running) {
         const auto found = own.sends.find(one.name);
@@ -77,7 +77,7 @@
                 continue;
         }
         // Sent by the member itself, or placed by a dispatcher before this one.
-        traffic::upstream_use& use = others[one.upstream];
+        traffic::upstream_load& use = others[one.upstream];
         use.upstream = one.upstream;
         use.requests += 1;
         use.prompt_tokens += one.unread_tokens;
--- a/src/greengagedrum/dispatch/dispatcher_book.hpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.hpp
@@ -32,8 +32,8 @@
     // Sends that are new: to be let through by the limit, and then told as
     // arrived.
     std::vector<std::pair<base::request_id, slot_request>> arrived;
-    std::vector<counted_cost> withdrawn;       // of sends that got no place
-    std::vector<traffic::upstream_use> others; // placed by nobody here
+    std::vector<counted_cost> withdrawn;        // of sends that got no place
+    std::vector<traffic::upstream_load> others; // placed by nobody here
 };
 
 class dispatcher_book
@@ -45,7 +45,7 @@
     request_changes report(base::slot_id member,
                            base::incarnation life,
                            const member_report& told,
-                           std::span<const traffic::upstream_use> uses);
+                           std::span<const traffic::upstream_load> uses);
 
     // The member has died or was cut off: what it wanted is nobody's.
     request_changes lost(base::slot_id member);
--- a/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
+++ b/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
@@ -163,7 +163,7 @@
 
 TEST_CASE_FIXTURE(desk_fixture, "speed_that_a_member_sees_counts_without_load")
 {
-    const traffic::upstream_use seen{
+    const traffic::upstream_load seen{
         engine, 3, 0, std::chrono::milliseconds(40)};
     const request_changes news =
         this->book.report(member, base::incarnation{1}, this->told, {&seen, 1});
--- a/src/greengagedrum/entry/front.hpp
+++ b/src/greengagedrum/entry/front.hpp
@@ -89,7 +89,7 @@
     void member_reported(base::slot_id member,
                          base::incarnation life,
                          const dispatch::member_report& told,
-                         std::span<const traffic::upstream_use> uses);
+                         std::span<const traffic::upstream_load> uses);
     void member_lost(base::slot_id member);
     dispatch::dispatcher_book& book() { return this->members; }
 
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -86,7 +86,7 @@
 void front::member_reported(base::slot_id member,
                             base::incarnation life,
                             const dispatch::member_report& told,
-                            std::span<const traffic::upstream_use> uses)
+                            std::span<const traffic::upstream_load> uses)
 {
     const dispatch::request_changes news =
         this->members.report(member, life, told, uses);
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -251,7 +251,7 @@
     gossip::message out =
         this->own_message(this->large ? gossip::message_kind::dispatcher_load
                                       : gossip::message_kind::load);
-    out.uses = this->state.scheduler.own_uses(now);
+    out.uses = this->state.scheduler.own_load(now);
     out.waiting = this->state.scheduler.own_queue_reports(now);
     out.workspace_uses = this->state.limiter.own_uses(now);
     out.known = this->table.some_known(who, now);
--- a/src/greengagedrum/entry/peer_telling.cpp
+++ b/src/greengagedrum/entry/peer_telling.cpp
@@ -102,7 +102,7 @@
     if (!this->dispatcher)
         return;
     gossip::message out = this->own_message(gossip::message_kind::report);
-    out.uses = this->state.scheduler.own_uses(now);
+    out.uses = this->state.scheduler.own_load(now);
     out.report = this->events.report();
     out.suspects = this->suspects_for(this->suspects_to_near, now);
     this->reported_at = now;
@@ -119,7 +119,7 @@
     if (!to_try.empty()) {
         gossip::message out = this->own_message(gossip::message_kind::report);
         if (this->state.delegating && !this->dispatcher) {
-            out.uses = this->state.scheduler.own_uses(now);
+            out.uses = this->state.scheduler.own_load(now);
             out.report = this->events.report();
         }
         const std::string bytes = gossip::encode(out);
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -53,16 +53,16 @@
     return list->Get(static_cast<flatbuffers::uoffset_t>(at));
 }
 
-std::vector<traffic::upstream_use>
+std::vector<traffic::upstream_load>
 uses_of(const flatbuffers::Vector<const wire::Use*>& list,
         const number_list* gaps)
 {
-    std::vector<traffic::upstream_use> out;
+    std::vector<traffic::upstream_load> out;
     for (const wire::Use* one : list) {
         const std::size_t at = out.size();
-        traffic::upstream_use use{base::upstream_id(one->upstream()),
-                                  one->requests(),
-                                  one->prompt_tokens()};
+        traffic::upstream_load use{base::upstream_id(one->upstream()),
+                                   one->requests(),
+                                   one->prompt_tokens()};
         use.event_gap = std::chrono::microseconds(number_at(gaps, at));
         out.push_back(use);
     }
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -306,7 +306,7 @@
 }
 
 void scheduler::peer_told(base::slot_id peer,
-                          std::span<const upstream_use> uses,
+                          std::span<const upstream_load> uses,
                           std::span<const queue_report> waiting,
                           base::instant at)
 {
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -77,7 +77,7 @@
     void upstream_left(base::upstream_id upstream);
 
     void peer_told(base::slot_id peer,
-                   std::span<const upstream_use> uses,
+                   std::span<const upstream_load> uses,
                    std::span<const queue_report> waiting,
                    base::instant now);
     void peer_lost(base::slot_id peer);
@@ -115,9 +115,9 @@
     std::vector<queued_send> queued_sends(base::instant now) const;
     std::vector<active_send> active_sends() const;
 
-    std::vector<upstream_use> own_uses(base::instant now) const
+    std::vector<upstream_load> own_load(base::instant now) const
     {
-        return this->pool.own_uses(now);
+        return this->pool.own_load(now);
     }
     std::vector<queue_report> own_queue_reports(base::instant now) const;
 
--- a/src/greengagedrum/traffic/test/burst_run.cpp
+++ b/src/greengagedrum/traffic/test/burst_run.cpp
@@ -80,7 +80,7 @@
     base::instant at;
     std::size_t from = 0;
     bool to_near = true; // to its own data centre, else to the others
-    std::vector<upstream_use> uses;
+    std::vector<upstream_load> uses;
     std::vector<queue_report> waiting;
 };
 
@@ -333,7 +333,7 @@
             {this->now + message_delay,
              from,
              to_near,
-             this->entries[from]->own_uses(this->now),
+             this->entries[from]->own_load(this->now),
              this->entries[from]->own_queue_reports(this->now)});
     }
 
--- a/src/greengagedrum/traffic/test/placing_test.cpp
+++ b/src/greengagedrum/traffic/test/placing_test.cpp
@@ -56,7 +56,7 @@
                   std::uint32_t requests,
                   base::duration gap)
     {
-        const upstream_use uses[] = {{upstream, requests, 0, gap}};
+        const upstream_load uses[] = {{upstream, requests, 0, gap}};
         this->tested.peer_told(
             base::slot_id("peer-" + std::to_string(upstream.value)),
             uses,
--- a/src/greengagedrum/traffic/test/scheduler_test.cpp
+++ b/src/greengagedrum/traffic/test/scheduler_test.cpp
@@ -121,7 +121,7 @@
         this->tested.upstream_joined(entry, this->now);
     }
     // Their own are busy, so that the first choices are elsewhere.
-    const std::vector<upstream_use> busy = {
+    const std::vector<upstream_load> busy = {
         {base::upstream_id("i-0"), 4, 3000},
         {base::upstream_id("i-1"), 4, 3000},
         {base::upstream_id("i-2"), 4, 3000}};
--- a/src/greengagedrum/traffic/test/wait_queue_test.cpp
+++ b/src/greengagedrum/traffic/test/wait_queue_test.cpp
@@ -119,7 +119,7 @@
                   "place_freed_by_a_peer_is_left_to_it_first")
 {
     this->upstreams(1, 1);
-    const upstream_use taken{base::upstream_id("i-0"), 1, 0};
+    const upstream_load taken{base::upstream_id("i-0"), 1, 0};
     this->tested.peer_told(peer, {&taken, 1}, {}, this->now);
     this->arrive(stream_facts());
     CHECK(this->order<send_request>() == nullptr);
@@ -133,7 +133,7 @@
 TEST_CASE_FIXTURE(scheduler_fixture, "places_of_a_silent_peer_are_free_again")
 {
     this->upstreams(1, 1);
-    const upstream_use taken{base::upstream_id("i-0"), 1, 0};
+    const upstream_load taken{base::upstream_id("i-0"), 1, 0};
     this->tested.peer_told(peer, {&taken, 1}, {}, this->now);
     this->arrive(stream_facts());
     CHECK(this->order<send_request>() == nullptr);
--- a/src/greengagedrum/traffic/upstream_pool.cpp
+++ b/src/greengagedrum/traffic/upstream_pool.cpp
@@ -63,7 +63,7 @@
     this->note_join(entry.id, own, now);
     // Peers may have told of it before it was known here.
     for (const auto& [peer, message] : this->told) {
-        for (const upstream_use& use : message.uses) {
+        for (const upstream_load& use : message.uses) {
             if (use.upstream != entry.id)
                 continue;
             own.others += use.requests;
@@ -108,7 +108,7 @@
 
 void upstream_pool::count_peer(const peer_load& message, base::instant now)
 {
-    for (const upstream_use& use : message.uses) {
+    for (const upstream_load& use : message.uses) {
         upstream* own = this->find(use.upstream);
         if (own == nullptr)
             continue;
@@ -120,7 +120,7 @@
 
 void upstream_pool::uncount_peer(const peer_load& message)
 {
-    for (const upstream_use& use : message.uses) {
+    for (const upstream_load& use : message.uses) {
         upstream* own = this->find(use.upstream);
         if (own == nullptr)
             continue;
@@ -131,12 +131,12 @@
 }
 
 void upstream_pool::peer_told(base::slot_id peer,
-                              std::span<const upstream_use> uses,
+                              std::span<const upstream_load> uses,
                               base::instant now)
 {
     peer_load& message = this->told[peer];
     std::vector<std::pair<base::upstream_id, std::uint32_t>> before;
-    for (const upstream_use& use : message.uses) {
+    for (const upstream_load& use : message.uses) {
         if (const upstream* one = this->find(use.upstream))
             before.emplace_back(use.upstream, one->others);
     }
@@ -381,9 +381,9 @@
     return sum;
 }
 
-std::vector<upstream_use> upstream_pool::own_uses(base::instant now) const
+std::vector<upstream_load> upstream_pool::own_load(base::instant now) const
 {
-    std::vector<upstream_use> out;
+    std::vector<upstream_load> out;
     for (const auto& [id, one] : this->upstreams) {
         if (one.own > 0)
             out.push_back(
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -28,7 +28,7 @@
 {
 
 // One entry's requests on one upstream.
-struct upstream_use {
+struct upstream_load {
     base::upstream_id upstream;
     std::uint32_t requests = 0;
     std::uint32_t prompt_tokens = 0; // not yet read by it
@@ -81,7 +81,7 @@
 
     // Replaces all that the peer told before.
     void peer_told(base::slot_id peer,
-                   std::span<const upstream_use> uses,
+                   std::span<const upstream_load> uses,
                    base::instant now);
     void peer_lost(base::slot_id peer);
     // Peers whose message is too old count as lost.
@@ -156,7 +156,7 @@
                              std::uint32_t prompt_tokens) const;
 
     // Of this entry, for its peers.
-    std::vector<upstream_use> own_uses(base::instant now) const;
+    std::vector<upstream_load> own_load(base::instant now) const;
 
     std::size_t peers() const { return this->told.size(); }
 
@@ -186,7 +186,7 @@
 
     struct peer_load {
         base::instant at;
-        std::vector<upstream_use> uses;
+        std::vector<upstream_load> uses;
     };
 
     struct service_state {
--- a/src/programs/ggd_bench_traffic.cpp
+++ b/src/programs/ggd_bench_traffic.cpp
@@ -46,7 +46,7 @@
     // A message of each peer, with one request on every third upstream.
     void hear(std::size_t upstreams)
     {
-        std::vector<traffic::upstream_use> uses;
+        std::vector<traffic::upstream_load> uses;
         for (std::size_t number = 0; number < upstreams; number += 3)
             uses.push_back(
                 {base::upstream_id("i-" + std::to_string(number)), 1, 0});
