--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -271,7 +271,7 @@
         return;
     const request_changes news =
         this->book->report(slot_of(from), base::incarnation{1}, told, {});
-    this->dispatcher->peer_told(slot_of(from), news.others, {}, this->now);
+    this->dispatcher->on_peer_report(slot_of(from), news.others, {}, this->now);
     for (const traffic::event& one : news.events)
         this->dispatcher_step(one);
     for (const auto& [id, wanted] : news.arrived)
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -90,7 +90,7 @@
 {
     const dispatch::request_changes news =
         this->members.report(member, life, told, uses);
-    this->state.scheduler.peer_told(
+    this->state.scheduler.on_peer_report(
         member, news.others, {}, this->state.clock());
     this->take(news);
 }
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -299,7 +299,7 @@
     this->update_role(now);
     for (const std::string& peer : this->table.fallen_silent(now)) {
         this->state.log.write(now, "peers", "peer_silent", {{"peer", peer}});
-        this->state.scheduler.peer_lost(base::slot_id(peer));
+        this->state.scheduler.on_peer_lost(base::slot_id(peer));
         this->members.erase(base::slot_id(peer));
         this->events.member_lost(base::slot_id(peer));
     }
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -72,7 +72,7 @@
         (this->state.delegating || told.data_centre == this->own.data_centre))
         this->answer_greeting(told, now);
     if (told.delegating) {
-        this->state.scheduler.peer_lost(slot);
+        this->state.scheduler.on_peer_lost(slot);
         this->state.limiter.forget_peer(slot);
         return;
     }
@@ -80,7 +80,7 @@
         return;
     if (this->large)
         this->counting[slot] = told.address;
-    this->state.scheduler.peer_told(slot, told.uses, told.waiting, now);
+    this->state.scheduler.on_peer_report(slot, told.uses, told.waiting, now);
     this->state.limiter.peer_told(
         slot, told.life, told.workspace_uses, told.stopping, now);
     if (this->state.scheduler.waiting() > 0)
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -305,10 +305,10 @@
     this->pool.leave(upstream);
 }
 
-void scheduler::peer_told(base::slot_id peer,
-                          std::span<const upstream_load> uses,
-                          std::span<const queue_report> waiting,
-                          base::instant at)
+void scheduler::on_peer_report(base::slot_id peer,
+                               std::span<const upstream_load> uses,
+                               std::span<const queue_report> waiting,
+                               base::instant at)
 {
     peer_waiting& message = this->waiting_at_peers[peer];
     this->peers_with_queues -= message.services.empty() ? 0 : 1;
@@ -318,12 +318,12 @@
     this->pool.set_waiting_peers(this->peers_with_queues);
     if (this->peers_with_queues > 0)
         this->fresh.disturbed(at);
-    this->pool.peer_told(peer, uses, at);
+    this->pool.on_peer_report(peer, uses, at);
 }
 
-void scheduler::peer_lost(base::slot_id peer)
+void scheduler::on_peer_lost(base::slot_id peer)
 {
-    this->pool.peer_lost(peer);
+    this->pool.on_peer_lost(peer);
     const auto found = this->waiting_at_peers.find(peer);
     if (found == this->waiting_at_peers.end())
         return;
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -76,11 +76,11 @@
                          base::instant now);
     void upstream_left(base::upstream_id upstream);
 
-    void peer_told(base::slot_id peer,
-                   std::span<const upstream_load> uses,
-                   std::span<const queue_report> waiting,
-                   base::instant now);
-    void peer_lost(base::slot_id peer);
+    void on_peer_report(base::slot_id peer,
+                        std::span<const upstream_load> uses,
+                        std::span<const queue_report> waiting,
+                        base::instant now);
+    void on_peer_lost(base::slot_id peer);
     // Entries that place requests, this one included.
     void set_entry_count(std::size_t count);
     // Of each service that publishes one: the bound on cold upstreams.
--- a/src/greengagedrum/traffic/test/burst_run.cpp
+++ b/src/greengagedrum/traffic/test/burst_run.cpp
@@ -311,7 +311,7 @@
                 const bool is_near = place_of(to, this->settings) ==
                                      place_of(message.from, this->settings);
                 if (to != message.from && is_near == message.to_near)
-                    this->entries[to]->peer_told(
+                    this->entries[to]->on_peer_report(
                         base::slot_id(std::to_string(message.from)),
                         message.uses,
                         message.waiting,
--- a/src/greengagedrum/traffic/test/placing_test.cpp
+++ b/src/greengagedrum/traffic/test/placing_test.cpp
@@ -57,7 +57,7 @@
                   base::duration gap)
     {
         const upstream_load uses[] = {{upstream, requests, 0, gap}};
-        this->tested.peer_told(
+        this->tested.on_peer_report(
             base::slot_id("peer-" + std::to_string(upstream.value)),
             uses,
             {},
--- a/src/greengagedrum/traffic/test/scheduler_test.cpp
+++ b/src/greengagedrum/traffic/test/scheduler_test.cpp
@@ -125,7 +125,7 @@
         {base::upstream_id("i-0"), 4, 3000},
         {base::upstream_id("i-1"), 4, 3000},
         {base::upstream_id("i-2"), 4, 3000}};
-    this->tested.peer_told(base::slot_id("peer"), busy, {}, this->now);
+    this->tested.on_peer_report(base::slot_id("peer"), busy, {}, this->now);
     const auto id = this->arrive(facts_of(resumable, 2));
     int failed = 0;
     while (this->order<send_request>() != nullptr) {
--- a/src/greengagedrum/traffic/test/wait_queue_test.cpp
+++ b/src/greengagedrum/traffic/test/wait_queue_test.cpp
@@ -91,7 +91,7 @@
         this->arrive(stream_facts(2));
     this->arrive(stream_facts(0));
     queue_report message{engines, {9, 0, 0, 0}};
-    this->tested.peer_told(peer, {}, {&message, 1}, this->now);
+    this->tested.on_peer_report(peer, {}, {&message, 1}, this->now);
     this->answer(running, send);
     CHECK(this->order<send_request>() != nullptr);
 }
@@ -105,7 +105,7 @@
     const auto send = this->sent().send;
     this->arrive(stream_facts(2));
     queue_report message{engines, {1, 0, 0, 0}};
-    this->tested.peer_told(peer, {}, {&message, 1}, this->now);
+    this->tested.on_peer_report(peer, {}, {&message, 1}, this->now);
     this->answer(running, send);
     CHECK(this->order<send_request>() == nullptr);
     // The peer's message is good for as long as it takes to tell anew.
@@ -120,10 +120,10 @@
 {
     this->upstreams(1, 1);
     const upstream_load taken{base::upstream_id("i-0"), 1, 0};
-    this->tested.peer_told(peer, {&taken, 1}, {}, this->now);
+    this->tested.on_peer_report(peer, {&taken, 1}, {}, this->now);
     this->arrive(stream_facts());
     CHECK(this->order<send_request>() == nullptr);
-    this->tested.peer_told(peer, {}, {}, this->now);
+    this->tested.on_peer_report(peer, {}, {}, this->now);
     this->pass(5ms);
     CHECK(this->order<send_request>() == nullptr);
     this->pass(45ms);
@@ -134,7 +134,7 @@
 {
     this->upstreams(1, 1);
     const upstream_load taken{base::upstream_id("i-0"), 1, 0};
-    this->tested.peer_told(peer, {&taken, 1}, {}, this->now);
+    this->tested.on_peer_report(peer, {&taken, 1}, {}, this->now);
     this->arrive(stream_facts());
     CHECK(this->order<send_request>() == nullptr);
     this->pass(1600ms);
@@ -241,7 +241,7 @@
     for (int count = 0; count < 4; ++count)
         this->arrive(stream_facts(2));
     const queue_report queue{engines, {9, 0, 0, 0}};
-    this->tested.peer_told(peer, {}, {&queue, 1}, this->now);
+    this->tested.on_peer_report(peer, {}, {&queue, 1}, this->now);
     this->tested.upstream_joined(upstream_named("more", 2), this->now);
     this->pass(20ms);
     CHECK(this->tested.waiting() == 3);
@@ -256,8 +256,8 @@
     for (std::uint64_t number = 0; number < 20; ++number) {
         const queue_report queue[] = {{engines, {5}}};
         const base::slot_id one(std::to_string(number));
-        this->tested.peer_told(one, {}, queue, this->now);
-        this->tested.peer_lost(one);
+        this->tested.on_peer_report(one, {}, queue, this->now);
+        this->tested.on_peer_lost(one);
     }
     this->tested.upstream_joined(upstream_named("back", 5), this->now);
     this->pass(1ms);
@@ -275,7 +275,7 @@
         this->arrive(stream_facts());
     for (std::uint64_t number = 0; number < peers; ++number) {
         const queue_report queued[] = {{engines, {5}}};
-        this->tested.peer_told(
+        this->tested.on_peer_report(
             base::slot_id(std::to_string(number)), {}, queued, this->now);
     }
     this->tested.upstream_joined(upstream_named("back", 5), this->now);
--- a/src/greengagedrum/traffic/upstream_pool.cpp
+++ b/src/greengagedrum/traffic/upstream_pool.cpp
@@ -130,9 +130,9 @@
     }
 }
 
-void upstream_pool::peer_told(base::slot_id peer,
-                              std::span<const upstream_load> uses,
-                              base::instant now)
+void upstream_pool::on_peer_report(base::slot_id peer,
+                                   std::span<const upstream_load> uses,
+                                   base::instant now)
 {
     peer_load& message = this->told[peer];
     std::vector<std::pair<base::upstream_id, std::uint32_t>> before;
@@ -219,7 +219,7 @@
     return part - std::min(part, one.recent.count(now));
 }
 
-void upstream_pool::peer_lost(base::slot_id peer)
+void upstream_pool::on_peer_lost(base::slot_id peer)
 {
     const auto found = this->told.find(peer);
     if (found == this->told.end())
@@ -239,7 +239,7 @@
             silent.push_back(peer);
     }
     for (const base::slot_id peer : silent)
-        this->peer_lost(peer);
+        this->on_peer_lost(peer);
 }
 
 base::duration upstream_pool::oldest_load_report(base::instant now) const
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -80,10 +80,10 @@
     void leave(base::upstream_id upstream);
 
     // Replaces all that the peer told before.
-    void peer_told(base::slot_id peer,
-                   std::span<const upstream_load> uses,
-                   base::instant now);
-    void peer_lost(base::slot_id peer);
+    void on_peer_report(base::slot_id peer,
+                        std::span<const upstream_load> uses,
+                        base::instant now);
+    void on_peer_lost(base::slot_id peer);
     // Peers whose message is too old count as lost.
     void forget_silent_peers(base::instant now);
 
--- a/src/programs/ggd_bench_traffic.cpp
+++ b/src/programs/ggd_bench_traffic.cpp
@@ -51,7 +51,7 @@
             uses.push_back(
                 {base::upstream_id("i-" + std::to_string(number)), 1, 0});
         for (std::size_t peer = 0; peer < peers; ++peer)
-            this->tested.peer_told(
+            this->tested.on_peer_report(
                 base::slot_id(std::to_string(peer)), uses, {}, this->now);
     }
 
