--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -50,7 +50,7 @@
     std::uint64_t salt = 1;
     for (member& one : this->members) {
         one.decisions = make_scheduler(given, salt++, this->now);
-        one.decisions->delegate(true);
+        one.decisions->set_delegating(true);
     }
     this->begin_dispatcher();
 }
--- a/src/greengagedrum/entry/front.cpp
+++ b/src/greengagedrum/entry/front.cpp
@@ -305,7 +305,7 @@
         return;
     this->working = true;
     traffic::actions orders;
-    this->state.scheduler.place(this->state.clock(), orders);
+    this->state.scheduler.place_queued(this->state.clock(), orders);
     this->carry_out(orders);
     this->decide_backlog();
     this->working = false;
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -56,7 +56,7 @@
 void front::delegate()
 {
     this->state.delegating = true;
-    this->state.scheduler.delegate(true);
+    this->state.scheduler.set_delegating(true);
     this->take(this->members.lost_all());
 }
 
@@ -77,7 +77,7 @@
     this->state.limiter.set_unheard_peers(unheard);
     this->state.limiter.assume_silent_peers(now);
     this->state.delegating = false;
-    this->state.scheduler.delegate(false);
+    this->state.scheduler.set_delegating(false);
     this->count_waiting();
 }
 
--- a/src/greengagedrum/entry/upkeep.cpp
+++ b/src/greengagedrum/entry/upkeep.cpp
@@ -176,7 +176,7 @@
     this->suspended = asleep;
     if (late || was_suspended) {
         this->paused_at = now;
-        this->state.scheduler.hold(true);
+        this->state.scheduler.set_paused(true);
         this->store->hurry();
         logs::write(
             logs::level::warning,
@@ -195,7 +195,7 @@
     if (!this->paused_at)
         return;
     this->paused_at.reset();
-    this->state.scheduler.hold(false);
+    this->state.scheduler.set_paused(false);
     logs::write(logs::level::info, "entry", "pause_over", {{"why", why}});
     this->callers->tick();
 }
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -31,7 +31,7 @@
     this->out = nullptr;
 }
 
-void scheduler::place(base::instant at, actions& into)
+void scheduler::place_queued(base::instant at, actions& into)
 {
     this->now = at;
     this->out = &into;
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -68,7 +68,7 @@
     // Lets time pass: gives up, notices silence, places what waits.
     void tick(base::instant now, actions& out);
     // Only places what waits: a peer told that it uses less.
-    void place(base::instant now, actions& out);
+    void place_queued(base::instant now, actions& out);
     // When tick() has something to do at the latest.
     std::optional<base::instant> next_wake() const;
 
@@ -108,10 +108,10 @@
     }
 
     // While held, nothing is sent: what is known of the world is too old.
-    void hold(bool held) { this->held = held; }
+    void set_paused(bool held) { this->held = held; }
 
     // Another entry places this one's requests: what waits is asked for there.
-    void delegate(bool to_another) { this->delegating = to_another; }
+    void set_delegating(bool to_another) { this->delegating = to_another; }
     std::vector<queued_send> queued_sends(base::instant now) const;
     std::vector<active_send> active_sends() const;
 
--- a/src/greengagedrum/traffic/test/containment_test.cpp
+++ b/src/greengagedrum/traffic/test/containment_test.cpp
@@ -167,7 +167,7 @@
 TEST_CASE_FIXTURE(containment_fixture,
                   "place_granted_to_quarantined_request_not_used")
 {
-    this->tested.delegate(true);
+    this->tested.set_delegating(true);
     const base::request_id id = this->arrive(this->facts);
     const std::vector<quarantine::suspect_report> told = {
         {this->facts.digest,
--- a/src/greengagedrum/traffic/test/delegation_test.cpp
+++ b/src/greengagedrum/traffic/test/delegation_test.cpp
@@ -15,7 +15,7 @@
     delegating_fixture()
     {
         this->upstreams(1, 1);
-        this->tested.delegate(true);
+        this->tested.set_delegating(true);
     }
 
     slot_granted granted(base::request_id id, std::uint32_t send = 1)
@@ -130,7 +130,7 @@
                   "entry_that_places_again_sends_what_waits")
 {
     this->arrive(stream_facts());
-    this->tested.delegate(false);
+    this->tested.set_delegating(false);
     this->pass(1ms);
     CHECK(this->order<send_request>() != nullptr);
 }
--- a/src/greengagedrum/traffic/test/homes_test.cpp
+++ b/src/greengagedrum/traffic/test/homes_test.cpp
@@ -81,7 +81,7 @@
 // The dispatcher's configuration is older, and lets the request go anywhere.
 TEST_CASE_FIXTURE(homes_fixture, "slot_granted_outside_the_home_is_not_taken")
 {
-    this->tested.delegate(true);
+    this->tested.set_delegating(true);
     const auto id = this->arrive(bound_facts());
     this->step(slot_granted{id, 1, base::upstream_id("near"), 50ms, 0, 1});
     CHECK(this->order<send_request>() == nullptr);
--- a/src/greengagedrum/traffic/test/scheduler_test.cpp
+++ b/src/greengagedrum/traffic/test/scheduler_test.cpp
@@ -283,10 +283,10 @@
                   "held_scheduler_sends_nothing_until_let_go")
 {
     this->upstreams(1, 5);
-    this->tested.hold(true);
+    this->tested.set_paused(true);
     const auto id = this->arrive(stream_facts());
     CHECK(this->last.empty());
-    this->tested.hold(false);
+    this->tested.set_paused(false);
     this->pass(1ms);
     CHECK(this->sent().request == id);
 }
