--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.cpp
@@ -194,11 +194,12 @@
     if (found == this->sends.end())
         return std::nullopt;
     send_state& send = found->second;
-    send.granted = granted_place{send.name,
-                                 order.upstream,
-                                 order.why.first_event,
-                                 order.why.own + order.why.others,
-                                 order.why.places};
+    send.granted =
+        granted_place{send.name,
+                      order.upstream,
+                      order.choice.expected_first_event,
+                      order.choice.own_requests + order.choice.peer_requests,
+                      order.choice.slots};
     this->of.at(send.member).unanswered = true;
     if (send.counted)
         return std::nullopt;
--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -128,21 +128,22 @@
             this->state.limiter.sent(request.workspace, request.cost, now);
     }
     const std::shared_ptr<exchange> wire = request.wire;
-    this->state.log.write(now,
-                          "scheduler",
-                          "request_sent",
-                          {{"request", wire->source().marks.attempt},
-                           {"send", order.send},
-                           {"upstream", to->name},
-                           {"waited_ms", milliseconds(order.why.waited)},
-                           {"own", order.why.own},
-                           {"others", order.why.others},
-                           {"places", order.why.places},
-                           {"told_age_ms", milliseconds(order.why.told_age)},
-                           {"expected_ms", milliseconds(order.why.first_event)},
-                           {"gap_ms", milliseconds(order.why.gap)},
-                           {"suits", order.why.suits},
-                           {"store_revision", this->state.known.as_of()}});
+    this->state.log.write(
+        now,
+        "scheduler",
+        "request_sent",
+        {{"request", wire->source().marks.attempt},
+         {"send", order.send},
+         {"upstream", to->name},
+         {"waited_ms", milliseconds(order.choice.waited)},
+         {"own", order.choice.own_requests},
+         {"others", order.choice.peer_requests},
+         {"places", order.choice.slots},
+         {"told_age_ms", milliseconds(order.choice.peer_report_age)},
+         {"expected_ms", milliseconds(order.choice.expected_first_event)},
+         {"gap_ms", milliseconds(order.choice.expected_gap)},
+         {"suits", order.choice.suitability},
+         {"store_revision", this->state.known.as_of()}});
     wire->send(order.send, *to, order.end_at - now);
 }
 
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -191,7 +191,7 @@
         wanted.name = {base::request_id{id}, 1};
         wanted.facts.workspace = busy;
         wanted.facts.time_left = 10s;
-        wanted.facts.patience = 2s;
+        wanted.facts.first_event_timeout = 2s;
         wanted.cost = request.cost;
         out.wanted.push_back(wanted);
     }
--- a/src/greengagedrum/gossip/dispatch_codec.cpp
+++ b/src/greengagedrum/gossip/dispatch_codec.cpp
@@ -70,7 +70,7 @@
                               facts.objective.count(),
                               facts.gap_objective.count(),
                               facts.time_left.count(),
-                              facts.patience.count(),
+                              facts.first_event_timeout.count(),
                               facts.sends_before,
                               one.cost,
                               one.counted,
@@ -94,7 +94,7 @@
     facts.objective = base::duration(from.objective_us());
     facts.gap_objective = base::duration(from.gap_objective_us());
     facts.time_left = base::duration(from.time_left_us());
-    facts.patience = base::duration(from.patience_us());
+    facts.first_event_timeout = base::duration(from.patience_us());
     facts.sends_before = from.sends_before();
     facts.delegated = true;
     out.cost = from.cost();
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -108,7 +108,7 @@
     wanted.facts.objective = -20ms;
     wanted.facts.gap_objective = 200ms;
     wanted.facts.time_left = 9s;
-    wanted.facts.patience = 2s;
+    wanted.facts.first_event_timeout = 2s;
     wanted.facts.sends_before = 1;
     wanted.tried = {base::upstream_id("i-1")};
     wanted.cost = 1080;
@@ -139,7 +139,7 @@
     CHECK(got.facts.objective == -20ms);
     CHECK(got.facts.gap_objective == 200ms);
     CHECK(got.facts.time_left == 9s);
-    CHECK(got.facts.patience == 2s);
+    CHECK(got.facts.first_event_timeout == 2s);
     CHECK(got.facts.sends_before == 1);
     CHECK(got.facts.delegated);
     CHECK(got.tried == wanted.tried);
--- a/src/greengagedrum/traffic/choice.cpp
+++ b/src/greengagedrum/traffic/choice.cpp
@@ -284,15 +284,15 @@
     out.probe = chosen->rated.probe;
     out.suits = chosen->rated.suits;
     out.best_full = offered.best_full;
-    out.why = {{},
-               one.own,
-               one.others,
-               one.slots,
-               this->oldest_load_report(now),
-               placement::duration_of(chosen->expected),
-               placement::duration_of(
-                   this->gap_expected(one, all, asked.prompt_tokens, now)),
-               to_string(chosen->rated.suits)};
+    out.choice = {{},
+                  one.own,
+                  one.others,
+                  one.slots,
+                  this->oldest_load_report(now),
+                  placement::duration_of(chosen->expected),
+                  placement::duration_of(
+                      this->gap_expected(one, all, asked.prompt_tokens, now)),
+                  to_string(chosen->rated.suits)};
     return out;
 }
 
--- a/src/greengagedrum/traffic/delegation.cpp
+++ b/src/greengagedrum/traffic/delegation.cpp
@@ -17,7 +17,7 @@
         const base::duration first = this->first_event_expected(item);
         one.facts.objective = item.arrived + item.facts.objective - at;
         one.facts.time_left = item.end_at - at;
-        one.facts.patience =
+        one.facts.first_event_timeout =
             std::max(base::duration(0), item.give_up_at + first - at);
         one.facts.delegated = true;
         one.facts.sends_max = 1;
@@ -73,10 +73,10 @@
     placing where;
     where.upstream = what.upstream;
     where.expected = placement::seconds_of(what.expected);
-    where.why.others = what.taken;
-    where.why.places = what.places;
-    where.why.first_event = what.expected;
-    where.why.suits = "granted";
+    where.choice.peer_requests = what.taken;
+    where.choice.slots = what.places;
+    where.choice.expected_first_event = what.expected;
+    where.choice.suitability = "granted";
     this->send(*item, where);
 }
 
--- a/src/greengagedrum/traffic/messages.cpp
+++ b/src/greengagedrum/traffic/messages.cpp
@@ -5,7 +5,7 @@
 namespace greengagedrum::traffic
 {
 
-base::duration caller_patience(const request_facts& facts)
+base::duration first_event_timeout_of(const request_facts& facts)
 {
     if (!facts.stream)
         return facts.time_left;
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -41,14 +41,14 @@
     // Of another entry, which asks for a place only: it sends the request, sees
     // what becomes of it and decides what may be sent again.
     bool delegated = false;
-    std::uint32_t sends_before = 0; // of a delegated one
-    base::duration patience{0};     // of it: how long its caller waits
+    std::uint32_t sends_before = 0;        // of a delegated one
+    base::duration first_event_timeout{0}; // of it: how long its caller waits
 };
 
 // How long a caller waits for the first sign of an answer: of a stream, it
 // leaves after two seconds, four times the objective or eight times the pause
 // between events, whichever is longest.
-base::duration caller_patience(const request_facts& facts);
+base::duration first_event_timeout_of(const request_facts& facts);
 
 // ---- Events -------------------------------------------------------------
 
@@ -147,13 +147,13 @@
 // What a choice rested on, for the log.
 struct choice_record {
     base::duration waited{0};
-    std::uint32_t own = 0;    // requests there, of this entry
-    std::uint32_t others = 0; // and of its peers, as they told
-    std::uint32_t places = 0;
-    base::duration told_age{0};    // of the peers' oldest message
-    base::duration first_event{0}; // expected
-    base::duration gap{0};         // the longest expected there meanwhile
-    std::string_view suits;        // a suitability
+    std::uint32_t own_requests = 0;    // at that upstream
+    std::uint32_t peer_requests = 0;   // the same, as peers reported
+    std::uint32_t slots = 0;           // of the upstream
+    base::duration peer_report_age{0}; // of the oldest one
+    base::duration expected_first_event{0};
+    base::duration expected_gap{0}; // longest between events of a stream there
+    std::string_view suitability;
 };
 
 struct send_request {
@@ -161,7 +161,7 @@
     std::uint32_t send = 0;
     base::upstream_id upstream;
     base::instant end_at; // the answer is of no use after it
-    choice_record why;
+    choice_record choice;
 };
 
 // Close that connection; whatever still comes on it is nobody's.
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -71,8 +71,8 @@
     this->note_arrival(item);
     const base::duration first = this->first_event_expected(item);
     const base::duration patience = what.facts.delegated
-                                        ? what.facts.patience
-                                        : caller_patience(what.facts);
+                                        ? what.facts.first_event_timeout
+                                        : first_event_timeout_of(what.facts);
     item.give_up_at = std::max(this->now, item.arrived + patience - first);
     if (this->is_quarantined(item))
         return this->refuse_quarantined(item);
--- a/src/greengagedrum/traffic/test/delegation_test.cpp
+++ b/src/greengagedrum/traffic/test/delegation_test.cpp
@@ -143,7 +143,7 @@
     this->upstreams(2, 1);
     request_facts facts = stream_facts();
     facts.delegated = true;
-    facts.patience = 2s;
+    facts.first_event_timeout = 2s;
     facts.rule = routing::repeat_rule::idempotent;
     const auto id = this->arrive(facts);
     REQUIRE(this->order<send_request>() != nullptr);
@@ -163,7 +163,7 @@
     this->upstreams(1, 2);
     request_facts facts = stream_facts();
     facts.delegated = true;
-    facts.patience = 2s;
+    facts.first_event_timeout = 2s;
     const auto id = this->arrive(facts);
     this->step(events_received{id, 1, 1});
     for (int count = 0; count < 20; ++count) {
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -44,7 +44,7 @@
 
 struct placing {
     base::upstream_id upstream;
-    choice_record why;
+    choice_record choice;
     double expected = 0; // seconds to its first event
     double finish = 0;   // and to its last
     bool probe = false;
