--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -144,7 +144,7 @@
          {"gap_ms", milliseconds(order.choice.expected_gap)},
          {"suits", order.choice.suitability},
          {"store_revision", this->state.known.as_of()}});
-    wire->send(order.send, *to, order.end_at - now);
+    wire->send(order.send, *to, order.deadline - now);
 }
 
 void front::carry_out_one(const traffic::cancel_send& order)
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -160,7 +160,7 @@
     base::request_id request;
     std::uint32_t send = 0;
     base::upstream_id upstream;
-    base::instant end_at; // the answer is of no use after it
+    base::instant deadline; // the answer is of no use after it
     choice_record choice;
 };
 
--- a/src/greengagedrum/traffic/patience.cpp
+++ b/src/greengagedrum/traffic/patience.cpp
@@ -36,7 +36,7 @@
 {
     std::optional<base::instant> first;
     for (const auto& [id, item] : this->requests) {
-        base::instant due = item.end_at;
+        base::instant due = item.deadline;
         if (item.queued)
             due = std::min({due, item.give_up_at, this->now + longest_sleep});
         else
@@ -57,7 +57,7 @@
 bool scheduler::try_again(request& item)
 {
     if (item.sends >= item.facts.sends_max || this->is_quarantined(item) ||
-        this->now + this->first_event_expected(item) >= item.end_at)
+        this->now + this->first_event_expected(item) >= item.deadline)
         return false;
     if (!this->retries.spend(item.facts.service, this->now))
         return false;
@@ -76,7 +76,7 @@
     if (item.queued && item.uncertain == 0 &&
         this->now >= item.give_up_at + reply_takes)
         return this->refuse(item, base::reason::overloaded);
-    if (this->now >= item.end_at) {
+    if (this->now >= item.deadline) {
         if (item.send != 0) {
             this->out->push_back(cancel_send{item.id, item.send});
             this->note_unfinished(item);
--- a/src/greengagedrum/traffic/placing.cpp
+++ b/src/greengagedrum/traffic/placing.cpp
@@ -193,7 +193,7 @@
     if (item.sends > 1)
         this->count.retried += 1;
     send_request order{
-        item.id, item.send, where.upstream, item.end_at, where.choice};
+        item.id, item.send, where.upstream, item.deadline, where.choice};
     order.choice.waited = this->now - item.arrived;
     this->out->push_back(order);
 }
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -66,7 +66,7 @@
     item.id = what.request;
     item.facts = what.facts;
     item.arrived = this->now;
-    item.end_at = this->now + what.facts.time_left;
+    item.deadline = this->now + what.facts.time_left;
     item.tried = what.tried;
     this->note_arrival(item);
     const base::duration first = this->first_event_expected(item);
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -139,7 +139,7 @@
         request_facts facts;
         base::instant arrived;
         base::instant give_up_at; // queued: refused from here on
-        base::instant end_at;     // no answer of any kind is of use after it
+        base::instant deadline;   // no answer of any kind is of use after it
         bool came_back = false;   // its caller was refused before
         bool queued = false;
         std::uint32_t sends = 0;     // that reached an upstream
