--- a/src/greengagedrum/gossip/dispatch_codec.cpp
+++ b/src/greengagedrum/gossip/dispatch_codec.cpp
@@ -71,7 +71,7 @@
                               facts.gap_objective.count(),
                               facts.time_left.count(),
                               facts.first_event_timeout.count(),
-                              facts.sends_before,
+                              facts.prior_sends,
                               one.cost,
                               one.counted,
                               builder.CreateVector(tried));
@@ -95,7 +95,7 @@
     facts.gap_objective = base::duration(from.gap_objective_us());
     facts.time_left = base::duration(from.time_left_us());
     facts.first_event_timeout = base::duration(from.patience_us());
-    facts.sends_before = from.sends_before();
+    facts.prior_sends = from.sends_before();
     facts.delegated = true;
     out.cost = from.cost();
     out.counted = from.counted();
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -109,7 +109,7 @@
     wanted.facts.gap_objective = 200ms;
     wanted.facts.time_left = 9s;
     wanted.facts.first_event_timeout = 2s;
-    wanted.facts.sends_before = 1;
+    wanted.facts.prior_sends = 1;
     wanted.tried = {base::upstream_id("i-1")};
     wanted.cost = 1080;
     wanted.counted = true;
@@ -140,7 +140,7 @@
     CHECK(got.facts.gap_objective == 200ms);
     CHECK(got.facts.time_left == 9s);
     CHECK(got.facts.first_event_timeout == 2s);
-    CHECK(got.facts.sends_before == 1);
+    CHECK(got.facts.prior_sends == 1);
     CHECK(got.facts.delegated);
     CHECK(got.tried == wanted.tried);
     CHECK(got.cost == 1080);
--- a/src/greengagedrum/traffic/delegation.cpp
+++ b/src/greengagedrum/traffic/delegation.cpp
@@ -21,7 +21,7 @@
             std::max(base::duration(0), item.give_up_at + first - at);
         one.facts.delegated = true;
         one.facts.sends_max = 1;
-        one.facts.sends_before = item.connects;
+        one.facts.prior_sends = item.connects;
         out.push_back(std::move(one));
     }
     return out;
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -36,12 +36,12 @@
     base::duration objective{0};     // to the first event or the answer
     base::duration gap_objective{0}; // between events
     base::duration time_left{0};     // until the caller or the route gives up
-    bool returning = false;          // the caller resumes a stream by itself
+    bool caller_resumes = false;     // the caller resumes a stream by itself
     routing::homes homes{};          // not told between entries
     // Of another entry, which asks for a place only: it sends the request, sees
     // what becomes of it and decides what may be sent again.
     bool delegated = false;
-    std::uint32_t sends_before = 0;        // of a delegated one
+    std::uint32_t prior_sends = 0;         // of a delegated one
     base::duration first_event_timeout{0}; // of it: how long its caller waits
 };
 
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -90,7 +90,7 @@
     const request_facts& facts = item.facts;
     if (!facts.delegated)
         this->retries.arrived(facts.service, this->now);
-    if (facts.sends_before > 0)
+    if (facts.prior_sends > 0)
         return;
     item.came_back = this->fresh.came_back(facts.kind, facts.time_left);
     this->fresh.asked(facts.kind, facts.time_left, this->now);
