--- a/src/greengagedrum/dispatch/send_journal.cpp
+++ b/src/greengagedrum/dispatch/send_journal.cpp
@@ -20,7 +20,7 @@
     }
     send_change operator()(const traffic::send_rejected& what) const
     {
-        return what.why == traffic::rejection::misdirected
+        return what.cause == traffic::rejection::misdirected
                    ? send_change::misdirected
                    : send_change::full;
     }
@@ -30,7 +30,7 @@
     }
     send_change operator()(const traffic::answer_received& what) const
     {
-        return what.good ? send_change::good : send_change::failing;
+        return what.successful ? send_change::good : send_change::failing;
     }
     send_change operator()(const traffic::answer_interrupted&) const
     {
--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -74,7 +74,7 @@
 void front::note_misdirection(const traffic::event& what)
 {
     const auto* away = std::get_if<traffic::send_rejected>(&what);
-    if (away == nullptr || away->why != traffic::rejection::misdirected)
+    if (away == nullptr || away->cause != traffic::rejection::misdirected)
         return;
     const auto found = this->sent_to.find(away->request);
     if (found != this->sent_to.end())
@@ -207,7 +207,7 @@
         change.suspected ? "upstream_suspected" : "upstream_cleared",
         {{"upstream", of == nullptr ? std::string() : of->name},
          {"cause", change.cause},
-         {"bad_share", change.bad_share}});
+         {"bad_share", change.failure_rate}});
 }
 
 void front::carry_out_one(const quarantine::standing_change& change)
--- a/src/greengagedrum/traffic/containment.cpp
+++ b/src/greengagedrum/traffic/containment.cpp
@@ -70,7 +70,7 @@
 
 void scheduler::on(const upstream_checked& what)
 {
-    this->tell(what.accepts
+    this->tell(what.accepts_connections
                    ? this->suspects.upstream_accepts(what.upstream, this->now)
                    : this->suspects.upstream_gone(what.upstream, this->now));
 }
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -78,7 +78,7 @@
 struct send_rejected {
     base::request_id request;
     std::uint32_t send = 0;
-    rejection why = rejection::not_run;
+    rejection cause = rejection::not_run;
 };
 
 // Events of a stream have come; `events` counts all of this send.
@@ -88,12 +88,12 @@
     std::uint32_t events = 0;
 };
 
-// The upstream's whole answer has come. One that is not `good` may still be
-// replaced by another upstream's.
+// The upstream's whole answer has come. One that is not `successful` may still
+// be replaced by another upstream's.
 struct answer_received {
     base::request_id request;
     std::uint32_t send = 0;
-    bool good = true;
+    bool successful = true;
 };
 
 enum class interruption_cause : std::uint8_t {
@@ -111,7 +111,7 @@
 // What became of a `check_upstream`.
 struct upstream_checked {
     base::upstream_id upstream;
-    bool accepts = false; // connections
+    bool accepts_connections = false;
 };
 
 // Another entry, which places this one's requests, has a place for the send
@@ -191,8 +191,8 @@
 struct suspicion_changed {
     base::upstream_id upstream;
     bool suspected = false;
-    std::string_view cause; // what the last bad end was
-    double bad_share = 0;   // of its last ends
+    std::string_view cause;  // what the last bad end was
+    double failure_rate = 0; // of its last ends
 };
 
 using action = std::variant<send_request,
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -196,7 +196,7 @@
         return;
     const base::upstream_id upstream = item->upstream;
     this->note_answer(*item);
-    if (what.good) {
+    if (what.successful) {
         this->tell(this->pool.good_end(upstream));
         if (item->events == 0)
             this->pool.first_event(upstream,
@@ -216,7 +216,7 @@
     }
     const std::uint32_t send = item->send;
     this->leave_upstream(*item);
-    if (!what.good && this->may_repeat(*item)) {
+    if (!what.successful && this->may_repeat(*item)) {
         item->tried.push_back(upstream);
         if (this->try_again(*item))
             return;
--- a/src/greengagedrum/traffic/upstream_pool.cpp
+++ b/src/greengagedrum/traffic/upstream_pool.cpp
@@ -301,7 +301,7 @@
     return suspicion_changed{id,
                              false,
                              to_string(own->trust.last_trouble()),
-                             own->trust.bad_share()};
+                             own->trust.failure_rate()};
 }
 
 std::optional<suspicion_changed>
@@ -317,7 +317,8 @@
         all.bad += service_weight * (1 - all.bad);
     if (was || !own->trust.suspected())
         return std::nullopt;
-    return suspicion_changed{id, true, to_string(what), own->trust.bad_share()};
+    return suspicion_changed{
+        id, true, to_string(what), own->trust.failure_rate()};
 }
 
 void upstream_pool::probe_void(base::upstream_id id)
--- a/src/greengagedrum/traffic/upstream_trust.hpp
+++ b/src/greengagedrum/traffic/upstream_trust.hpp
@@ -53,7 +53,7 @@
     trouble last_trouble() const { return this->last; }
 
     // Share of bad ends among the last few.
-    double bad_share() const { return this->bad; }
+    double failure_rate() const { return this->bad; }
 
 private:
     void doubt(base::instant now);
