--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.cpp
@@ -80,7 +80,7 @@
         traffic::upstream_load& use = others[one.upstream];
         use.upstream = one.upstream;
         use.requests += 1;
-        use.prompt_tokens += one.unread_tokens;
+        use.pending_prefill_tokens += one.unread_tokens;
     }
     for (const slot_request& one : told.wanted)
         this->take_wanted(member, own, one, out);
--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -228,8 +228,9 @@
                                    0,
                                    true});
         for (const traffic::active_send& run : own.decisions->active_sends())
-            told.running.push_back(
-                {{run.request, run.send}, run.upstream, run.unread_tokens});
+            told.running.push_back({{run.request, run.send},
+                                    run.upstream,
+                                    run.pending_prefill_tokens});
         told.news = own.journal.untold();
         if (this->is_lost())
             return;
--- a/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
+++ b/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
@@ -158,7 +158,7 @@
     const request_changes news = this->report();
     REQUIRE(news.others.size() == 1);
     CHECK(news.others[0].requests == 2);
-    CHECK(news.others[0].prompt_tokens == 500);
+    CHECK(news.others[0].pending_prefill_tokens == 500);
 }
 
 TEST_CASE_FIXTURE(desk_fixture, "speed_that_a_member_sees_counts_without_load")
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -29,8 +29,9 @@
          this->state.scheduler.active_sends()) {
         if (dispatch::dispatcher_book::is_members(one.request))
             continue;
-        out.running.push_back(
-            {{one.request, one.send}, one.upstream, one.unread_tokens});
+        out.running.push_back({{one.request, one.send},
+                               one.upstream,
+                               one.pending_prefill_tokens});
     }
     out.news = this->journal.untold();
     return out;
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -155,7 +155,8 @@
     std::vector<wire::Use> uses;
     std::vector<std::uint32_t> gaps;
     for (const auto& one : told.uses) {
-        uses.emplace_back(one.upstream.value, one.requests, one.prompt_tokens);
+        uses.emplace_back(
+            one.upstream.value, one.requests, one.pending_prefill_tokens);
         gaps.push_back(microseconds_of(one.event_gap));
     }
     std::vector<wire::WaitingLevels> waiting;
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -76,7 +76,7 @@
     REQUIRE(read->uses.size() == 1);
     CHECK(read->uses[0].upstream == base::upstream_id("i-1"));
     CHECK(read->uses[0].requests == 3);
-    CHECK(read->uses[0].prompt_tokens == 4000);
+    CHECK(read->uses[0].pending_prefill_tokens == 4000);
     CHECK(read->uses[0].event_gap == 55ms);
     CHECK(read->waiting.at(0).counts == traffic::queue_lengths{1, 2, 3, 4});
     CHECK(read->workspace_uses.at(0).used == 123456789012);
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -42,7 +42,7 @@
     base::request_id request;
     std::uint32_t send = 0;
     base::upstream_id upstream;
-    std::uint32_t unread_tokens = 0;
+    std::uint32_t pending_prefill_tokens = 0;
 };
 
 struct scheduler_counters {
--- a/src/greengagedrum/traffic/upstream_pool.cpp
+++ b/src/greengagedrum/traffic/upstream_pool.cpp
@@ -67,7 +67,7 @@
             if (use.upstream != entry.id)
                 continue;
             own.others += use.requests;
-            own.others_unread += use.prompt_tokens;
+            own.others_unread += use.pending_prefill_tokens;
             own.speed.told(use.event_gap, now);
         }
     }
@@ -113,7 +113,7 @@
         if (own == nullptr)
             continue;
         own->others += use.requests;
-        own->others_unread += use.prompt_tokens;
+        own->others_unread += use.pending_prefill_tokens;
         own->speed.told(use.event_gap, now);
     }
 }
@@ -125,7 +125,8 @@
         if (own == nullptr)
             continue;
         own->others -= std::min(own->others, use.requests);
-        own->others_unread -= std::min(own->others_unread, use.prompt_tokens);
+        own->others_unread -=
+            std::min(own->others_unread, use.pending_prefill_tokens);
         own->speed.withdrawn(use.event_gap);
     }
 }
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -31,8 +31,8 @@
 struct upstream_load {
     base::upstream_id upstream;
     std::uint32_t requests = 0;
-    std::uint32_t prompt_tokens = 0; // not yet read by it
-    base::duration event_gap{0};     // seen there; zero: nothing lately
+    std::uint32_t pending_prefill_tokens = 0;
+    base::duration event_gap{0}; // seen there; zero: nothing lately
 };
 
 // How well an upstream suits a request, by what is expected there.
