--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -306,7 +306,7 @@
     this->state.log.write(now,
                           "peers",
                           "cold_upstreams_shared",
-                          {{"rank", next.rank}, {"sharers", next.sharers}});
+                          {{"rank", next.rank}, {"sharers", next.entries}});
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -128,8 +128,8 @@
 wire::WaitingLevels levels_of(const traffic::queue_report& told)
 {
     std::array<std::uint16_t, traffic::priority_levels> counts{};
-    std::transform(told.counts.begin(),
-                   told.counts.end(),
+    std::transform(told.lengths.begin(),
+                   told.lengths.end(),
                    counts.begin(),
                    [](std::uint32_t count) {
                        return static_cast<std::uint16_t>(
@@ -141,8 +141,8 @@
 traffic::queue_report waiting_of(const wire::WaitingLevels& from)
 {
     traffic::queue_report out{base::class_id(from.service()), {}};
-    for (std::size_t level = 0; level < out.counts.size(); ++level)
-        out.counts.at(level) =
+    for (std::size_t level = 0; level < out.lengths.size(); ++level)
+        out.lengths.at(level) =
             from.counts()->Get(static_cast<flatbuffers::uoffset_t>(level));
     return out;
 }
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -78,7 +78,7 @@
     CHECK(read->uses[0].requests == 3);
     CHECK(read->uses[0].pending_prefill_tokens == 4000);
     CHECK(read->uses[0].event_gap == 55ms);
-    CHECK(read->waiting.at(0).counts == traffic::queue_lengths{1, 2, 3, 4});
+    CHECK(read->waiting.at(0).lengths == traffic::queue_lengths{1, 2, 3, 4});
     CHECK(read->workspace_uses.at(0).used == 123456789012);
     CHECK(read->workspace_uses.at(0).waiting == 70);
     CHECK(read->workspace_uses.at(0).lately == 5'000);
--- a/src/greengagedrum/traffic/placing.cpp
+++ b/src/greengagedrum/traffic/placing.cpp
@@ -154,7 +154,7 @@
             if (one.service != service)
                 continue;
             for (std::size_t level = 0; level < out.size(); ++level)
-                out.at(level) += one.counts.at(level);
+                out.at(level) += one.lengths.at(level);
         }
     }
     return out;
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -27,7 +27,7 @@
 // What waits at one entry for one service, as it tells its peers.
 struct queue_report {
     base::class_id service;
-    queue_lengths counts{};
+    queue_lengths lengths{};
 };
 
 // A request of this entry that waits for a place, as it is asked for elsewhere.
--- a/src/greengagedrum/traffic/slow_start.cpp
+++ b/src/greengagedrum/traffic/slow_start.cpp
@@ -28,12 +28,12 @@
     return static_cast<std::uint32_t>(std::min({rate, half, sends_most}));
 }
 
-std::uint32_t slow_start_share::part_of(std::uint32_t sends) const
+std::uint32_t slow_start_share::share_of(std::uint32_t sends) const
 {
-    if (this->sharers == 0)
+    if (this->entries == 0)
         return 0;
-    const std::uint32_t rest = this->rank < sends % this->sharers ? 1 : 0;
-    return sends / this->sharers + rest;
+    const std::uint32_t rest = this->rank < sends % this->entries ? 1 : 0;
+    return sends / this->entries + rest;
 }
 
 void recent_sends::add(base::instant now)
--- a/src/greengagedrum/traffic/slow_start.hpp
+++ b/src/greengagedrum/traffic/slow_start.hpp
@@ -31,9 +31,9 @@
 // its data centre.
 struct slow_start_share {
     std::uint32_t rank = 0;
-    std::uint32_t sharers = 0; // 0: this entry is none of them
+    std::uint32_t entries = 0; // 0: this entry is none of them
 
-    std::uint32_t part_of(std::uint32_t sends) const;
+    std::uint32_t share_of(std::uint32_t sends) const;
 
     bool operator==(const slow_start_share&) const = default;
 };
--- a/src/greengagedrum/traffic/test/slow_start_test.cpp
+++ b/src/greengagedrum/traffic/test/slow_start_test.cpp
@@ -63,14 +63,14 @@
 TEST_CASE("parts_of_all_sharers_add_up_to_the_whole")
 {
     for (std::uint32_t sends = 0; sends < 20; ++sends) {
-        for (std::uint32_t sharers = 1; sharers < 30; ++sharers) {
+        for (std::uint32_t entries = 1; entries < 30; ++entries) {
             std::uint32_t sum = 0;
-            for (std::uint32_t rank = 0; rank < sharers; ++rank)
-                sum += slow_start_share{rank, sharers}.part_of(sends);
+            for (std::uint32_t rank = 0; rank < entries; ++rank)
+                sum += slow_start_share{rank, entries}.share_of(sends);
             CHECK(sum == sends);
         }
     }
-    CHECK(slow_start_share{}.part_of(7) == 0);
+    CHECK(slow_start_share{}.share_of(7) == 0);
 }
 
 // An upstream that has just started gets its slots' worth at once and crashes.
--- a/src/greengagedrum/traffic/upstream_pool.cpp
+++ b/src/greengagedrum/traffic/upstream_pool.cpp
@@ -216,7 +216,7 @@
     if (all == 0)
         return one.slots;
     const std::uint32_t part =
-        this->is_near(one) ? this->cold_share.part_of(all) : 0;
+        this->is_near(one) ? this->cold_share.share_of(all) : 0;
     return part - std::min(part, one.recent.count(now));
 }
 
