--- a/src/greengagedrum/config/spread_messages.hpp
+++ b/src/greengagedrum/config/spread_messages.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
-#include <greengagedrum/base/service_contact.hpp>
+#include <greengagedrum/base/platform_reachability.hpp>
 #include <greengagedrum/base/time.hpp>
 
 #include <cstdint>
@@ -18,7 +18,7 @@
     base::slot_id slot;
     bool same_data_centre = false;
     std::uint64_t revision = 0;
-    base::service_contact contact = base::service_contact::unknown;
+    base::platform_reachability contact = base::platform_reachability::unknown;
 };
 
 // Where the store stands; given with every event.
--- a/src/greengagedrum/config/spreader.cpp
+++ b/src/greengagedrum/config/spreader.cpp
@@ -143,11 +143,12 @@
     std::uint64_t before = 0;
     std::uint64_t lost = 0;
     for (const peer_view& peer : peers) {
-        if (peer.contact == base::service_contact::heard)
+        if (peer.contact == base::platform_reachability::reachable)
             this->fleet_heard = this->now;
         if (!peer.same_data_centre)
             continue;
-        const bool is_lost = peer.contact == base::service_contact::lost;
+        const bool is_lost =
+            peer.contact == base::platform_reachability::unreachable;
         lost += is_lost ? 1 : 0;
         before += !is_lost && peer.slot < this->settings.own ? 1 : 0;
     }
@@ -262,16 +263,16 @@
         (this->held.complete && this->peers_tried && this->service_tried);
 }
 
-base::service_contact spreader::contact(base::instant at) const
+base::platform_reachability spreader::contact(base::instant at) const
 {
     if (this->failures > 0)
-        return base::service_contact::lost;
+        return base::platform_reachability::unreachable;
     const base::duration answered_within =
         2 * this->settings.watch_wait + this->settings.service_patience;
     const bool lately =
         this->service_heard && at - *this->service_heard <= answered_within;
-    return this->is_watcher && lately ? base::service_contact::heard
-                                      : base::service_contact::unknown;
+    return this->is_watcher && lately ? base::platform_reachability::reachable
+                                      : base::platform_reachability::unknown;
 }
 
 spread_ages spreader::ages(base::instant at) const
--- a/src/greengagedrum/config/spreader.hpp
+++ b/src/greengagedrum/config/spreader.hpp
@@ -61,7 +61,7 @@
     bool watching() const { return this->is_watcher; }
     // For the own heartbeat: others watch in the place of one that has lost
     // the service.
-    base::service_contact contact(base::instant now) const;
+    base::platform_reachability contact(base::instant now) const;
     spread_ages ages(base::instant now) const;
     const spread_counters& counters() const { return this->counted; }
 
--- a/src/greengagedrum/config/test/spread_fleet_test.cpp
+++ b/src/greengagedrum/config/test/spread_fleet_test.cpp
@@ -23,7 +23,8 @@
         spreader decisions;
         std::uint64_t held = 0;
         std::uint64_t told = 0; // with its last heartbeat
-        base::service_contact contact = base::service_contact::unknown;
+        base::platform_reachability contact =
+            base::platform_reachability::unknown;
         std::vector<std::size_t> linked;
         std::size_t centre = 0;
         bool service_silent = false;
@@ -131,7 +132,8 @@
     void beat(std::size_t index)
     {
         entry& one = this->entries[index];
-        const base::service_contact contact = one.decisions.contact(this->now);
+        const base::platform_reachability contact =
+            one.decisions.contact(this->now);
         const int turn = this->turns + static_cast<int>(index);
         const bool news = one.told != one.held || one.contact != contact;
         if (turn % turns_a_heartbeat != 0 &&
--- a/src/greengagedrum/config/test/spread_test.cpp
+++ b/src/greengagedrum/config/test/spread_test.cpp
@@ -24,7 +24,8 @@
         bool gone = false;
         base::instant gone_at{};
         std::uint64_t told = 0; // revision in its last heartbeat
-        base::service_contact contact = base::service_contact::unknown;
+        base::platform_reachability contact =
+            base::platform_reachability::unknown;
     };
     static constexpr int turns_a_heartbeat = 10;     // 500 ms
     static constexpr base::duration noticed_in = 2s; // that one is gone
--- a/src/greengagedrum/daemon/document_duty.cpp
+++ b/src/greengagedrum/daemon/document_duty.cpp
@@ -159,7 +159,7 @@
     const bool first = next.ready && !this->is_ready.exchange(next.ready);
     if (first)
         logs::write(logs::level::info, "daemon", "ready");
-    const bool lost = next.contact == base::service_contact::lost;
+    const bool lost = next.contact == base::platform_reachability::unreachable;
     if (std::exchange(this->was_lost, lost) != lost)
         logs::write(lost ? logs::level::warning : logs::level::info,
                     "platform",
--- a/src/greengagedrum/daemon/document_duty.hpp
+++ b/src/greengagedrum/daemon/document_duty.hpp
@@ -35,7 +35,7 @@
 struct document_status {
     bool ready = false;
     bool watching = false;
-    base::service_contact contact = base::service_contact::unknown;
+    base::platform_reachability contact = base::platform_reachability::unknown;
     config::spread_ages ages;
     config::spread_counters counters;
 };
--- a/src/greengagedrum/daemon/peer_duty.hpp
+++ b/src/greengagedrum/daemon/peer_duty.hpp
@@ -88,7 +88,7 @@
     // this process that is listed, and not a successor.
     bool is_named_by(const membership::instance_list& list) const;
     // What our heartbeats say of the platform's service.
-    void tell_contact(base::service_contact now) { this->contact = now; }
+    void tell_contact(base::platform_reachability now) { this->contact = now; }
     bool ask_documents(base::slot_id slot, std::uint64_t since);
     // Peers hear at once that we leave; links stay.
     bool start_leaving();
@@ -180,14 +180,16 @@
     base::instant next_publish;
     std::uint64_t told_config = 0; // revisions of our last heartbeat
     std::uint64_t told_list = 0;
-    base::service_contact told_contact = base::service_contact::unknown;
+    base::platform_reachability told_contact =
+        base::platform_reachability::unknown;
     bool leaving_untold = false;
     bool links_changed = false;
     std::uint32_t pauses_seen = 0;
     std::uint64_t events_dropped = 0;
     std::uint64_t claims_unsent = 0;
     std::atomic<bool> stopping{false};
-    std::atomic<base::service_contact> contact{base::service_contact::unknown};
+    std::atomic<base::platform_reachability> contact{
+        base::platform_reachability::unknown};
     std::atomic<bool> is_paused{false};
     std::atomic<base::instant> last_turn{base::instant{}};
     std::atomic<bool> is_superseded{false};
--- a/src/greengagedrum/daemon/status_text.cpp
+++ b/src/greengagedrum/daemon/status_text.cpp
@@ -45,14 +45,14 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(*age).count();
 }
 
-const char* text_of(base::service_contact contact)
+const char* text_of(base::platform_reachability contact)
 {
     switch (contact) {
-    case base::service_contact::unknown:
+    case base::platform_reachability::unknown:
         return "unknown";
-    case base::service_contact::heard:
+    case base::platform_reachability::reachable:
         return "heard";
-    case base::service_contact::lost:
+    case base::platform_reachability::unreachable:
         return "lost";
     }
     return "";
--- a/src/greengagedrum/membership/messages.hpp
+++ b/src/greengagedrum/membership/messages.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
-#include <greengagedrum/base/service_contact.hpp>
+#include <greengagedrum/base/platform_reachability.hpp>
 #include <greengagedrum/base/time.hpp>
 
 #include <cstdint>
@@ -40,7 +40,7 @@
     std::uint64_t config_revision = 0; // highest in force at the sender
     std::uint64_t list_revision = 0;   // highest instance list it has seen
     // Whether the sender hears the platform's service.
-    base::service_contact contact = base::service_contact::unknown;
+    base::platform_reachability contact = base::platform_reachability::unknown;
     // Highest incarnation the sender has seen for each slot it knows.
     struct known_life {
         base::slot_id slot;
--- a/src/greengagedrum/membership/roster.cpp
+++ b/src/greengagedrum/membership/roster.cpp
@@ -187,7 +187,7 @@
 }
 
 heartbeat roster::compose(std::uint64_t config_revision,
-                          base::service_contact contact)
+                          base::platform_reachability contact)
 {
     heartbeat out;
     out.slot = this->options.slot;
--- a/src/greengagedrum/membership/roster.hpp
+++ b/src/greengagedrum/membership/roster.hpp
@@ -47,7 +47,7 @@
     bool linked = false;
     std::uint64_t config_revision = 0; // as its last heartbeat told
     std::uint64_t list_revision = 0;
-    base::service_contact contact = base::service_contact::unknown;
+    base::platform_reachability contact = base::platform_reachability::unknown;
     std::optional<base::duration> silence; // since its last heartbeat
 };
 
@@ -79,9 +79,9 @@
     void start_leaving() { this->is_leaving = true; }
 
     // The own heartbeat, of the next number.
-    heartbeat
-    compose(std::uint64_t config_revision,
-            base::service_contact contact = base::service_contact::unknown);
+    heartbeat compose(std::uint64_t config_revision,
+                      base::platform_reachability contact =
+                          base::platform_reachability::unknown);
 
     // True when a heartbeat should go at once rather than in its turn.
     bool has_news() const { return this->lives.has_news(); }
@@ -141,7 +141,8 @@
         std::uint64_t sequence = 0;
         std::uint64_t config_revision = 0;
         std::uint64_t list_revision = 0;
-        base::service_contact contact = base::service_contact::unknown;
+        base::platform_reachability contact =
+            base::platform_reachability::unknown;
         std::uint64_t list_sent = 0;         // revision passed on to it
         std::optional<base::instant> heard;  // its last heartbeat
         std::optional<base::instant> silent; // from when silence counts
--- a/src/greengagedrum/peers/decode.cpp
+++ b/src/greengagedrum/peers/decode.cpp
@@ -88,7 +88,8 @@
     out.leaving = from.leaving();
     out.config_revision = from.config_revision();
     out.list_revision = from.list_revision();
-    out.contact = enumerator(from.contact(), base::service_contact::lost);
+    out.contact =
+        enumerator(from.contact(), base::platform_reachability::unreachable);
     if (from.lives() == nullptr)
         return out;
     for (const wire::known_life* known : *from.lives())
--- a/src/greengagedrum/peers/test/payload_samples.hpp
+++ b/src/greengagedrum/peers/test/payload_samples.hpp
@@ -24,7 +24,7 @@
                               true,
                               4,
                               5,
-                              base::service_contact::lost,
+                              base::platform_reachability::unreachable,
                               {{other, other_life}}},
         membership::instance_list{12,
                                   {{"photo-1",
--- a/src/greengagedrum/trace/names.hpp
+++ b/src/greengagedrum/trace/names.hpp
@@ -190,11 +190,11 @@
          {idempotency::answer_state::unknown, "unknown"}});
 
 template <>
-inline constexpr auto names_of<base::service_contact> =
-    std::to_array<enumerator<base::service_contact>>(
-        {{base::service_contact::unknown, "unknown"},
-         {base::service_contact::heard, "heard"},
-         {base::service_contact::lost, "lost"}});
+inline constexpr auto names_of<base::platform_reachability> =
+    std::to_array<enumerator<base::platform_reachability>>(
+        {{base::platform_reachability::unknown, "unknown"},
+         {base::platform_reachability::reachable, "heard"},
+         {base::platform_reachability::unreachable, "lost"}});
 
 template <>
 inline constexpr auto names_of<membership::instance_type> =
