--- a/src/greengagedrum/admission/limiter.cpp
+++ b/src/greengagedrum/admission/limiter.cpp
@@ -32,7 +32,7 @@
 {
     const double rate = own.bound.tokens_per_second;
     const double passed = static_cast<double>((now - own.filled).count()) /
-                          base::ticks_per_second;
+                          base::microseconds_per_second;
     return std::min(rate * burst_seconds, own.level + rate * passed);
 }
 
@@ -90,8 +90,8 @@
         return std::nullopt;
     const double seconds = -level / own.bound.tokens_per_second;
     // One tick more than enough, so that the level is above zero by then.
-    return base::duration(1 + static_cast<base::duration::rep>(
-                                  std::ceil(seconds * base::ticks_per_second)));
+    return base::duration(1 + static_cast<base::duration::rep>(std::ceil(
+                                  seconds * base::microseconds_per_second)));
 }
 
 std::uint64_t limiter::spent(const limit_key& key) const
--- a/src/greengagedrum/admission/run_estimator.cpp
+++ b/src/greengagedrum/admission/run_estimator.cpp
@@ -55,8 +55,8 @@
 {
     const speed& own = this->of(item.upstream_class);
     const double seconds = own.factor * nominal(own, item);
-    return base::duration(
-        static_cast<base::duration::rep>(seconds * base::ticks_per_second));
+    return base::duration(static_cast<base::duration::rep>(
+        seconds * base::microseconds_per_second));
 }
 
 base::duration run_estimator::prefill(const base::work& item) const
@@ -73,7 +73,7 @@
         return;
     speed& own = found->second;
     const double seconds =
-        static_cast<double>(actual.count()) / base::ticks_per_second;
+        static_cast<double>(actual.count()) / base::microseconds_per_second;
     const double ratio =
         std::clamp(seconds / nominal(own, item), factor_least, factor_most);
     own.factor += learning_rate * (ratio - own.factor);
--- a/src/greengagedrum/base/time.hpp
+++ b/src/greengagedrum/base/time.hpp
@@ -12,7 +12,7 @@
 using duration = std::chrono::microseconds;
 
 // Of `duration`, for sums in floating point.
-inline constexpr double ticks_per_second = 1e6;
+inline constexpr double microseconds_per_second = 1e6;
 
 // A clock without now(): its time points come from outside. Its epoch is the
 // start of the process; it is not shared between processes.
