--- a/src/greengagedrum/base/ip_address.cpp
+++ b/src/greengagedrum/base/ip_address.cpp
@@ -41,7 +41,7 @@
     return is_family(AF_INET, text) || is_family(AF_INET6, text);
 }
 
-std::optional<ip_endpoint> endpoint_from(std::string_view text)
+std::optional<ip_endpoint> parse_endpoint(std::string_view text)
 {
     std::string_view host;
     std::string_view port;
@@ -55,9 +55,9 @@
     return result;
 }
 
-ip_endpoint split_endpoint(std::string_view text)
+ip_endpoint parse_endpoint_or_unusable(std::string_view text)
 {
-    return endpoint_from(text).value_or(ip_endpoint{"127.0.0.1", 0});
+    return parse_endpoint(text).value_or(ip_endpoint{"127.0.0.1", 0});
 }
 
 std::string to_string(const ip_endpoint& value)
--- a/src/greengagedrum/base/ip_address.hpp
+++ b/src/greengagedrum/base/ip_address.hpp
@@ -21,11 +21,11 @@
 bool is_ip_address(std::string_view text);
 
 // From "127.0.0.1:80" or "[::1]:80"; port 0 means "any free port".
-std::optional<ip_endpoint> endpoint_from(std::string_view text);
+std::optional<ip_endpoint> parse_endpoint(std::string_view text);
 
-// As endpoint_from; text that is no endpoint gives 127.0.0.1 and port 0, to
+// As parse_endpoint; text that is no endpoint gives 127.0.0.1 and port 0, to
 // which every connect is refused at once.
-ip_endpoint split_endpoint(std::string_view text);
+ip_endpoint parse_endpoint_or_unusable(std::string_view text);
 
 std::string to_string(const ip_endpoint& value);
 
--- a/src/greengagedrum/base/tier.cpp
+++ b/src/greengagedrum/base/tier.cpp
@@ -14,7 +14,7 @@
     return names[index_of(value)];
 }
 
-std::optional<tier> tier_from(std::string_view text)
+std::optional<tier> parse_tier(std::string_view text)
 {
     for (const tier value : all_tiers) {
         if (names[index_of(value)] == text)
--- a/src/greengagedrum/base/tier.hpp
+++ b/src/greengagedrum/base/tier.hpp
@@ -28,6 +28,6 @@
 }
 
 std::string_view to_string(tier value);
-std::optional<tier> tier_from(std::string_view text);
+std::optional<tier> parse_tier(std::string_view text);
 
 } // namespace greengagedrum::base
--- a/src/greengagedrum/config/kind_parser.cpp
+++ b/src/greengagedrum/config/kind_parser.cpp
@@ -21,7 +21,7 @@
 base::tier parse_tier(object_reader& reader)
 {
     const std::string text = reader.text("tier");
-    const auto found = base::tier_from(text);
+    const auto found = base::parse_tier(text);
     if (!found && reader.has("tier"))
         reader.fail(
             "tier", "is not one of", "urgent, interactive, standard, bulk");
--- a/src/greengagedrum/config_service/service_client.cpp
+++ b/src/greengagedrum/config_service/service_client.cpp
@@ -36,7 +36,7 @@
         return nullptr;
     if (!this->client) {
         const auto endpoint =
-            base::split_endpoint(this->addresses[this->current]);
+            base::parse_endpoint_or_unusable(this->addresses[this->current]);
         this->client =
             std::make_shared<httplib::Client>(endpoint.ip, endpoint.port);
         this->client->set_keep_alive(true);
--- a/src/greengagedrum/ctl/drain_command.cpp
+++ b/src/greengagedrum/ctl/drain_command.cpp
@@ -23,7 +23,7 @@
         return exit_code::usage;
     }
     const std::string& text = options->operands.front();
-    const auto address = base::endpoint_from(text);
+    const auto address = base::parse_endpoint(text);
     if (!address) {
         to.err << "ggdctl drain: " << text << " is no IP:port\n";
         return exit_code::usage;
--- a/src/greengagedrum/ctl/explain_command.cpp
+++ b/src/greengagedrum/ctl/explain_command.cpp
@@ -199,7 +199,7 @@
                   "needed\n";
         return exit_code::usage;
     }
-    const auto address = base::endpoint_from(admin.value());
+    const auto address = base::parse_endpoint(admin.value());
     if (admin.given() && !address) {
         to.err << "ggdctl explain: " << admin.value() << " is no IP:port\n";
         return exit_code::usage;
--- a/src/greengagedrum/ctl/status_command.cpp
+++ b/src/greengagedrum/ctl/status_command.cpp
@@ -51,7 +51,8 @@
 {
     seen_daemon out;
     out.address = text;
-    const auto answer = ask_admin(base::split_endpoint(text), "GET", "/status");
+    const auto answer =
+        ask_admin(base::parse_endpoint_or_unusable(text), "GET", "/status");
     if (!answer) {
         out.error = answer.error();
         return out;
@@ -177,7 +178,7 @@
         to.err << "ggdctl status: an ADMIN_ADDRESS is needed\n";
     bool good = !operands.empty();
     for (const std::string& text : operands) {
-        if (base::endpoint_from(text))
+        if (base::parse_endpoint(text))
             continue;
         to.err << "ggdctl status: " << text << " is no IP:port\n";
         good = false;
--- a/src/greengagedrum/daemon/test/daemon_fixture.hpp
+++ b/src/greengagedrum/daemon/test/daemon_fixture.hpp
@@ -62,7 +62,7 @@
         out.admin_address = {"127.0.0.1", 0};
         out.peer_address = {"127.0.0.1", 0};
         out.platform_addresses = {
-            base::split_endpoint(this->central.address())};
+            base::parse_endpoint_or_unusable(this->central.address())};
         out.peer_key = "a key of sixteen";
         out.caller_threads = 256;
         out.decision_ring = 8192;
--- a/src/greengagedrum/daemon/test/raw_caller.hpp
+++ b/src/greengagedrum/daemon/test/raw_caller.hpp
@@ -31,7 +31,7 @@
                          SO_RCVBUF,
                          &receive_buffer,
                          sizeof(receive_buffer));
-        const auto place = base::split_endpoint(address);
+        const auto place = base::parse_endpoint_or_unusable(address);
         sockaddr_in to{};
         to.sin_family = AF_INET;
         to.sin_port = htons(place.port);
--- a/src/greengagedrum/peers/tcp.cpp
+++ b/src/greengagedrum/peers/tcp.cpp
@@ -29,7 +29,7 @@
 
 socket_address parse_address(std::string_view text)
 {
-    const base::ip_endpoint endpoint = base::split_endpoint(text);
+    const base::ip_endpoint endpoint = base::parse_endpoint_or_unusable(text);
     const auto port = htons(static_cast<std::uint16_t>(endpoint.port));
     socket_address out;
     sockaddr_in four{};
--- a/src/greengagedrum/platform/documents.cpp
+++ b/src/greengagedrum/platform/documents.cpp
@@ -173,7 +173,7 @@
     out.id = routing::life_id(name, out.born);
     out.service = base::class_id(from.at("service").get<std::string>());
     const auto address = from.at("address").get<std::string>();
-    const auto endpoint = base::endpoint_from(address);
+    const auto endpoint = base::parse_endpoint(address);
     if (!endpoint || endpoint->port == 0)
         out_of_range("address");
     out.address = *endpoint;
--- a/src/greengagedrum/platform/settings_file.cpp
+++ b/src/greengagedrum/platform/settings_file.cpp
@@ -38,7 +38,7 @@
     base::ip_endpoint parsed_endpoint(std::string_view path,
                                       const std::string& value)
     {
-        const auto parsed = base::endpoint_from(value);
+        const auto parsed = base::parse_endpoint(value);
         if (!parsed && !value.empty())
             this->faults.push_back(std::string(path) +
                                    ": IP:port expected, not " + value);
--- a/src/greengagedrum/settings/read_value.cpp
+++ b/src/greengagedrum/settings/read_value.cpp
@@ -58,7 +58,7 @@
     }
     std::optional<setting_value> operator()(const ip_port_type&) const
     {
-        return base::endpoint_from(this->text);
+        return base::parse_endpoint(this->text);
     }
     std::optional<setting_value> operator()(const ip_port_list_type& type) const
     {
@@ -66,7 +66,7 @@
         std::string_view rest = this->text;
         while (list.size() < type.max_count) {
             const auto comma = rest.find(',');
-            auto item = base::endpoint_from(rest.substr(0, comma));
+            auto item = base::parse_endpoint(rest.substr(0, comma));
             if (!item)
                 return std::nullopt;
             list.push_back(std::move(*item));
--- a/src/greengagedrum/upstreams/connection_pool.cpp
+++ b/src/greengagedrum/upstreams/connection_pool.cpp
@@ -7,7 +7,8 @@
 std::unique_ptr<httplib::Client>
 connection_pool::fresh(const std::string& address) const
 {
-    const base::ip_endpoint endpoint = base::split_endpoint(address);
+    const base::ip_endpoint endpoint =
+        base::parse_endpoint_or_unusable(address);
     auto client = std::make_unique<httplib::Client>(endpoint.ip, endpoint.port);
     client->set_keep_alive(true);
     client->set_tcp_nodelay(true);
--- a/src/greengagedrum/upstreams/report_client.cpp
+++ b/src/greengagedrum/upstreams/report_client.cpp
@@ -25,7 +25,8 @@
 std::optional<std::string> report_client::try_get(const std::string& path)
 {
     if (!this->client) {
-        const base::ip_endpoint endpoint = base::split_endpoint(this->host);
+        const base::ip_endpoint endpoint =
+            base::parse_endpoint_or_unusable(this->host);
         this->client =
             std::make_unique<httplib::Client>(endpoint.ip, endpoint.port);
         this->client->set_keep_alive(true);
--- a/src/load/options.cpp
+++ b/src/load/options.cpp
@@ -132,7 +132,7 @@
     if (raw.at_most_once != 0)
         sort.repetition = greengagedrum::base::repetition::at_most_once;
     if (raw.tier != nullptr) {
-        const auto tier = greengagedrum::base::tier_from(raw.tier);
+        const auto tier = greengagedrum::base::parse_tier(raw.tier);
         if (!tier)
             return tl::make_unexpected("--tier: unknown " + text_of(raw.tier));
         sort.tier = *tier;
--- a/src/load/scenario.cpp
+++ b/src/load/scenario.cpp
@@ -132,7 +132,7 @@
         this->read(name, word);
         if (word.empty())
             return;
-        out = greengagedrum::base::tier_from(word);
+        out = greengagedrum::base::parse_tier(word);
         if (!out)
             this->refuse(name, "unknown tier " + word);
     }
