--- a/src/greengagedrum/admission/controller.cpp
+++ b/src/greengagedrum/admission/controller.cpp
@@ -278,7 +278,7 @@
 }
 
 std::array<std::uint32_t, base::tier_count>
-controller::waiting_of(base::class_id upstream_class) const
+controller::waiting_of(base::upstream_class_id upstream_class) const
 {
     std::array<std::uint32_t, base::tier_count> out{};
     const auto found = this->classes.find(upstream_class);
--- a/src/greengagedrum/admission/controller.hpp
+++ b/src/greengagedrum/admission/controller.hpp
@@ -123,7 +123,7 @@
 
     std::size_t waiting() const { return this->entries.size(); }
     std::array<std::uint32_t, base::tier_count>
-    waiting_of(base::class_id upstream_class) const;
+    waiting_of(base::upstream_class_id upstream_class) const;
 
     const admission::limiter& limits_in_use() const { return this->limiter; }
 
@@ -163,7 +163,7 @@
     options limits;
     admission::limiter limiter;
     std::unordered_map<base::request_id, entry> entries;
-    std::map<base::class_id, lanes> classes;
+    std::map<base::upstream_class_id, lanes> classes;
     std::map<limit_key, line> holds;
     std::optional<base::instant> wake;
 };
--- a/src/greengagedrum/admission/run_estimator.cpp
+++ b/src/greengagedrum/admission/run_estimator.cpp
@@ -15,7 +15,7 @@
 
 void run_estimator::set_fleet(const config::fleet& fleet)
 {
-    std::map<base::class_id, speed> kept;
+    std::map<base::upstream_class_id, speed> kept;
     for (const config::upstream_entry& entry : fleet.upstreams) {
         const auto known = this->classes.find(entry.upstream_class);
         const auto [place, fresh] =
@@ -38,7 +38,7 @@
 }
 
 const run_estimator::speed&
-run_estimator::of(base::class_id upstream_class) const
+run_estimator::of(base::upstream_class_id upstream_class) const
 {
     const auto found = this->classes.find(upstream_class);
     return found == this->classes.end() ? this->unknown : found->second;
--- a/src/greengagedrum/admission/run_estimator.hpp
+++ b/src/greengagedrum/admission/run_estimator.hpp
@@ -36,9 +36,9 @@
     };
 
     static double nominal(const speed& own, const base::work& item);
-    const speed& of(base::class_id upstream_class) const;
+    const speed& of(base::upstream_class_id upstream_class) const;
 
-    std::map<base::class_id, speed> classes;
+    std::map<base::upstream_class_id, speed> classes;
     speed unknown;
 };
 
--- a/src/greengagedrum/admission/running_set.cpp
+++ b/src/greengagedrum/admission/running_set.cpp
@@ -32,7 +32,7 @@
     return found == this->all.end() ? nullptr : &found->second;
 }
 
-std::uint32_t running_set::count(base::class_id upstream_class,
+std::uint32_t running_set::count(base::upstream_class_id upstream_class,
                                  base::tier tier) const
 {
     const auto found = this->classes.find(upstream_class);
--- a/src/greengagedrum/admission/running_set.hpp
+++ b/src/greengagedrum/admission/running_set.hpp
@@ -35,7 +35,8 @@
     const running* find(base::request_id request) const;
 
     // Requests of this tier on upstreams of this class.
-    std::uint32_t count(base::class_id upstream_class, base::tier tier) const;
+    std::uint32_t count(base::upstream_class_id upstream_class,
+                        base::tier tier) const;
 
     std::uint32_t in_flight(base::upstream_id upstream) const;
 
@@ -57,7 +58,7 @@
 
     std::unordered_map<base::request_id, running> all;
     std::map<base::upstream_id, by_tier> upstreams;
-    std::map<base::class_id, counts> classes;
+    std::map<base::upstream_class_id, counts> classes;
 };
 
 } // namespace greengagedrum::admission
--- a/src/greengagedrum/admission/test/controller_test.cpp
+++ b/src/greengagedrum/admission/test/controller_test.cpp
@@ -22,7 +22,7 @@
             base::duration deadline = std::chrono::seconds(60))
     {
         base::work item;
-        item.upstream_class = base::class_id("photo");
+        item.upstream_class = base::upstream_class_id("photo");
         item.model = base::model_id(model);
         item.workspace = base::workspace_id("mall");
         item.kind = base::kind_id(model);
--- a/src/greengagedrum/base/ids.hpp
+++ b/src/greengagedrum/base/ids.hpp
@@ -38,7 +38,8 @@
 using workspace_id = name_id<struct workspace_tag>;
 using kind_id = name_id<struct kind_tag>;
 using model_id = name_id<struct model_tag>;
-using class_id = name_id<struct class_tag>; // a group of like upstreams
+using upstream_class_id =
+    name_id<struct upstream_class_tag>; // a group of like upstreams
 
 // One life of an entry process. `value` is drawn at start: unix seconds in
 // the upper 40 bits, random below, so that a later process has a higher one.
--- a/src/greengagedrum/base/work.hpp
+++ b/src/greengagedrum/base/work.hpp
@@ -15,7 +15,7 @@
 struct work {
     workspace_id workspace;
     kind_id kind;
-    class_id upstream_class;
+    upstream_class_id upstream_class;
     model_id model; // empty for a plain service
     base::tier tier = base::tier::standard;
     base::repetition repetition = base::repetition::at_most_once;
--- a/src/greengagedrum/capacity/messages.hpp
+++ b/src/greengagedrum/capacity/messages.hpp
@@ -19,7 +19,7 @@
 
 // One entry's demand for a class of upstreams, by tier.
 struct class_demand {
-    base::class_id upstream_class;
+    base::upstream_class_id upstream_class;
     std::uint32_t waiting[4] = {0, 0, 0, 0}; // requests, by tier
     std::uint32_t running[4] = {0, 0, 0, 0};
 };
--- a/src/greengagedrum/capacity/shares.cpp
+++ b/src/greengagedrum/capacity/shares.cpp
@@ -195,7 +195,7 @@
 }
 
 std::uint32_t shares::of_upstream(base::upstream_id upstream,
-                                  base::class_id upstream_class,
+                                  base::upstream_class_id upstream_class,
                                   std::uint32_t limit,
                                   std::uint32_t class_total,
                                   base::instant now) const
@@ -290,7 +290,7 @@
     return static_cast<double>(parts[own_place]) / limit_parts;
 }
 
-bool shares::lower_runs_at_peers(base::class_id upstream_class,
+bool shares::lower_runs_at_peers(base::upstream_class_id upstream_class,
                                  base::tier tier,
                                  base::instant now) const
 {
--- a/src/greengagedrum/capacity/shares.hpp
+++ b/src/greengagedrum/capacity/shares.hpp
@@ -53,7 +53,7 @@
     // This instance's places of an upstream with `limit` places in a class
     // with `class_total`.
     std::uint32_t of_upstream(base::upstream_id upstream,
-                              base::class_id upstream_class,
+                              base::upstream_class_id upstream_class,
                               std::uint32_t limit,
                               std::uint32_t class_total,
                               base::instant now) const;
@@ -71,7 +71,7 @@
 
     // True when a peer told lately of running work of a lower tier in that
     // class.
-    bool lower_runs_at_peers(base::class_id upstream_class,
+    bool lower_runs_at_peers(base::upstream_class_id upstream_class,
                              base::tier tier,
                              base::instant now) const;
 
@@ -81,7 +81,7 @@
         std::uint64_t sequence = 0;
         base::instant at;
         std::map<base::upstream_id, upstream_use> uses;
-        std::map<base::class_id, class_demand> demands;
+        std::map<base::upstream_class_id, class_demand> demands;
         std::map<limit_id, limit_use> limits;
     };
     struct peak {
@@ -101,7 +101,7 @@
     std::set<base::slot_id> entries;
     std::map<base::slot_id, view> peers;
     view told; // of this instance, as last composed
-    std::map<base::class_id, std::array<peak, base::tier_count>> peaks;
+    std::map<base::upstream_class_id, std::array<peak, base::tier_count>> peaks;
 };
 
 } // namespace greengagedrum::capacity
--- a/src/greengagedrum/capacity/test/shares_test.cpp
+++ b/src/greengagedrum/capacity/test/shares_test.cpp
@@ -36,7 +36,7 @@
     {
         load_digest out;
         class_demand demand;
-        demand.upstream_class = base::class_id("photo");
+        demand.upstream_class = base::upstream_class_id("photo");
         demand.waiting[0] = urgent;
         demand.waiting[3] = bulk;
         out.demands.push_back(demand);
@@ -61,7 +61,7 @@
         std::vector<std::uint32_t> out;
         for (const shares& entry : this->entries)
             out.push_back(entry.of_upstream(base::upstream_id("photo-1"),
-                                            base::class_id("photo"),
+                                            base::upstream_class_id("photo"),
                                             limit,
                                             limit,
                                             this->now));
--- a/src/greengagedrum/config/fleet.hpp
+++ b/src/greengagedrum/config/fleet.hpp
@@ -18,7 +18,7 @@
     std::string name;
     base::upstream_id id;
     base::data_centre_id data_centre;
-    base::class_id upstream_class;
+    base::upstream_class_id upstream_class;
     upstream_type type = upstream_type::engine;
     std::string generation;          // hardware generation; a label
     std::vector<std::string> models; // models it may hold
--- a/src/greengagedrum/config/fleet_parser.cpp
+++ b/src/greengagedrum/config/fleet_parser.cpp
@@ -165,7 +165,7 @@
     void read_class(object_reader& reader, upstream_entry& read)
     {
         const std::string name = reader.name("class");
-        read.upstream_class = base::class_id(name);
+        read.upstream_class = base::upstream_class_id(name);
         const auto outcome = this->classes.add(name);
         if (outcome == name_registry::outcome::collision)
             reader.fail("class", problem_of(outcome));
--- a/src/greengagedrum/config/kind_parser.cpp
+++ b/src/greengagedrum/config/kind_parser.cpp
@@ -97,7 +97,7 @@
     kind.repetition = parse_repetition(reader);
     kind.deadline = std::chrono::milliseconds(
         reader.integer("deadline_ms", deadline_ms_bounds));
-    kind.upstream_class = base::class_id(reader.name("class"));
+    kind.upstream_class = base::upstream_class_id(reader.name("class"));
     parse_target(reader, kind);
     parse_limits(reader, kind);
     kind.preemptible = reader.boolean_or("preemptible", false);
--- a/src/greengagedrum/config/kind_rules.hpp
+++ b/src/greengagedrum/config/kind_rules.hpp
@@ -18,11 +18,11 @@
     base::kind_id id;
     base::tier tier = base::tier::standard;
     base::repetition repetition = base::repetition::at_most_once;
-    base::duration deadline{0};          // from arrival to the whole answer
-    base::class_id upstream_class;       // which upstreams may serve it
-    std::string model;                   // empty for a plain service
-    std::string path;                    // service path, for a plain service
-    std::uint32_t max_tokens = 0;        // bound on generated tokens
+    base::duration deadline{0};             // from arrival to the whole answer
+    base::upstream_class_id upstream_class; // which upstreams may serve it
+    std::string model;                      // empty for a plain service
+    std::string path;                       // service path, for a plain service
+    std::uint32_t max_tokens = 0;           // bound on generated tokens
     bool preemptible = false;            // may be cancelled for a higher tier
     bool overflow = false;               // may be served by another data centre
     std::uint32_t max_in_flight = 0;     // per workspace, all entries; 0: none
--- a/src/greengagedrum/config/references.cpp
+++ b/src/greengagedrum/config/references.cpp
@@ -30,7 +30,7 @@
 std::optional<target_problem> find_problem(const fleet& in, const json& kind)
 {
     const auto class_name = kind.at("class").get<std::string>();
-    const base::class_id wanted(class_name);
+    const base::upstream_class_id wanted(class_name);
     std::vector<const upstream_entry*> members;
     for (const upstream_entry& upstream : in.upstreams) {
         if (upstream.upstream_class == wanted)
--- a/src/greengagedrum/delivery/sharing.cpp
+++ b/src/greengagedrum/delivery/sharing.cpp
@@ -59,7 +59,7 @@
     this->shares_due = this->now + share_period;
     if (!this->snapshot)
         return;
-    std::map<base::class_id, std::uint32_t> totals;
+    std::map<base::upstream_class_id, std::uint32_t> totals;
     const auto& upstreams = this->snapshot->fleet.upstreams;
     for (const config::upstream_entry& entry : upstreams)
         if (entry.data_centre == this->options.data_centre)
@@ -117,7 +117,7 @@
     capacity::load_digest used;
     if (!this->snapshot)
         return used;
-    std::set<base::class_id> classes;
+    std::set<base::upstream_class_id> classes;
     for (const auto& entry : this->snapshot->fleet.upstreams) {
         if (entry.data_centre != this->options.data_centre)
             continue;
@@ -129,7 +129,7 @@
         use.overdraft = use.in_flight > this->planner.allowance(entry.id);
         used.uses.push_back(use);
     }
-    for (const base::class_id id : classes) {
+    for (const base::upstream_class_id id : classes) {
         capacity::class_demand demand;
         demand.upstream_class = id;
         const auto waiting = this->admission.waiting_of(id);
--- a/src/greengagedrum/delivery/test/joined_entries.cpp
+++ b/src/greengagedrum/delivery/test/joined_entries.cpp
@@ -18,7 +18,7 @@
     out.name = name;
     out.id = base::upstream_id(name);
     out.data_centre = base::data_centre_id("zona-4");
-    out.upstream_class = base::class_id("photo");
+    out.upstream_class = base::upstream_class_id("photo");
     out.models = {"compliance"};
     out.max_in_flight = 12;
     return out;
@@ -181,7 +181,7 @@
     request_arrived what;
     what.request = base::request_id{++this->last_request};
     what.work.workspace = base::workspace_id("booths");
-    what.work.upstream_class = base::class_id("photo");
+    what.work.upstream_class = base::upstream_class_id("photo");
     what.work.model = base::model_id("compliance");
     what.work.repetition = base::repetition::at_most_once;
     what.work.prompt_tokens = 100;
--- a/src/greengagedrum/delivery/test/peer_tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/peer_tiers_test.cpp
@@ -66,7 +66,7 @@
         engine.name = "photo-1";
         engine.id = base::upstream_id("photo-1");
         engine.data_centre = base::data_centre_id("zona-4");
-        engine.upstream_class = base::class_id("photo");
+        engine.upstream_class = base::upstream_class_id("photo");
         engine.models = {"compliance"};
         engine.max_in_flight = 4;
         config::snapshot out;
@@ -122,7 +122,7 @@
     {
         request_arrived what;
         what.request = base::request_id{++this->last_request};
-        what.work.upstream_class = base::class_id("photo");
+        what.work.upstream_class = base::upstream_class_id("photo");
         what.work.model = base::model_id("compliance");
         what.work.tier = tier;
         what.work.repetition = tier == base::tier::bulk
--- a/src/greengagedrum/delivery/test/policy_run.hpp
+++ b/src/greengagedrum/delivery/test/policy_run.hpp
@@ -79,7 +79,7 @@
             one.name = "engine-" + std::to_string(i);
             one.id = base::upstream_id(one.name);
             one.data_centre = base::data_centre_id("rabat");
-            one.upstream_class = base::class_id("dossier");
+            one.upstream_class = base::upstream_class_id("dossier");
             one.models = {"possession"};
             one.max_in_flight = places;
             one.prefill_tokens_per_second = prefill_speed;
@@ -159,7 +159,7 @@
         base::work& work = what_came.work;
         work.workspace = base::workspace_id("kenitra");
         work.kind = base::kind_id("kind-" + std::to_string(tier));
-        work.upstream_class = base::class_id("dossier");
+        work.upstream_class = base::upstream_class_id("dossier");
         work.model = base::model_id("possession");
         work.repetition = kind.repetition;
         work.preemptible = kind.repetition == base::repetition::idempotent;
--- a/src/greengagedrum/delivery/test/random_run.hpp
+++ b/src/greengagedrum/delivery/test/random_run.hpp
@@ -51,7 +51,8 @@
             one.name = "engine-" + std::to_string(i);
             one.id = base::upstream_id(one.name);
             one.data_centre = base::data_centre_id("zona-4");
-            one.upstream_class = base::class_id(i < 3 ? "photo" : "counter");
+            one.upstream_class =
+                base::upstream_class_id(i < 3 ? "photo" : "counter");
             one.models = {i == 0 ? "old" : "compliance", "crop"};
             one.max_in_flight = 2 + static_cast<std::uint32_t>(this->below(4));
             snapshot.fleet.upstreams.push_back(one);
@@ -98,7 +99,7 @@
             base::workspace_id(this->chance(0.2) ? "mall" : "yard");
         work.kind = base::kind_id(this->chance(0.5) ? "caption" : "review");
         work.upstream_class =
-            base::class_id(this->chance(0.8) ? "photo" : "counter");
+            base::upstream_class_id(this->chance(0.8) ? "photo" : "counter");
         work.model = base::model_id(this->chance(0.5) ? "compliance" : "crop");
         work.tier = base::all_tiers[this->below(base::tier_count)];
         work.repetition = this->chance(0.5) ? base::repetition::idempotent
@@ -150,7 +151,7 @@
         what.life = base::incarnation{9};
         what.digest.sequence = ++this->peer_sequence;
         capacity::class_demand demand;
-        demand.upstream_class = base::class_id("photo");
+        demand.upstream_class = base::upstream_class_id("photo");
         for (auto& waiting : demand.waiting)
             waiting = static_cast<std::uint32_t>(this->below(10));
         for (auto& running : demand.running)
--- a/src/greengagedrum/delivery/test/scheduler_fixture.hpp
+++ b/src/greengagedrum/delivery/test/scheduler_fixture.hpp
@@ -43,7 +43,7 @@
         out.name = name;
         out.id = base::upstream_id(name);
         out.data_centre = base::data_centre_id("zona-4");
-        out.upstream_class = base::class_id("photo");
+        out.upstream_class = base::upstream_class_id("photo");
         out.models = {"compliance"};
         out.max_in_flight = 2;
         return out;
@@ -109,7 +109,7 @@
         request_arrived what;
         what.request = base::request_id{++this->last_request};
         what.subject = std::move(subject);
-        what.work.upstream_class = base::class_id("photo");
+        what.work.upstream_class = base::upstream_class_id("photo");
         what.work.model = base::model_id("compliance");
         what.work.repetition = repetition;
         what.work.tier = tier;
@@ -125,7 +125,7 @@
     {
         request_arrived what;
         what.request = base::request_id{++this->last_request};
-        what.work.upstream_class = base::class_id("photo");
+        what.work.upstream_class = base::upstream_class_id("photo");
         what.work.repetition = repetition;
         what.deadline_after = std::chrono::seconds(60);
         this->step(what);
--- a/src/greengagedrum/delivery/test/tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/tiers_test.cpp
@@ -24,7 +24,7 @@
         base::work out;
         out.workspace = base::workspace_id("mall");
         out.kind = base::kind_id("review");
-        out.upstream_class = base::class_id("photo");
+        out.upstream_class = base::upstream_class_id("photo");
         out.model = base::model_id("compliance");
         out.tier = level;
         out.repetition = repeat;
--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-const base::class_id desk_service("desk");
+const base::upstream_class_id desk_service("desk");
 constexpr base::duration step = 5ms;
 constexpr base::duration report_gap = 2ms;
 constexpr base::duration beat = 100ms;
--- a/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-const base::class_id engines("engines");
+const base::upstream_class_id engines("engines");
 const base::workspace_id shop("shop");
 constexpr std::uint32_t slots = 5;
 constexpr base::duration crash_after = 180ms;
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -140,7 +140,7 @@
 
 traffic::queue_report waiting_of(const wire::WaitingLevels& from)
 {
-    traffic::queue_report out{base::class_id(from.service()), {}};
+    traffic::queue_report out{base::upstream_class_id(from.service()), {}};
     for (std::size_t level = 0; level < out.lengths.size(); ++level)
         out.lengths.at(level) =
             from.counts()->Get(static_cast<flatbuffers::uoffset_t>(level));
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -55,7 +55,7 @@
     told.store_age = 120ms;
     told.store_revision = 12;
     told.uses = {{base::upstream_id("i-1"), 3, 4000, 55ms}};
-    told.waiting = {{base::class_id("models"), {1, 2, 3, 4}}};
+    told.waiting = {{base::upstream_class_id("models"), {1, 2, 3, 4}}};
     told.workspace_uses = {{base::workspace_id("gate"),
                             123456789012,
                             70,
@@ -97,7 +97,7 @@
     told.known = {{other, 250ms, base::data_centre_id("yard"), 120}};
     dispatch::slot_request wanted;
     wanted.name = {base::request_id{4}, 2};
-    wanted.facts.service = base::class_id("models");
+    wanted.facts.service = base::upstream_class_id("models");
     wanted.facts.workspace = base::workspace_id("gate");
     wanted.facts.kind = base::kind_id("dossier");
     wanted.facts.rule = routing::repeat_rule::idempotent;
--- a/src/greengagedrum/peers/decode.cpp
+++ b/src/greengagedrum/peers/decode.cpp
@@ -120,7 +120,7 @@
 capacity::class_demand read(const wire::class_demand& from)
 {
     capacity::class_demand out;
-    out.upstream_class = base::class_id(from.upstream_class());
+    out.upstream_class = base::upstream_class_id(from.upstream_class());
     for (std::uint16_t tier = 0; tier < base::tier_count; ++tier) {
         out.waiting[tier] = from.waiting()->Get(tier);
         out.running[tier] = from.running()->Get(tier);
--- a/src/greengagedrum/placement/planner.hpp
+++ b/src/greengagedrum/placement/planner.hpp
@@ -116,7 +116,7 @@
 
 private:
     using candidates = std::vector<std::uint32_t>;
-    using candidate_key = std::pair<base::class_id, base::model_id>;
+    using candidate_key = std::pair<base::upstream_class_id, base::model_id>;
 
     upstream_state* state_of(base::upstream_id upstream);
     const candidates& candidates_of(const base::work& item) const;
--- a/src/greengagedrum/placement/test/fleet_fixture.hpp
+++ b/src/greengagedrum/placement/test/fleet_fixture.hpp
@@ -52,7 +52,7 @@
         out.name = name;
         out.id = base::upstream_id(name);
         out.data_centre = base::data_centre_id("zona-4");
-        out.upstream_class = base::class_id("photo");
+        out.upstream_class = base::upstream_class_id("photo");
         out.generation = "g2";
         out.models = {"compliance"};
         out.max_in_flight = places;
@@ -82,7 +82,7 @@
         base::work out;
         out.workspace = base::workspace_id("atlas");
         out.kind = base::kind_id("review");
-        out.upstream_class = base::class_id("photo");
+        out.upstream_class = base::upstream_class_id("photo");
         out.model = base::model_id("compliance");
         out.repetition = base::repetition::idempotent;
         out.prompt_tokens = prompt;
--- a/src/greengagedrum/platform/documents.cpp
+++ b/src/greengagedrum/platform/documents.cpp
@@ -37,7 +37,7 @@
 
 routing::route_target read_target(const std::string& service, double weight)
 {
-    return {base::class_id(service), service, weight};
+    return {base::upstream_class_id(service), service, weight};
 }
 
 std::vector<routing::route_target> read_targets(const json& from)
@@ -88,7 +88,7 @@
 {
     routing::service out;
     out.name = from.at("name").get<std::string>();
-    out.id = base::class_id(out.name);
+    out.id = base::upstream_class_id(out.name);
     out.engine = from.contains("engine");
     out.connections_max = bounded_number(from, "maxConnections", 0U);
     out.warmup = time_of(from, "warmupS", second);
@@ -171,7 +171,8 @@
     out.name = name;
     out.born = read_born(from);
     out.id = routing::life_id(name, out.born);
-    out.service = base::class_id(from.at("service").get<std::string>());
+    out.service =
+        base::upstream_class_id(from.at("service").get<std::string>());
     const auto address = from.at("address").get<std::string>();
     const auto endpoint = base::parse_endpoint(address);
     if (!endpoint || endpoint->port == 0)
--- a/src/greengagedrum/platform/test/platform_test.cpp
+++ b/src/greengagedrum/platform/test/platform_test.cpp
@@ -178,7 +178,7 @@
          false});
     REQUIRE(read);
     CHECK(read->name == "i-7");
-    CHECK(read->service == base::class_id("s-1"));
+    CHECK(read->service == base::upstream_class_id("s-1"));
     CHECK(read->address.port == 8080);
     CHECK(read->leaving);
     CHECK(read->warmup == 250ms);
--- a/src/greengagedrum/routing/configuration.hpp
+++ b/src/greengagedrum/routing/configuration.hpp
@@ -25,7 +25,7 @@
 };
 
 struct route_target {
-    base::class_id service;
+    base::upstream_class_id service;
     std::string service_name;
     double weight = 1; // share of the route's requests, relative
 };
@@ -49,7 +49,7 @@
 
 struct service {
     std::string name;
-    base::class_id id;
+    base::upstream_class_id id;
     bool engine = false;               // a model engine; else a plain service
     std::uint32_t connections_max = 0; // of one upstream, all callers; 0: none
     base::duration warmup{0};          // how long one is cold after its start
--- a/src/greengagedrum/routing/route_table.cpp
+++ b/src/greengagedrum/routing/route_table.cpp
@@ -119,7 +119,7 @@
     return found == all.end() ? nullptr : &*found;
 }
 
-const service* route_table::find_service(base::class_id id) const
+const service* route_table::find_service(base::upstream_class_id id) const
 {
     const auto found = this->by_service.find(id);
     return found == this->by_service.end() ? nullptr : found->second;
--- a/src/greengagedrum/routing/route_table.hpp
+++ b/src/greengagedrum/routing/route_table.hpp
@@ -31,7 +31,7 @@
     // Null: this version has none of that id.
     const workspace* find_workspace(base::workspace_id id) const;
 
-    const service* find_service(base::class_id id) const;
+    const service* find_service(base::upstream_class_id id) const;
 
     // 0 is the most urgent. A workspace's own priority goes before the
     // route's, which orders the requests of workspaces alike; steps that no
@@ -46,7 +46,7 @@
     std::unordered_map<std::string, const route*> by_prefix;
     std::unordered_map<base::kind_id, const route*> by_kind;
     std::unordered_map<std::string_view, const workspace*> by_key;
-    std::unordered_map<base::class_id, const service*> by_service;
+    std::unordered_map<base::upstream_class_id, const service*> by_service;
     std::vector<std::uint32_t> route_steps;     // priorities in use, sorted
     std::vector<std::uint32_t> workspace_steps; // the same
 };
--- a/src/greengagedrum/routing/test/routing_test.cpp
+++ b/src/greengagedrum/routing/test/routing_test.cpp
@@ -24,8 +24,8 @@
     out.host = std::move(host);
     out.prefix = std::move(prefix);
     out.priority = priority;
-    out.targets.push_back({base::class_id("models"), "models", 3});
-    out.targets.push_back({base::class_id("desk"), "desk", 1});
+    out.targets.push_back({base::upstream_class_id("models"), "models", 3});
+    out.targets.push_back({base::upstream_class_id("desk"), "desk", 1});
     return out;
 }
 
@@ -62,7 +62,7 @@
     published_upstream out;
     out.name = name;
     out.id = base::upstream_id(out.name);
-    out.service = base::class_id("models");
+    out.service = base::upstream_class_id("models");
     out.address = {"10.0.0.1", 80};
     out.slots = 5;
     out.revision = revision;
--- a/src/greengagedrum/routing/upstream_directory.hpp
+++ b/src/greengagedrum/routing/upstream_directory.hpp
@@ -34,7 +34,7 @@
     std::string name;
     base::upstream_id id;              // of this life, see life_id()
     std::optional<std::uint64_t> born; // Unix milliseconds, by its own clock
-    base::class_id service;
+    base::upstream_class_id service;
     base::ip_endpoint address;
     std::string data_centre;
     std::uint32_t slots = 1;
--- a/src/greengagedrum/trace/test/random_recording.hpp
+++ b/src/greengagedrum/trace/test/random_recording.hpp
@@ -126,7 +126,7 @@
         out.request = base::request_id{++this->last};
         out.work.workspace = base::workspace_id("mall");
         out.work.kind = base::kind_id("review");
-        out.work.upstream_class = base::class_id("photo");
+        out.work.upstream_class = base::upstream_class_id("photo");
         out.work.model = base::model_id("compliance");
         out.work.tier = base::all_tiers[this->draw(base::tier_count)];
         out.work.repetition = static_cast<base::repetition>(this->draw(2));
@@ -145,7 +145,7 @@
             one.name = name;
             one.id = base::upstream_id(one.name);
             one.data_centre = this->options.data_centre;
-            one.upstream_class = base::class_id("photo");
+            one.upstream_class = base::upstream_class_id("photo");
             one.models = {"compliance"};
             one.max_in_flight = 3;
             made->fleet.upstreams.push_back(one);
--- a/src/greengagedrum/trace/test/recorder_test.cpp
+++ b/src/greengagedrum/trace/test/recorder_test.cpp
@@ -95,7 +95,8 @@
     rules.kinds.back().id = base::kind_id("review");
     capacity::load_digest digest;
     digest.uses.push_back({base::upstream_id("u"), 1, 2, true});
-    digest.demands.push_back({base::class_id("c"), {1, 2, 3, 4}, {5, 6, 7, 8}});
+    digest.demands.push_back(
+        {base::upstream_class_id("c"), {1, 2, 3, 4}, {5, 6, 7, 8}});
     digest.limits.push_back({base::workspace_id("w"), {}, 3, 4});
     membership::heartbeat beat;
     beat.lives.push_back({slot, base::incarnation{5}});
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -23,7 +23,7 @@
 
 // What the decisions need to know of a request.
 struct request_facts {
-    base::class_id service;
+    base::upstream_class_id service;
     base::workspace_id workspace;
     base::kind_id kind;          // its route
     base::request_digest digest; // empty: not known here
--- a/src/greengagedrum/traffic/retry_budget.cpp
+++ b/src/greengagedrum/traffic/retry_budget.cpp
@@ -21,14 +21,14 @@
         times.pop_front();
 }
 
-void retry_budget::arrived(base::class_id service, base::instant now)
+void retry_budget::arrived(base::upstream_class_id service, base::instant now)
 {
     service_window& own = this->windows[service];
     this->drop_old(own.requests, now);
     own.requests.push_back(now);
 }
 
-bool retry_budget::spend(base::class_id service, base::instant now)
+bool retry_budget::spend(base::upstream_class_id service, base::instant now)
 {
     service_window& own = this->windows[service];
     this->drop_old(own.requests, now);
--- a/src/greengagedrum/traffic/retry_budget.hpp
+++ b/src/greengagedrum/traffic/retry_budget.hpp
@@ -34,10 +34,10 @@
     // How many entries share the slack; those that were there lately count.
     void set_entry_count(std::size_t count) { this->entries = count; }
 
-    void arrived(base::class_id service, base::instant now);
+    void arrived(base::upstream_class_id service, base::instant now);
 
     // False when no retry is left; else one is spent.
-    bool spend(base::class_id service, base::instant now);
+    bool spend(base::upstream_class_id service, base::instant now);
 
 private:
     struct service_window {
@@ -49,7 +49,7 @@
 
     retry_budget_settings bounds;
     std::size_t entries = 1;
-    std::unordered_map<base::class_id, service_window> windows;
+    std::unordered_map<base::upstream_class_id, service_window> windows;
 };
 
 } // namespace greengagedrum::traffic
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -26,7 +26,7 @@
 
 // What waits at one entry for one service, as it tells its peers.
 struct queue_report {
-    base::class_id service;
+    base::upstream_class_id service;
     queue_lengths lengths{};
 };
 
@@ -84,7 +84,8 @@
     // Entries that place requests, this one included.
     void set_entry_count(std::size_t count);
     // Of each service that publishes one: the bound on cold upstreams.
-    void set_slow_start_rate(base::class_id service, std::uint32_t sends)
+    void set_slow_start_rate(base::upstream_class_id service,
+                             std::uint32_t sends)
     {
         this->pool.set_slow_start_rate(service, sends);
     }
@@ -173,11 +174,11 @@
     void join_queue(request& item);
     bool cannot_meet_deadline(const request& item) const;
     void place_waiting();
-    void place_service(base::class_id service, wait_queue& queue);
+    void place_service(base::upstream_class_id service, wait_queue& queue);
     bool awaits_better(const request& item,
                        const waiting_request& entry,
                        const placing& offered) const;
-    queue_lengths waiting_elsewhere(base::class_id service) const;
+    queue_lengths waiting_elsewhere(base::upstream_class_id service) const;
     bool yields_to_peers(const waiting_request& item,
                          const queue_lengths& elsewhere,
                          std::uint32_t free) const;
@@ -208,7 +209,7 @@
     upstream_pool pool;
     retry_budget retries;
     first_attempt_estimator fresh;
-    std::map<base::class_id, wait_queue> queues;
+    std::map<base::upstream_class_id, wait_queue> queues;
     std::unordered_map<base::request_id, request> requests;
     struct peer_waiting {
         base::instant at;
--- a/src/greengagedrum/traffic/test/scheduler_fixture.hpp
+++ b/src/greengagedrum/traffic/test/scheduler_fixture.hpp
@@ -11,7 +11,7 @@
 namespace greengagedrum::traffic
 {
 
-inline const base::class_id engines("engines");
+inline const base::upstream_class_id engines("engines");
 
 inline routing::published_upstream upstream_named(const std::string& name,
                                                   std::uint32_t slots)
--- a/src/greengagedrum/traffic/upstream_pool.cpp
+++ b/src/greengagedrum/traffic/upstream_pool.cpp
@@ -85,7 +85,7 @@
         this->upstreams.erase(id);
 }
 
-bool upstream_pool::known(base::class_id service,
+bool upstream_pool::known(base::upstream_class_id service,
                           const routing::homes& homes) const
 {
     const auto found = this->services.find(service);
@@ -330,7 +330,7 @@
 
 // ---- Sums -----------------------------------------------------------------
 
-std::uint32_t upstream_pool::places(base::class_id service) const
+std::uint32_t upstream_pool::places(base::upstream_class_id service) const
 {
     const auto found = this->services.find(service);
     if (found == this->services.end())
@@ -344,7 +344,7 @@
     return sum;
 }
 
-std::uint32_t upstream_pool::free_places(base::class_id service,
+std::uint32_t upstream_pool::free_places(base::upstream_class_id service,
                                          base::instant now) const
 {
     const auto found = this->services.find(service);
@@ -359,7 +359,8 @@
     return sum;
 }
 
-bool upstream_pool::any_open(base::class_id service, base::instant now) const
+bool upstream_pool::any_open(base::upstream_class_id service,
+                             base::instant now) const
 {
     const auto found = this->services.find(service);
     if (found == this->services.end())
@@ -372,7 +373,8 @@
                        });
 }
 
-std::uint32_t upstream_pool::foreign_places(base::class_id service) const
+std::uint32_t
+upstream_pool::foreign_places(base::upstream_class_id service) const
 {
     const auto found = this->services.find(service);
     if (found == this->services.end())
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -55,7 +55,7 @@
 
 // What a choice has to know of a request.
 struct placing_question {
-    base::class_id service;
+    base::upstream_class_id service;
     std::uint32_t prompt_tokens = 0;
     std::uint32_t output_tokens = 0;          // expected
     std::span<const base::upstream_id> tried; // not to be taken again
@@ -97,7 +97,8 @@
 
     // Requests that a cold upstream of the service gets in a second; 0: there
     // is no bound.
-    void set_slow_start_rate(base::class_id service, std::uint32_t sends)
+    void set_slow_start_rate(base::upstream_class_id service,
+                             std::uint32_t sends)
     {
         this->services[service].cold_sends = sends;
     }
@@ -141,18 +142,20 @@
     void probe_void(base::upstream_id upstream);
 
     // Requests that the service's sound upstreams run at once.
-    std::uint32_t places(base::class_id service) const;
-    std::uint32_t free_places(base::class_id service, base::instant now) const;
+    std::uint32_t places(base::upstream_class_id service) const;
+    std::uint32_t free_places(base::upstream_class_id service,
+                              base::instant now) const;
     // Any place that could be taken, at a suspect too.
-    bool any_open(base::class_id service, base::instant now) const;
+    bool any_open(base::upstream_class_id service, base::instant now) const;
     // Taken by peers.
-    std::uint32_t foreign_places(base::class_id service) const;
-    bool known(base::class_id service, const routing::homes& homes) const;
+    std::uint32_t foreign_places(base::upstream_class_id service) const;
+    bool known(base::upstream_class_id service,
+               const routing::homes& homes) const;
     // It is published, takes requests, and stands in one of the homes.
     bool may_run(base::upstream_id upstream, const routing::homes& homes) const;
 
     // Seconds to the first event on a usual upstream with nothing before it.
-    double usual_first_event(base::class_id service,
+    double usual_first_event(base::upstream_class_id service,
                              std::uint32_t prompt_tokens) const;
 
     // Of this entry, for its peers.
@@ -165,7 +168,7 @@
     static constexpr double service_weight = 0.03;
 
     struct upstream {
-        base::class_id service;
+        base::upstream_class_id service;
         std::uint32_t slots = 1;
         bool listed = true;
         base::data_centre_id data_centre;
@@ -260,7 +263,7 @@
     std::size_t waiting_peers = 0;
     base::duration peers_turn = std::chrono::milliseconds(14);
     std::unordered_map<base::upstream_id, upstream> upstreams;
-    std::unordered_map<base::class_id, service_state> services;
+    std::unordered_map<base::upstream_class_id, service_state> services;
     std::unordered_map<base::slot_id, peer_load> told;
     base::instant silence_checked_at;
 };
--- a/src/greengagedrum/traffic/upstream_speeds.cpp
+++ b/src/greengagedrum/traffic/upstream_speeds.cpp
@@ -171,7 +171,7 @@
             : all.token_time + service_weight * (seen - all.token_time);
 }
 
-double upstream_pool::usual_first_event(base::class_id service,
+double upstream_pool::usual_first_event(base::upstream_class_id service,
                                         std::uint32_t prompt_tokens) const
 {
     const auto found = this->services.find(service);
--- a/src/programs/bench_core/workload.hpp
+++ b/src/programs/bench_core/workload.hpp
@@ -25,7 +25,7 @@
         entry.name = "engine-" + std::to_string(number);
         entry.id = base::upstream_id(entry.name);
         entry.data_centre = base::data_centre_id("zona-4");
-        entry.upstream_class = base::class_id("photo");
+        entry.upstream_class = base::upstream_class_id("photo");
         entry.generation = "g" + std::to_string(number % 3);
         entry.models = {"compliance"};
         entry.max_in_flight = places;
@@ -56,7 +56,7 @@
     base::work out;
     out.workspace = base::workspace_id(1 + random % 50);
     out.kind = base::kind_id(1 + random % 7);
-    out.upstream_class = base::class_id("photo");
+    out.upstream_class = base::upstream_class_id("photo");
     out.model = base::model_id("compliance");
     out.tier = base::all_tiers[random % base::tier_count];
     out.repetition = base::repetition::idempotent;
--- a/src/programs/bench_state/sections.hpp
+++ b/src/programs/bench_state/sections.hpp
@@ -245,8 +245,9 @@
                              4,
                              4000,
                              false});
-                    digest.demands.push_back(
-                        {base::class_id("photo"), {1, 2, 3, 4}, {4, 3, 2, 1}});
+                    digest.demands.push_back({base::upstream_class_id("photo"),
+                                              {1, 2, 3, 4},
+                                              {4, 3, 2, 1}});
                     tested.heard(peer, base::incarnation{1}, digest, now);
                     ++number;
                 }
@@ -258,7 +259,7 @@
             std::uint64_t sum = 0;
             for (int at = 0; at < asks; ++at)
                 sum += tested.of_upstream(base::upstream_id("engine-7"),
-                                          base::class_id("photo"),
+                                          base::upstream_class_id("photo"),
                                           8,
                                           8 * upstreams,
                                           now);
@@ -318,8 +319,9 @@
                 told.life = base::incarnation{1};
                 told.digest.sequence = static_cast<std::uint64_t>(at) + 1;
                 told.digest.complete = true;
-                told.digest.demands.push_back(
-                    {base::class_id("photo"), {1, 2, 3, 4}, {4, 3, 2, 1}});
+                told.digest.demands.push_back({base::upstream_class_id("photo"),
+                                               {1, 2, 3, 4},
+                                               {4, 3, 2, 1}});
                 core.step(told, now, actions);
                 actions.clear();
             }
--- a/src/programs/ggd_bench_traffic.cpp
+++ b/src/programs/ggd_bench_traffic.cpp
@@ -36,7 +36,7 @@
             routing::published_upstream entry;
             entry.name = "i-" + std::to_string(number);
             entry.id = base::upstream_id(entry.name);
-            entry.service = base::class_id("models");
+            entry.service = base::upstream_class_id("models");
             entry.data_centre = "dc-" + std::to_string(number % data_centres);
             entry.slots = slots;
             this->tested.upstream_joined(entry, this->now);
@@ -61,7 +61,7 @@
         this->now += std::chrono::milliseconds(1);
         const base::request_id id{number};
         traffic::request_facts facts;
-        facts.service = base::class_id("models");
+        facts.service = base::upstream_class_id("models");
         facts.stream = true;
         facts.prompt_tokens = 3000;
         facts.output_tokens = 100;
