--- a/src/greengagedrum/admission/controller.cpp
+++ b/src/greengagedrum/admission/controller.cpp
@@ -7,11 +7,12 @@
 namespace greengagedrum::admission
 {
 
-std::optional<base::request_id> controller::enqueue(base::request_id request,
-                                                    const base::work& item,
-                                                    base::duration expected,
-                                                    bool returning,
-                                                    base::instant now)
+std::optional<base::request_id>
+controller::enqueue(base::request_id request,
+                    const base::request_spec& item,
+                    base::duration expected,
+                    bool returning,
+                    base::instant now)
 {
     entry fresh;
     fresh.work = item;
@@ -40,13 +41,14 @@
     own.expected += item.expected;
 }
 
-controller::line& controller::line_of(const base::work& item)
+controller::line& controller::line_of(const base::request_spec& item)
 {
     return this
         ->classes[item.upstream_class][item.model][base::index_of(item.tier)];
 }
 
-const controller::lines* controller::lane_of(const base::work& item) const
+const controller::lines*
+controller::lane_of(const base::request_spec& item) const
 {
     const auto lanes = this->classes.find(item.upstream_class);
     if (lanes == this->classes.end())
@@ -195,7 +197,7 @@
 {
     const base::request_id first = own.order.begin()->request;
     // `place` may put other requests in line, so nothing is held across it.
-    const base::work item = this->entries.at(first).work;
+    const base::request_spec item = this->entries.at(first).work;
     if (!place(first, item, how))
         return false;
     this->remove(first);
@@ -222,7 +224,7 @@
 
 // ---- What waits -----------------------------------------------------------
 
-base::duration controller::ahead_of(const base::work& item) const
+base::duration controller::ahead_of(const base::request_spec& item) const
 {
     base::duration out{0};
     const lines* lane = this->lane_of(item);
@@ -233,7 +235,7 @@
     return out;
 }
 
-bool controller::lower_waits(const base::work& item) const
+bool controller::lower_waits(const base::request_spec& item) const
 {
     const lines* lane = this->lane_of(item);
     if (lane == nullptr)
@@ -251,7 +253,7 @@
     return found != this->entries.end() && found->second.held;
 }
 
-base::duration controller::held_for(const base::work& item,
+base::duration controller::held_for(const base::request_spec& item,
                                     base::duration expected,
                                     base::instant now) const
 {
--- a/src/greengagedrum/admission/controller.hpp
+++ b/src/greengagedrum/admission/controller.hpp
@@ -15,8 +15,8 @@
 
 #include <greengagedrum/admission/limiter.hpp>
 #include <greengagedrum/base/ids.hpp>
+#include <greengagedrum/base/request_spec.hpp>
 #include <greengagedrum/base/verdict.hpp>
-#include <greengagedrum/base/work.hpp>
 
 #include <array>
 #include <cstddef>
@@ -68,7 +68,8 @@
 enum class grant : std::uint8_t { ordinary, floor };
 
 // Takes one waiting request to an upstream; false when there is no room.
-using placer = std::function<bool(base::request_id, const base::work&, grant)>;
+using placer =
+    std::function<bool(base::request_id, const base::request_spec&, grant)>;
 
 class controller
 {
@@ -87,7 +88,7 @@
     // returns never gives up its place: it would end `may_have_run`, and
     // there are no more of them than were in flight.
     std::optional<base::request_id> enqueue(base::request_id request,
-                                            const base::work& item,
+                                            const base::request_spec& item,
                                             base::duration expected,
                                             bool returning,
                                             base::instant now);
@@ -106,16 +107,16 @@
     std::optional<base::instant> next_wake() const { return this->wake; }
 
     // How long all that goes before this work would run, one after another.
-    base::duration ahead_of(const base::work& item) const;
+    base::duration ahead_of(const base::request_spec& item) const;
 
     // True when work of a lower tier waits in the same lane.
-    bool lower_waits(const base::work& item) const;
+    bool lower_waits(const base::request_spec& item) const;
 
     // True when a limit of its workspace holds the request back.
     bool held(base::request_id request) const;
 
     // Until its limit may let it through, by what is held before it.
-    base::duration held_for(const base::work& item,
+    base::duration held_for(const base::request_spec& item,
                             base::duration expected,
                             base::instant now) const;
 
@@ -141,15 +142,15 @@
     using lines = std::array<line, base::tier_count>;
     using lanes = std::map<base::model_id, lines>;
     struct entry {
-        base::work work;
+        base::request_spec work;
         base::duration expected{0};
         position place;
         bool held = false;
         bool returning = false;
     };
 
-    line& line_of(const base::work& item);
-    const lines* lane_of(const base::work& item) const;
+    line& line_of(const base::request_spec& item);
+    const lines* lane_of(const base::request_spec& item) const;
     void join(const entry& item, base::instant now);
     void release_held(base::instant now);
     void offer_floor(lanes& own, base::instant now, const placer& place);
--- a/src/greengagedrum/admission/invariant.cpp
+++ b/src/greengagedrum/admission/invariant.cpp
@@ -20,7 +20,7 @@
 }
 
 std::optional<base::request_id>
-broken_by(const base::work& shed,
+broken_by(const base::request_spec& shed,
           const running_set& running,
           std::span<const placement::room> rooms,
           std::uint32_t hard_factor)
--- a/src/greengagedrum/admission/invariant.hpp
+++ b/src/greengagedrum/admission/invariant.hpp
@@ -32,7 +32,7 @@
 // The lower work that should have given way, if the promise is broken. `rooms`
 // are the upstreams that take the shed request's work.
 std::optional<base::request_id>
-broken_by(const base::work& shed,
+broken_by(const base::request_spec& shed,
           const running_set& running,
           std::span<const placement::room> rooms,
           std::uint32_t hard_factor);
--- a/src/greengagedrum/admission/limiter.cpp
+++ b/src/greengagedrum/admission/limiter.cpp
@@ -39,7 +39,7 @@
 // A request larger than the whole bucket must get through too, so one goes
 // whenever something is left and the kind then owes the rest.
 bool limiter::take(base::request_id request,
-                   const base::work& item,
+                   const base::request_spec& item,
                    base::instant now)
 {
     if (this->taken.contains(request))
--- a/src/greengagedrum/admission/limiter.hpp
+++ b/src/greengagedrum/admission/limiter.hpp
@@ -7,7 +7,7 @@
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
-#include <greengagedrum/base/work.hpp>
+#include <greengagedrum/base/request_spec.hpp>
 
 #include <compare>
 #include <cstdint>
@@ -24,7 +24,7 @@
     auto operator<=>(const limit_key&) const = default;
 };
 
-inline limit_key limit_key_of(const base::work& item)
+inline limit_key limit_key_of(const base::request_spec& item)
 {
     return limit_key{item.workspace, item.kind};
 }
@@ -43,8 +43,9 @@
 
     // True when it may go on; it then counts until `release`. True for good
     // for one that was let through before.
-    bool
-    take(base::request_id request, const base::work& item, base::instant now);
+    bool take(base::request_id request,
+              const base::request_spec& item,
+              base::instant now);
 
     void release(base::request_id request);
 
--- a/src/greengagedrum/admission/run_estimator.cpp
+++ b/src/greengagedrum/admission/run_estimator.cpp
@@ -44,14 +44,14 @@
     return found == this->classes.end() ? this->unknown : found->second;
 }
 
-double run_estimator::nominal(const speed& own, const base::work& item)
+double run_estimator::nominal(const speed& own, const base::request_spec& item)
 {
     return std::max(nominal_least,
                     item.prompt_tokens / own.prefill +
                         item.output_tokens / own.decode);
 }
 
-base::duration run_estimator::expected(const base::work& item) const
+base::duration run_estimator::expected(const base::request_spec& item) const
 {
     const speed& own = this->of(item.upstream_class);
     const double seconds = own.factor * nominal(own, item);
@@ -59,14 +59,15 @@
         seconds * base::microseconds_per_second));
 }
 
-base::duration run_estimator::prefill(const base::work& item) const
+base::duration run_estimator::prefill(const base::request_spec& item) const
 {
-    base::work prompt = item;
+    base::request_spec prompt = item;
     prompt.output_tokens = 0;
     return this->expected(prompt);
 }
 
-void run_estimator::observe(const base::work& item, base::duration actual)
+void run_estimator::observe(const base::request_spec& item,
+                            base::duration actual)
 {
     const auto found = this->classes.find(item.upstream_class);
     if (found == this->classes.end())
--- a/src/greengagedrum/admission/run_estimator.hpp
+++ b/src/greengagedrum/admission/run_estimator.hpp
@@ -6,7 +6,7 @@
 // engines; placement has its own estimate of each.
 #pragma once
 
-#include <greengagedrum/base/work.hpp>
+#include <greengagedrum/base/request_spec.hpp>
 #include <greengagedrum/config/fleet.hpp>
 
 #include <map>
@@ -20,13 +20,13 @@
     // Keeps the factors learnt of classes that stay.
     void set_fleet(const config::fleet& fleet);
 
-    base::duration expected(const base::work& item) const;
+    base::duration expected(const base::request_spec& item) const;
 
     // Of its prompt alone.
-    base::duration prefill(const base::work& item) const;
+    base::duration prefill(const base::request_spec& item) const;
 
     // A request took `actual` from its dispatch to its whole answer.
-    void observe(const base::work& item, base::duration actual);
+    void observe(const base::request_spec& item, base::duration actual);
 
 private:
     struct speed {
@@ -35,7 +35,7 @@
         double factor = 0.25;    // actual over nominal
     };
 
-    static double nominal(const speed& own, const base::work& item);
+    static double nominal(const speed& own, const base::request_spec& item);
     const speed& of(base::upstream_class_id upstream_class) const;
 
     std::map<base::upstream_class_id, speed> classes;
--- a/src/greengagedrum/admission/running_set.hpp
+++ b/src/greengagedrum/admission/running_set.hpp
@@ -6,7 +6,7 @@
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
-#include <greengagedrum/base/work.hpp>
+#include <greengagedrum/base/request_spec.hpp>
 
 #include <array>
 #include <cstdint>
@@ -20,7 +20,7 @@
 
 struct running {
     base::request_id request;
-    base::work work;
+    base::request_spec work;
     base::upstream_id upstream;
     base::instant since; // of its dispatch
 };
--- a/src/greengagedrum/admission/test/controller_test.cpp
+++ b/src/greengagedrum/admission/test/controller_test.cpp
@@ -21,7 +21,7 @@
             const char* model = "compliance",
             base::duration deadline = std::chrono::seconds(60))
     {
-        base::work item;
+        base::request_spec item;
         item.upstream_class = base::upstream_class_id("photo");
         item.model = base::model_id(model);
         item.workspace = base::workspace_id("mall");
@@ -41,19 +41,20 @@
     std::vector<std::uint64_t> offer(const Takes& takes)
     {
         std::vector<std::uint64_t> out;
-        this->line.offer(
-            this->now,
-            [&](base::request_id id, const base::work& item, grant how) {
-                if (!takes(item, how))
-                    return false;
-                out.push_back(id.value);
-                return true;
-            });
+        this->line.offer(this->now,
+                         [&](base::request_id id,
+                             const base::request_spec& item,
+                             grant how) {
+                             if (!takes(item, how))
+                                 return false;
+                             out.push_back(id.value);
+                             return true;
+                         });
         return out;
     }
 };
 
-bool ordinary_only(const base::work& item, grant how)
+bool ordinary_only(const base::request_spec& item, grant how)
 {
     static_cast<void>(item);
     return how == grant::ordinary;
@@ -67,7 +68,8 @@
 {
     this->enqueue(base::tier::urgent, "compliance");
     this->enqueue(base::tier::bulk, "crop");
-    const auto given = this->offer([](const base::work& item, grant how) {
+    const auto given = this->offer([](const base::request_spec& item,
+                                      grant how) {
         return how == grant::ordinary && item.model == base::model_id("crop");
     });
     CHECK(given == std::vector<std::uint64_t>{2});
@@ -99,7 +101,7 @@
 TEST_CASE_FIXTURE(controller_fixture, "bulk_stalled_floor_offered")
 {
     this->enqueue(base::tier::bulk);
-    const auto floor_of_bulk = [](const base::work& item, grant how) {
+    const auto floor_of_bulk = [](const base::request_spec& item, grant how) {
         return how == grant::floor && item.tier == base::tier::bulk;
     };
     CHECK(this->offer(floor_of_bulk).empty());
--- a/src/greengagedrum/base/work.hpp
+++ b/src/greengagedrum/base/request_spec.hpp
@@ -12,7 +12,7 @@
 namespace greengagedrum::base
 {
 
-struct work {
+struct request_spec {
     workspace_id workspace;
     kind_id kind;
     upstream_class_id upstream_class;
@@ -29,7 +29,7 @@
 };
 
 // Cost in tokens that counts against an engine's bound while in flight.
-inline std::uint64_t tokens_of(const work& item)
+inline std::uint64_t tokens_of(const request_spec& item)
 {
     return std::uint64_t{item.prompt_tokens} + item.output_tokens;
 }
--- a/src/greengagedrum/delivery/messages.hpp
+++ b/src/greengagedrum/delivery/messages.hpp
@@ -6,8 +6,8 @@
 
 #include <greengagedrum/base/answer.hpp>
 #include <greengagedrum/base/ids.hpp>
+#include <greengagedrum/base/request_spec.hpp>
 #include <greengagedrum/base/verdict.hpp>
-#include <greengagedrum/base/work.hpp>
 #include <greengagedrum/capacity/messages.hpp>
 #include <greengagedrum/config/snapshot.hpp>
 #include <greengagedrum/idempotency/messages.hpp>
@@ -27,7 +27,8 @@
 // A caller's request passed its edge's checks.
 struct request_arrived {
     base::request_id request;
-    base::work work; // `arrived` and `deadline` are filled in by the core
+    base::request_spec
+        work; // `arrived` and `deadline` are filled in by the core
     base::duration deadline_after{0};
     std::uint64_t body_digest = 0;
     std::optional<idempotency::claim_subject> subject; // ticket or key, if any
--- a/src/greengagedrum/delivery/preemption.cpp
+++ b/src/greengagedrum/delivery/preemption.cpp
@@ -41,7 +41,7 @@
 // long work has to end some day.
 bool scheduler::may_be_preempted(const request& item) const
 {
-    const base::work& work = item.work;
+    const base::request_spec& work = item.work;
     return work.preemptible &&
            work.repetition == base::repetition::idempotent &&
            item.caller_present && is_running(item.phase) &&
--- a/src/greengagedrum/delivery/request.hpp
+++ b/src/greengagedrum/delivery/request.hpp
@@ -2,8 +2,8 @@
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
+#include <greengagedrum/base/request_spec.hpp>
 #include <greengagedrum/base/verdict.hpp>
-#include <greengagedrum/base/work.hpp>
 #include <greengagedrum/delivery/phase.hpp>
 #include <greengagedrum/idempotency/messages.hpp>
 
@@ -16,7 +16,7 @@
 
 struct request {
     base::request_id id;
-    base::work work;
+    base::request_spec work;
     delivery::phase phase = delivery::phase::queued;
     bool may_have_run = false; // some dispatch was not proved unwritten
     bool caller_present = true;
--- a/src/greengagedrum/delivery/scheduler.hpp
+++ b/src/greengagedrum/delivery/scheduler.hpp
@@ -92,7 +92,7 @@
     // What the promise about tiers is checked against, see
     // admission/invariant.hpp.
     const admission::running_set& running() const { return this->run_set; }
-    std::vector<placement::room> rooms(const base::work& item) const
+    std::vector<placement::room> rooms(const base::request_spec& item) const
     {
         return this->planner.rooms(item);
     }
@@ -162,23 +162,25 @@
 
     // delivery/waiting.cpp: the line, and who gives way in it.
     using rooms_view = std::span<const placement::room>;
-    bool place(base::request_id id, const base::work& item, admission::grant);
+    bool place(base::request_id id,
+               const base::request_spec& item,
+               admission::grant);
     bool place_free(request& item);
     bool place_by_floor(request& item);
     bool make_room(request& item);
-    void mark_distress(const base::work& item);
+    void mark_distress(const base::request_spec& item);
     bool overdraw(request& item, rooms_view rooms, double share);
     bool force(request& item);
-    bool lower_runs(const base::work& item, rooms_view rooms) const;
-    bool lower_runs_at_peers(const base::work& item) const;
+    bool lower_runs(const base::request_spec& item, rooms_view rooms) const;
+    bool lower_runs_at_peers(const base::request_spec& item) const;
     std::uint32_t floor_places(rooms_view rooms) const;
     void time_in_line_over(request& item);
     void give_up(const request& item, base::reason why);
     void settle_given_up();
     void shed(request& item, base::reason why);
     bool can_be_met(const request& item, base::duration expected);
-    base::duration wait_for(const base::work& item) const;
-    base::duration hint_for(const base::work& item) const;
+    base::duration wait_for(const base::request_spec& item) const;
+    base::duration hint_for(const base::request_spec& item) const;
 
     // delivery/preemption.cpp
     bool preempt_for(request& item, rooms_view rooms);
--- a/src/greengagedrum/delivery/test/random_run.hpp
+++ b/src/greengagedrum/delivery/test/random_run.hpp
@@ -94,7 +94,7 @@
     {
         request_arrived what;
         what.request = base::request_id{++this->last_request};
-        base::work& work = what.work;
+        base::request_spec& work = what.work;
         work.workspace =
             base::workspace_id(this->chance(0.2) ? "mall" : "yard");
         work.kind = base::kind_id(this->chance(0.5) ? "caption" : "review");
@@ -292,7 +292,7 @@
 
     void check_ends()
     {
-        for (const base::work& work : this->shed) {
+        for (const base::request_spec& work : this->shed) {
             this->sheds += 1;
             const auto broken =
                 admission::broken_by(work,
@@ -339,7 +339,7 @@
     }
 
     struct known {
-        base::work work;
+        base::request_spec work;
         int dispatches = 0;
         base::dispatch_id last;
         bool gone = false;
@@ -367,8 +367,8 @@
     std::map<base::dispatch_id, stream> streams;
     std::set<base::dispatch_id> refused;
     std::set<std::uint64_t> tickets;
-    std::set<base::request_id> ended; // in this step
-    std::vector<base::work> shed;     // in this step
+    std::set<base::request_id> ended;     // in this step
+    std::vector<base::request_spec> shed; // in this step
 };
 
 } // namespace greengagedrum::delivery
--- a/src/greengagedrum/delivery/test/tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/tiers_test.cpp
@@ -18,10 +18,10 @@
     {
     }
 
-    static base::work
+    static base::request_spec
     work_of(tier level, repetition repeat, bool preemptible = false)
     {
-        base::work out;
+        base::request_spec out;
         out.workspace = base::workspace_id("mall");
         out.kind = base::kind_id("review");
         out.upstream_class = base::upstream_class_id("photo");
@@ -34,7 +34,7 @@
         return out;
     }
 
-    base::request_id ask(const base::work& work,
+    base::request_id ask(const base::request_spec& work,
                          base::duration deadline = std::chrono::seconds(60))
     {
         request_arrived what;
@@ -46,7 +46,7 @@
     }
 
     // `count` requests, asked one by one.
-    void fill(std::size_t count, const base::work& work)
+    void fill(std::size_t count, const base::request_spec& work)
     {
         for (std::size_t i = 0; i < count; ++i)
             this->ask(work);
@@ -65,11 +65,11 @@
     }
 };
 
-const base::work bulk_dossier =
+const base::request_spec bulk_dossier =
     tiers_fixture::work_of(tier::bulk, repetition::at_most_once);
-const base::work bulk_caption =
+const base::request_spec bulk_caption =
     tiers_fixture::work_of(tier::bulk, repetition::idempotent, true);
-const base::work ping =
+const base::request_spec ping =
     tiers_fixture::work_of(tier::urgent, repetition::idempotent);
 
 struct narrow_fixture : tiers_fixture {
@@ -143,7 +143,7 @@
 // for good, so the ping waits in line and takes the next place.
 TEST_CASE_FIXTURE(tiers_fixture, "only_at_most_once_runs_nothing_cancelled")
 {
-    base::work dossier = bulk_dossier;
+    base::request_spec dossier = bulk_dossier;
     dossier.preemptible = true; // an operator's mistake
     this->fill(4, dossier);
     this->fill(2, ping);
@@ -251,7 +251,7 @@
     this->fill(2, bulk_dossier);
     const auto third = this->ask(bulk_dossier, std::chrono::seconds(10));
     CHECK_FALSE(this->runs(third));
-    base::work other = bulk_dossier;
+    base::request_spec other = bulk_dossier;
     other.workspace = base::workspace_id("counter");
     CHECK(this->runs(this->ask(other)));
     // The two that run make progress; only the third's time passes.
--- a/src/greengagedrum/delivery/waiting.cpp
+++ b/src/greengagedrum/delivery/waiting.cpp
@@ -47,7 +47,7 @@
     this->admission.offer(
         this->now,
         [this](base::request_id id,
-               const base::work& item,
+               const base::request_spec& item,
                admission::grant how) { return this->place(id, item, how); });
 }
 
@@ -82,7 +82,7 @@
 // ---- Placing --------------------------------------------------------------
 
 bool scheduler::place(base::request_id id,
-                      const base::work& work,
+                      const base::request_spec& work,
                       admission::grant how)
 {
     request& item = this->requests.at(id);
@@ -189,7 +189,8 @@
     return true;
 }
 
-bool scheduler::lower_runs(const base::work& item, rooms_view rooms) const
+bool scheduler::lower_runs(const base::request_spec& item,
+                           rooms_view rooms) const
 {
     const std::uint32_t factor = this->options.admission.hard_factor;
     return std::any_of(
@@ -203,7 +204,7 @@
 // hold the engine, for no request here could give way. A peer's word is a few
 // heartbeats old at most (shares::fresh_view) and names the class only, so
 // this never cancels anything: it lets a request in up to the hard bound.
-bool scheduler::lower_runs_at_peers(const base::work& item) const
+bool scheduler::lower_runs_at_peers(const base::request_spec& item) const
 {
     return this->shares.lower_runs_at_peers(
         item.upstream_class, item.tier, this->now);
@@ -292,7 +293,7 @@
     }
 }
 
-void scheduler::mark_distress(const base::work& item)
+void scheduler::mark_distress(const base::request_spec& item)
 {
     for (const placement::room& room : this->planner.rooms(item))
         this->distress.mark(room.upstream, item.tier, this->now);
@@ -310,7 +311,7 @@
 
 // How long the line ahead takes to drain, by this instance's places but those
 // that lower work holds.
-base::duration scheduler::wait_for(const base::work& item) const
+base::duration scheduler::wait_for(const base::request_spec& item) const
 {
     // Nobody ahead is the usual case; counting what runs on every upstream
     // would cost more than all the rest of an arrival.
@@ -347,7 +348,7 @@
 
 // When the line will have become so short that the same request would meet
 // its deadline.
-base::duration scheduler::hint_for(const base::work& item) const
+base::duration scheduler::hint_for(const base::request_spec& item) const
 {
     const base::duration wait = this->wait_for(item);
     const base::duration needed = wait + this->estimator.expected(item);
--- a/src/greengagedrum/placement/output_estimate.cpp
+++ b/src/greengagedrum/placement/output_estimate.cpp
@@ -12,14 +12,15 @@
 constexpr std::size_t known_max = 16'384; // pairs of workspace and kind
 constexpr double count_max = 16;          // answers that an average remembers
 
-std::uint64_t key_of(const base::work& item)
+std::uint64_t key_of(const base::request_spec& item)
 {
     return mix(item.workspace.value, item.kind.value);
 }
 
 } // namespace
 
-void output_estimate::learn(const base::work& item, std::uint32_t tokens)
+void output_estimate::learn(const base::request_spec& item,
+                            std::uint32_t tokens)
 {
     const std::uint64_t key = key_of(item);
     if (this->known.size() >= known_max && !this->known.contains(key))
@@ -29,7 +30,7 @@
     own.tokens += (tokens - own.tokens) / own.count;
 }
 
-double output_estimate::expected(const base::work& item) const
+double output_estimate::expected(const base::request_spec& item) const
 {
     const double most = item.output_tokens;
     const auto found = this->known.find(key_of(item));
--- a/src/greengagedrum/placement/output_estimate.hpp
+++ b/src/greengagedrum/placement/output_estimate.hpp
@@ -4,7 +4,7 @@
 // anything: only estimates of time use it.
 #pragma once
 
-#include <greengagedrum/base/work.hpp>
+#include <greengagedrum/base/request_spec.hpp>
 
 #include <cstdint>
 #include <unordered_map>
@@ -15,11 +15,11 @@
 class output_estimate
 {
 public:
-    void learn(const base::work& item, std::uint32_t tokens);
+    void learn(const base::request_spec& item, std::uint32_t tokens);
 
     // Never above what the request may generate; half of it while nothing is
     // known.
-    double expected(const base::work& item) const;
+    double expected(const base::request_spec& item) const;
 
 private:
     struct average {
--- a/src/greengagedrum/placement/planner.cpp
+++ b/src/greengagedrum/placement/planner.cpp
@@ -106,7 +106,8 @@
                                         : &this->upstreams[found->second];
 }
 
-const planner::candidates& planner::candidates_of(const base::work& item) const
+const planner::candidates&
+planner::candidates_of(const base::request_spec& item) const
 {
     const candidate_key key(item.upstream_class, item.model);
     const auto found = this->served.find(key);
@@ -124,7 +125,7 @@
     return this->served.emplace(key, std::move(fresh)).first->second;
 }
 
-bool planner::servable(const base::work& item) const
+bool planner::servable(const base::request_spec& item) const
 {
     return !this->candidates_of(item).empty();
 }
@@ -216,7 +217,7 @@
 
 // ---- Choice ---------------------------------------------------------------
 
-std::optional<choice> planner::choose(const base::work& item,
+std::optional<choice> planner::choose(const base::request_spec& item,
                                       std::span<const base::upstream_id> avoid,
                                       base::instant now)
 {
@@ -254,7 +255,7 @@
 
 void planner::sent(base::dispatch_id dispatch,
                    base::upstream_id upstream,
-                   const base::work& item,
+                   const base::request_spec& item,
                    base::instant now)
 {
     sending fresh;
--- a/src/greengagedrum/placement/planner.hpp
+++ b/src/greengagedrum/placement/planner.hpp
@@ -7,7 +7,7 @@
 // estimates are upstream_state's, the choice is the policy's.
 #pragma once
 
-#include <greengagedrum/base/work.hpp>
+#include <greengagedrum/base/request_spec.hpp>
 #include <greengagedrum/capacity/messages.hpp>
 #include <greengagedrum/config/fleet.hpp>
 #include <greengagedrum/membership/messages.hpp>
@@ -71,17 +71,17 @@
 
     // None when no candidate has room; `avoid` is tried only when nothing
     // else is left.
-    std::optional<choice> choose(const base::work& item,
+    std::optional<choice> choose(const base::request_spec& item,
                                  std::span<const base::upstream_id> avoid,
                                  base::instant now);
 
     // True when some listed upstream of this instance's data centre could
     // serve it, with or without room.
-    bool servable(const base::work& item) const;
+    bool servable(const base::request_spec& item) const;
 
     void sent(base::dispatch_id dispatch,
               base::upstream_id upstream,
-              const base::work& item,
+              const base::request_spec& item,
               base::instant now);
     void progressed(base::dispatch_id dispatch,
                     std::uint32_t tokens,
@@ -106,7 +106,7 @@
 
     // Every upstream that `takes` the work, with or without room, in the
     // order of the fleet document.
-    std::vector<room> rooms(const base::work& item) const;
+    std::vector<room> rooms(const base::request_spec& item) const;
 
     // All of the own data centre that the fleet names, in its order.
     std::vector<upstream_view> views(base::instant now) const;
@@ -119,7 +119,7 @@
     using candidate_key = std::pair<base::upstream_class_id, base::model_id>;
 
     upstream_state* state_of(base::upstream_id upstream);
-    const candidates& candidates_of(const base::work& item) const;
+    const candidates& candidates_of(const base::request_spec& item) const;
     void compare_generations();
     void forget_silent_peers(base::instant now);
 
--- a/src/greengagedrum/placement/policies.hpp
+++ b/src/greengagedrum/placement/policies.hpp
@@ -5,7 +5,7 @@
 // variant.
 #pragma once
 
-#include <greengagedrum/base/work.hpp>
+#include <greengagedrum/base/request_spec.hpp>
 #include <greengagedrum/placement/affinity.hpp>
 #include <greengagedrum/placement/options.hpp>
 #include <greengagedrum/placement/upstream_state.hpp>
@@ -20,7 +20,7 @@
 
 // What a policy is asked.
 struct question {
-    const base::work& item;
+    const base::request_spec& item;
     std::span<const std::uint32_t> candidates; // indexes into `upstreams`
     std::span<const upstream_state> upstreams;
     std::span<const base::upstream_id> avoid;  // only when nothing else is left
--- a/src/greengagedrum/placement/rooms.cpp
+++ b/src/greengagedrum/placement/rooms.cpp
@@ -3,7 +3,7 @@
 namespace greengagedrum::placement
 {
 
-std::vector<room> planner::rooms(const base::work& item) const
+std::vector<room> planner::rooms(const base::request_spec& item) const
 {
     std::vector<room> out;
     for (const std::uint32_t index : this->candidates_of(item)) {
--- a/src/greengagedrum/placement/sending.hpp
+++ b/src/greengagedrum/placement/sending.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
-#include <greengagedrum/base/work.hpp>
+#include <greengagedrum/base/request_spec.hpp>
 
 #include <cstdint>
 
@@ -11,7 +11,7 @@
 
 struct sending {
     base::upstream_id upstream;
-    base::work item;
+    base::request_spec item;
     base::instant since;
     double ahead = 0;               // prompt tokens before it there, when sent
     double first_token_time = 0;    // seconds, estimated when sent
--- a/src/greengagedrum/placement/straggler_watch.cpp
+++ b/src/greengagedrum/placement/straggler_watch.cpp
@@ -72,7 +72,8 @@
 
 // A refused connect leaves the request not run, so there any kind will do;
 // else a probe may have to be run again elsewhere.
-bool straggler_watch::may_probe(const base::work& item, base::instant now) const
+bool straggler_watch::may_probe(const base::request_spec& item,
+                                base::instant now) const
 {
     const bool harmless = this->cause == suspicion::refused ||
                           item.repetition == base::repetition::idempotent;
--- a/src/greengagedrum/placement/straggler_watch.hpp
+++ b/src/greengagedrum/placement/straggler_watch.hpp
@@ -6,8 +6,8 @@
 // prompts and large batches are all judged alike.
 #pragma once
 
+#include <greengagedrum/base/request_spec.hpp>
 #include <greengagedrum/base/time.hpp>
-#include <greengagedrum/base/work.hpp>
 
 #include <cstdint>
 
@@ -34,7 +34,7 @@
     }
 
     // May this request be the probe that is due?
-    bool may_probe(const base::work& item, base::instant now) const;
+    bool may_probe(const base::request_spec& item, base::instant now) const;
 
     suspicion why() const { return this->cause; }
 
--- a/src/greengagedrum/placement/test/choice_test.cpp
+++ b/src/greengagedrum/placement/test/choice_test.cpp
@@ -173,7 +173,7 @@
 TEST_CASE_FIXTURE(fleet_fixture, "hot_prefix_kept_together_then_spreads")
 {
     this->engines(10);
-    const base::work photo = work(2000, 20, 0xabcdef);
+    const base::request_spec photo = work(2000, 20, 0xabcdef);
     std::set<base::upstream_id> homes;
     for (int number = 0; number < 10; ++number) {
         const auto to = this->tested.choose(photo, {}, this->now)->upstream;
@@ -250,7 +250,7 @@
     other.models = {base::model_id("gallery")};
     this->tested.reported(other, this->now);
     CHECK_FALSE(this->spread(20, work()).contains(name(0)));
-    base::work gallery = work();
+    base::request_spec gallery = work();
     gallery.model = base::model_id("gallery");
     CHECK(this->tested.servable(gallery));
     this->tested.set_listed(listing({"photo-1"}));
--- a/src/greengagedrum/placement/test/fleet_fixture.hpp
+++ b/src/greengagedrum/placement/test/fleet_fixture.hpp
@@ -75,11 +75,11 @@
         return out;
     }
 
-    static base::work work(std::uint32_t prompt = 100,
-                           std::uint32_t output = 100,
-                           std::uint64_t prefix = 0)
+    static base::request_spec work(std::uint32_t prompt = 100,
+                                   std::uint32_t output = 100,
+                                   std::uint64_t prefix = 0)
     {
-        base::work out;
+        base::request_spec out;
         out.workspace = base::workspace_id("atlas");
         out.kind = base::kind_id("review");
         out.upstream_class = base::upstream_class_id("photo");
@@ -91,7 +91,7 @@
         return out;
     }
 
-    base::dispatch_id send(base::upstream_id to, const base::work& item)
+    base::dispatch_id send(base::upstream_id to, const base::request_spec& item)
     {
         const base::dispatch_id id{{1}, ++this->last_dispatch};
         this->tested.sent(id, to, item, this->now);
@@ -99,7 +99,7 @@
     }
 
     // Chooses and sends; none when nothing has room.
-    std::optional<base::upstream_id> place(const base::work& item)
+    std::optional<base::upstream_id> place(const base::request_spec& item)
     {
         const auto chosen = this->tested.choose(item, {}, this->now);
         if (!chosen)
@@ -123,7 +123,7 @@
     // One whole request there at the document's speed, or slower.
     void serve(base::upstream_id at, int slower = 1, std::uint32_t tokens = 64)
     {
-        const base::work item = work(800, tokens);
+        const base::request_spec item = work(800, tokens);
         const auto id = this->send(at, item);
         this->now += std::chrono::milliseconds(100) * slower;
         this->tested.progressed(id, 1, this->now);
@@ -138,7 +138,8 @@
     }
 
     // How often each engine is chosen for `count` requests.
-    std::map<base::upstream_id, int> spread(int count, const base::work& item)
+    std::map<base::upstream_id, int> spread(int count,
+                                            const base::request_spec& item)
     {
         std::map<base::upstream_id, int> out;
         for (int number = 0; number < count; ++number) {
--- a/src/greengagedrum/placement/test/straggler_test.cpp
+++ b/src/greengagedrum/placement/test/straggler_test.cpp
@@ -132,7 +132,7 @@
 TEST_CASE_FIXTURE(fleet_fixture, "silent_engine_no_at_most_once_probe")
 {
     this->engines(2, 100);
-    base::work dossier = work();
+    base::request_spec dossier = work();
     dossier.repetition = base::repetition::at_most_once;
     this->tested.silent(name(0), this->now);
     for (int second = 0; second < 80; ++second) {
@@ -175,7 +175,7 @@
     this->engines(2);
     this->tested.silent(name(0), this->now);
     this->tested.silent(name(1), this->now);
-    base::work dossier = work();
+    base::request_spec dossier = work();
     dossier.repetition = base::repetition::at_most_once;
     CHECK(this->place(dossier));
 }
--- a/src/greengagedrum/placement/upstream_state.hpp
+++ b/src/greengagedrum/placement/upstream_state.hpp
@@ -6,7 +6,7 @@
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
-#include <greengagedrum/base/work.hpp>
+#include <greengagedrum/base/request_spec.hpp>
 #include <greengagedrum/config/fleet.hpp>
 #include <greengagedrum/placement/foreign_load.hpp>
 #include <greengagedrum/placement/messages.hpp>
--- a/src/greengagedrum/trace/part_fields.hpp
+++ b/src/greengagedrum/trace/part_fields.hpp
@@ -17,20 +17,20 @@
                named("sequence", &base::dispatch_id::sequence)};
 
 template <>
-inline constexpr auto fields_of<base::work> =
-    std::tuple{named("workspace", &base::work::workspace),
-               named("kind", &base::work::kind),
-               named("class", &base::work::upstream_class),
-               named("model", &base::work::model),
-               named("tier", &base::work::tier),
-               named("repetition", &base::work::repetition),
-               named("preemptible", &base::work::preemptible),
-               named("overflow", &base::work::overflow),
-               named("prompt_tokens", &base::work::prompt_tokens),
-               named("output_tokens", &base::work::output_tokens),
-               named("prefix_hash", &base::work::prefix_hash),
-               named("arrived_us", &base::work::arrived),
-               named("deadline_us", &base::work::deadline)};
+inline constexpr auto fields_of<base::request_spec> =
+    std::tuple{named("workspace", &base::request_spec::workspace),
+               named("kind", &base::request_spec::kind),
+               named("class", &base::request_spec::upstream_class),
+               named("model", &base::request_spec::model),
+               named("tier", &base::request_spec::tier),
+               named("repetition", &base::request_spec::repetition),
+               named("preemptible", &base::request_spec::preemptible),
+               named("overflow", &base::request_spec::overflow),
+               named("prompt_tokens", &base::request_spec::prompt_tokens),
+               named("output_tokens", &base::request_spec::output_tokens),
+               named("prefix_hash", &base::request_spec::prefix_hash),
+               named("arrived_us", &base::request_spec::arrived),
+               named("deadline_us", &base::request_spec::deadline)};
 
 template <>
 inline constexpr auto fields_of<base::verdict> =
--- a/src/programs/bench_core/workload.hpp
+++ b/src/programs/bench_core/workload.hpp
@@ -1,7 +1,7 @@
 // The fleet and the requests that the bench of the core measures with.
 #pragma once
 
-#include <greengagedrum/base/work.hpp>
+#include <greengagedrum/base/request_spec.hpp>
 #include <greengagedrum/config/fleet.hpp>
 #include <greengagedrum/membership/messages.hpp>
 #include <greengagedrum/placement/mix.hpp>
@@ -50,10 +50,10 @@
 }
 
 // Prompts of 16 to 16,000 tokens; a third of them share 500 prefixes.
-inline base::work make_work(std::uint64_t number)
+inline base::request_spec make_work(std::uint64_t number)
 {
     const std::uint64_t random = placement::mix(number);
-    base::work out;
+    base::request_spec out;
     out.workspace = base::workspace_id(1 + random % 50);
     out.kind = base::kind_id(1 + random % 7);
     out.upstream_class = base::upstream_class_id("photo");
--- a/src/programs/ggd_bench_core.cpp
+++ b/src/programs/ggd_bench_core.cpp
@@ -154,7 +154,7 @@
 
     void begin()
     {
-        const base::work item = make_work(++this->number);
+        const base::request_spec item = make_work(++this->number);
         const auto chosen = this->tested.choose(item, {}, this->now);
         this->now += between;
         if (!chosen)
