--- a/src/greengagedrum/base/request_spec.hpp
+++ b/src/greengagedrum/base/request_spec.hpp
@@ -20,7 +20,8 @@
     base::tier tier = base::tier::standard;
     base::repetition repetition = base::repetition::at_most_once;
     bool preemptible = false;
-    bool overflow = false;           // may be served by another data centre
+    bool allow_other_data_centres =
+        false;                       // may be served by another data centre
     std::uint32_t prompt_tokens = 0; // four bytes a token, rounded up
     std::uint32_t output_tokens = 0; // the most it may generate
     std::uint64_t prefix_hash = 0;   // xxHash64 of the prompt's first 1,024 B
--- a/src/greengagedrum/callers/caller_request.cpp
+++ b/src/greengagedrum/callers/caller_request.cpp
@@ -145,7 +145,7 @@
     work.tier = out.rules->tier;
     work.repetition = out.rules->repetition;
     work.preemptible = out.rules->preemptible;
-    work.overflow = out.rules->overflow;
+    work.allow_other_data_centres = out.rules->overflow;
 }
 
 } // namespace
--- a/src/greengagedrum/trace/part_fields.hpp
+++ b/src/greengagedrum/trace/part_fields.hpp
@@ -25,7 +25,7 @@
                named("tier", &base::request_spec::tier),
                named("repetition", &base::request_spec::repetition),
                named("preemptible", &base::request_spec::preemptible),
-               named("overflow", &base::request_spec::overflow),
+               named("overflow", &base::request_spec::allow_other_data_centres),
                named("prompt_tokens", &base::request_spec::prompt_tokens),
                named("output_tokens", &base::request_spec::output_tokens),
                named("prefix_hash", &base::request_spec::prefix_hash),
