--- a/src/greengagedrum/base/answer.hpp
+++ b/src/greengagedrum/base/answer.hpp
@@ -12,7 +12,7 @@
     std::string content_type;
     std::string body;         // whole text of a model, or a service's reply
     std::uint32_t tokens = 0; // zero for a plain service
-    bool of_model = true;     // false: a plain service's own reply
+    bool from_model = true;   // false: a plain service's own reply
 };
 
 using answer_ptr = std::shared_ptr<const answer>;
--- a/src/greengagedrum/callers/answer_writer.cpp
+++ b/src/greengagedrum/callers/answer_writer.cpp
@@ -72,7 +72,7 @@
 {
     response.status = 200;
     response.set_header("Verdict", "answered");
-    if (!answer.of_model) {
+    if (!answer.from_model) {
         response.set_content(answer.body,
                              answer.content_type.empty()
                                  ? json_type
--- a/src/greengagedrum/idempotency/attached_requester.cpp
+++ b/src/greengagedrum/idempotency/attached_requester.cpp
@@ -51,7 +51,7 @@
                          base::answer{.content_type = what.content_type,
                                       .body = what.body,
                                       .tokens = what.tokens,
-                                      .of_model = what.of_model})});
+                                      .from_model = what.of_model})});
         return this->erase(id);
     case answer_state::never_ran:
         return this->claim_later(id);
--- a/src/greengagedrum/idempotency/home_and_holder.cpp
+++ b/src/greengagedrum/idempotency/home_and_holder.cpp
@@ -171,7 +171,7 @@
     reply.content_type = record->whole->content_type;
     reply.body = record->whole->body;
     reply.tokens = record->whole->tokens;
-    reply.of_model = record->whole->of_model;
+    reply.of_model = record->whole->from_model;
 }
 
 // The end of a record, told to the requests of this entry that wait for it.
--- a/src/greengagedrum/trace/codec.cpp
+++ b/src/greengagedrum/trace/codec.cpp
@@ -114,7 +114,7 @@
     json out = body_digest(whole->body);
     out["content_type"] = whole->content_type;
     out["tokens"] = whole->tokens;
-    out["of_model"] = whole->of_model;
+    out["of_model"] = whole->from_model;
     return out;
 }
 
@@ -126,7 +126,7 @@
     out.body = made_up_body(from);
     out.content_type = from.value("content_type", "text/plain");
     read(from.value("tokens", json(1U)), out.tokens);
-    out.of_model = from.value("of_model", true);
+    out.from_model = from.value("of_model", true);
     into = std::make_shared<const base::answer>(std::move(out));
 }
 
