--- a/src/greengagedrum/admission/run_estimator.cpp
+++ b/src/greengagedrum/admission/run_estimator.cpp
@@ -15,7 +15,7 @@
 
 void run_estimator::set_fleet(const config::fleet& fleet)
 {
-    std::map<base::class_id, speed> kept;
+    std::map<base::upstream_class_id, speed> kept;
     for (const config::upstream_entry& entry : fleet.upstreams) {
         const auto known = this->classes.find(entry.upstream_class);
         const auto [place, fresh] =
@@ -38,42 +38,43 @@
 }
 
 const run_estimator::speed&
-run_estimator::of(base::class_id upstream_class) const
+run_estimator::of(base::upstream_class_id upstream_class) const
 {
     const auto found = this->classes.find(upstream_class);
     return found == this->classes.end() ? this->unknown : found->second;
 }
 
-double run_estimator::nominal(const speed& own, const base::work& item)
+double run_estimator::nominal(const speed& own, const base::request_spec& item)
 {
     return std::max(nominal_least,
                     item.prompt_tokens / own.prefill +
                         item.output_tokens / own.decode);
 }
 
-base::duration run_estimator::expected(const base::work& item) const
+base::duration run_estimator::expected(const base::request_spec& item) const
 {
     const speed& own = this->of(item.upstream_class);
     const double seconds = own.factor * nominal(own, item);
-    return base::duration(
-        static_cast<base::duration::rep>(seconds * base::ticks_per_second));
+    return base::duration(static_cast<base::duration::rep>(
+        seconds * base::microseconds_per_second));
 }
 
-base::duration run_estimator::prefill(const base::work& item) const
+base::duration run_estimator::prefill(const base::request_spec& item) const
 {
-    base::work prompt = item;
+    base::request_spec prompt = item;
     prompt.output_tokens = 0;
     return this->expected(prompt);
 }
 
-void run_estimator::observe(const base::work& item, base::duration actual)
+void run_estimator::observe(const base::request_spec& item,
+                            base::duration actual)
 {
     const auto found = this->classes.find(item.upstream_class);
     if (found == this->classes.end())
         return;
     speed& own = found->second;
     const double seconds =
-        static_cast<double>(actual.count()) / base::ticks_per_second;
+        static_cast<double>(actual.count()) / base::microseconds_per_second;
     const double ratio =
         std::clamp(seconds / nominal(own, item), factor_least, factor_most);
     own.factor += learning_rate * (ratio - own.factor);
--- a/src/greengagedrum/base/work.hpp
+++ b/src/greengagedrum/base/request_spec.hpp
@@ -12,15 +12,16 @@
 namespace greengagedrum::base
 {
 
-struct work {
+struct request_spec {
     workspace_id workspace;
     kind_id kind;
-    class_id upstream_class;
+    upstream_class_id upstream_class;
     model_id model; // empty for a plain service
     base::tier tier = base::tier::standard;
     base::repetition repetition = base::repetition::at_most_once;
     bool preemptible = false;
-    bool overflow = false;           // may be served by another data centre
+    bool allow_other_data_centres =
+        false;                       // may be served by another data centre
     std::uint32_t prompt_tokens = 0; // four bytes a token, rounded up
     std::uint32_t output_tokens = 0; // the most it may generate
     std::uint64_t prefix_hash = 0;   // xxHash64 of the prompt's first 1,024 B
@@ -29,7 +30,7 @@
 };
 
 // Cost in tokens that counts against an engine's bound while in flight.
-inline std::uint64_t tokens_of(const work& item)
+inline std::uint64_t tokens_of(const request_spec& item)
 {
     return std::uint64_t{item.prompt_tokens} + item.output_tokens;
 }
--- a/src/greengagedrum/config/kind_parser.cpp
+++ b/src/greengagedrum/config/kind_parser.cpp
@@ -21,7 +21,7 @@
 base::tier parse_tier(object_reader& reader)
 {
     const std::string text = reader.text("tier");
-    const auto found = base::tier_from(text);
+    const auto found = base::parse_tier(text);
     if (!found && reader.has("tier"))
         reader.fail(
             "tier", "is not one of", "urgent, interactive, standard, bulk");
@@ -97,7 +97,7 @@
     kind.repetition = parse_repetition(reader);
     kind.deadline = std::chrono::milliseconds(
         reader.integer("deadline_ms", deadline_ms_bounds));
-    kind.upstream_class = base::class_id(reader.name("class"));
+    kind.upstream_class = base::upstream_class_id(reader.name("class"));
     parse_target(reader, kind);
     parse_limits(reader, kind);
     kind.preemptible = reader.boolean_or("preemptible", false);
--- a/src/greengagedrum/delivery/test/random_run.hpp
+++ b/src/greengagedrum/delivery/test/random_run.hpp
@@ -51,7 +51,8 @@
             one.name = "engine-" + std::to_string(i);
             one.id = base::upstream_id(one.name);
             one.data_centre = base::data_centre_id("zona-4");
-            one.upstream_class = base::class_id(i < 3 ? "photo" : "counter");
+            one.upstream_class =
+                base::upstream_class_id(i < 3 ? "photo" : "counter");
             one.models = {i == 0 ? "old" : "compliance", "crop"};
             one.max_in_flight = 2 + static_cast<std::uint32_t>(this->below(4));
             snapshot.fleet.upstreams.push_back(one);
@@ -93,12 +94,12 @@
     {
         request_arrived what;
         what.request = base::request_id{++this->last_request};
-        base::work& work = what.work;
+        base::request_spec& work = what.work;
         work.workspace =
             base::workspace_id(this->chance(0.2) ? "mall" : "yard");
         work.kind = base::kind_id(this->chance(0.5) ? "caption" : "review");
         work.upstream_class =
-            base::class_id(this->chance(0.8) ? "photo" : "counter");
+            base::upstream_class_id(this->chance(0.8) ? "photo" : "counter");
         work.model = base::model_id(this->chance(0.5) ? "compliance" : "crop");
         work.tier = base::all_tiers[this->below(base::tier_count)];
         work.repetition = this->chance(0.5) ? base::repetition::idempotent
@@ -150,7 +151,7 @@
         what.life = base::incarnation{9};
         what.digest.sequence = ++this->peer_sequence;
         capacity::class_demand demand;
-        demand.upstream_class = base::class_id("photo");
+        demand.upstream_class = base::upstream_class_id("photo");
         for (auto& waiting : demand.waiting)
             waiting = static_cast<std::uint32_t>(this->below(10));
         for (auto& running : demand.running)
@@ -291,7 +292,7 @@
 
     void check_ends()
     {
-        for (const base::work& work : this->shed) {
+        for (const base::request_spec& work : this->shed) {
             this->sheds += 1;
             const auto broken =
                 admission::broken_by(work,
@@ -338,7 +339,7 @@
     }
 
     struct known {
-        base::work work;
+        base::request_spec work;
         int dispatches = 0;
         base::dispatch_id last;
         bool gone = false;
@@ -366,8 +367,8 @@
     std::map<base::dispatch_id, stream> streams;
     std::set<base::dispatch_id> refused;
     std::set<std::uint64_t> tickets;
-    std::set<base::request_id> ended; // in this step
-    std::vector<base::work> shed;     // in this step
+    std::set<base::request_id> ended;     // in this step
+    std::vector<base::request_spec> shed; // in this step
 };
 
 } // namespace greengagedrum::delivery
--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.cpp
@@ -18,22 +18,23 @@
 {
     switch (what) {
     case send_change::first_event:
-        return traffic::progressed{id, only_send, 1};
+        return traffic::events_received{id, only_send, 1};
     case send_change::good:
-        return traffic::answered{id, only_send, true};
+        return traffic::answer_received{id, only_send, true};
     case send_change::failing:
-        return traffic::answered{id, only_send, false};
+        return traffic::answer_received{id, only_send, false};
     case send_change::not_sent:
-        return traffic::not_sent{id, only_send};
+        return traffic::connect_failed{id, only_send};
     case send_change::full:
-        return traffic::turned_away{id, only_send, traffic::turn_away::full};
+        return traffic::send_rejected{
+            id, only_send, traffic::rejection::not_run};
     case send_change::misdirected:
-        return traffic::turned_away{
-            id, only_send, traffic::turn_away::misdirected};
+        return traffic::send_rejected{
+            id, only_send, traffic::rejection::misdirected};
     case send_change::broken:
         break;
     }
-    return traffic::broken{id, only_send};
+    return traffic::answer_interrupted{id, only_send};
 }
 
 } // namespace
@@ -49,7 +50,7 @@
 dispatcher_book::report(base::slot_id member,
                         base::incarnation life,
                         const member_report& told,
-                        std::span<const traffic::upstream_use> uses)
+                        std::span<const traffic::upstream_load> uses)
 {
     request_changes out;
     member_state& state = this->of[member];
@@ -62,9 +63,9 @@
     own.report_taken = told.number;
     for (const send_news& one : told.news)
         this->take_news(own, one, out);
-    std::unordered_map<base::upstream_id, traffic::upstream_use> others;
+    std::unordered_map<base::upstream_id, traffic::upstream_load> others;
     // What it sees of upstreams' speed counts, whoever placed the request.
-    for (const traffic::upstream_use& use : uses)
+    for (const traffic::upstream_load& use : uses)
         others[use.upstream] = {use.upstream, 0, 0, use.event_gap};
     for (const running_send& one : told.running) {
         const auto found = own.sends.find(one.name);
@@ -76,10 +77,10 @@
                 continue;
         }
         // Sent by the member itself, or placed by a dispatcher before this one.
-        traffic::upstream_use& use = others[one.upstream];
+        traffic::upstream_load& use = others[one.upstream];
         use.upstream = one.upstream;
         use.requests += 1;
-        use.prompt_tokens += one.unread_tokens;
+        use.pending_prefill_tokens += one.unread_tokens;
     }
     for (const slot_request& one : told.wanted)
         this->take_wanted(member, own, one, out);
@@ -193,11 +194,12 @@
     if (found == this->sends.end())
         return std::nullopt;
     send_state& send = found->second;
-    send.granted = granted_place{send.name,
-                                 order.upstream,
-                                 order.why.first_event,
-                                 order.why.own + order.why.others,
-                                 order.why.places};
+    send.granted =
+        granted_place{send.name,
+                      order.upstream,
+                      order.choice.expected_first_event,
+                      order.choice.own_requests + order.choice.peer_requests,
+                      order.choice.slots};
     this->of.at(send.member).unanswered = true;
     if (send.counted)
         return std::nullopt;
--- a/src/greengagedrum/dispatch/send_journal.cpp
+++ b/src/greengagedrum/dispatch/send_journal.cpp
@@ -14,25 +14,25 @@
 constexpr std::size_t news_most = 64;
 
 struct change_reader {
-    send_change operator()(const traffic::not_sent&) const
+    send_change operator()(const traffic::connect_failed&) const
     {
         return send_change::not_sent;
     }
-    send_change operator()(const traffic::turned_away& what) const
+    send_change operator()(const traffic::send_rejected& what) const
     {
-        return what.why == traffic::turn_away::misdirected
+        return what.cause == traffic::rejection::misdirected
                    ? send_change::misdirected
                    : send_change::full;
     }
-    send_change operator()(const traffic::progressed&) const
+    send_change operator()(const traffic::events_received&) const
     {
         return send_change::first_event;
     }
-    send_change operator()(const traffic::answered& what) const
+    send_change operator()(const traffic::answer_received& what) const
     {
-        return what.good ? send_change::good : send_change::failing;
+        return what.successful ? send_change::good : send_change::failing;
     }
-    send_change operator()(const traffic::broken&) const
+    send_change operator()(const traffic::answer_interrupted&) const
     {
         return send_change::broken;
     }
--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-const base::class_id desk_service("desk");
+const base::upstream_class_id desk_service("desk");
 constexpr base::duration step = 5ms;
 constexpr base::duration report_gap = 2ms;
 constexpr base::duration beat = 100ms;
@@ -21,7 +21,8 @@
 make_scheduler(const run_settings& given, std::uint64_t salt, base::instant now)
 {
     auto out = std::make_unique<traffic::scheduler>(
-        traffic::retry_bounds{0.2, 50, 10s}, traffic::standpoint{"hall", salt});
+        traffic::retry_budget_settings{0.2, 50, 10s},
+        traffic::entry_identity{"hall", salt});
     for (std::size_t one = 0; one < given.upstreams; ++one) {
         routing::published_upstream entry;
         entry.name = "u-" + std::to_string(one);
@@ -49,7 +50,7 @@
     std::uint64_t salt = 1;
     for (member& one : this->members) {
         one.decisions = make_scheduler(given, salt++, this->now);
-        one.decisions->delegate(true);
+        one.decisions->set_delegating(true);
     }
     this->begin_dispatcher();
 }
@@ -154,7 +155,7 @@
     for (const traffic::action& order : orders) {
         if (const auto* send = std::get_if<traffic::send_request>(&order))
             this->send(number, *send);
-        if (const auto* stop = std::get_if<traffic::stop_send>(&order))
+        if (const auto* stop = std::get_if<traffic::cancel_send>(&order))
             this->end_work(stop->request);
         if (std::holds_alternative<traffic::deliver_answer>(order))
             this->out.answered += 1;
@@ -185,12 +186,12 @@
     const base::duration takes =
         this->given.work + queued + 2 * this->given.way;
     this->works[order.request.value] = order.upstream;
-    this->at(
-        this->now + takes,
-        [this, from, request = order.request, send = order.send] {
-            if (this->end_work(request))
-                this->member_step(from, traffic::answered{request, send, true});
-        });
+    this->at(this->now + takes,
+             [this, from, request = order.request, send = order.send] {
+                 if (this->end_work(request))
+                     this->member_step(
+                         from, traffic::answer_received{request, send, true});
+             });
 }
 
 // False when it was broken off before.
@@ -219,16 +220,17 @@
         member_report told;
         told.number = ++own.reports;
         own.unanswered = told.number;
-        for (traffic::waiting_send& wait :
-             own.decisions->waiting_sends(this->now))
+        for (traffic::queued_send& wait :
+             own.decisions->queued_sends(this->now))
             told.wanted.push_back({{wait.request, wait.send},
                                    wait.facts,
                                    std::move(wait.tried),
                                    0,
                                    true});
-        for (const traffic::sent_request& run : own.decisions->sent_requests())
-            told.running.push_back(
-                {{run.request, run.send}, run.upstream, run.unread_tokens});
+        for (const traffic::active_send& run : own.decisions->active_sends())
+            told.running.push_back({{run.request, run.send},
+                                    run.upstream,
+                                    run.pending_prefill_tokens});
         told.news = own.journal.untold();
         if (this->is_lost())
             return;
@@ -246,7 +248,7 @@
     if (one_member.unanswered <= what.report_taken)
         one_member.unanswered = 0;
     for (const granted_place& one : what.granted) {
-        traffic::place_granted event;
+        traffic::slot_granted event;
         event.request = one.name.request;
         event.send = one.name.send;
         event.upstream = one.upstream;
@@ -255,9 +257,9 @@
     for (const declined_place& one : what.declined)
         this->member_step(
             to,
-            traffic::place_declined{one.name.request,
-                                    one.name.send,
-                                    base::not_run(one.why, one.retry_after)});
+            traffic::slot_declined{one.name.request,
+                                   one.name.send,
+                                   base::not_run(one.why, one.retry_after)});
 }
 
 // ---- Their dispatcher -----------------------------------------------------
@@ -270,7 +272,7 @@
         return;
     const request_changes news =
         this->book->report(slot_of(from), base::incarnation{1}, told, {});
-    this->dispatcher->peer_told(slot_of(from), news.others, {}, this->now);
+    this->dispatcher->on_peer_report(slot_of(from), news.others, {}, this->now);
     for (const traffic::event& one : news.events)
         this->dispatcher_step(one);
     for (const auto& [id, wanted] : news.arrived)
--- a/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
+++ b/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
@@ -144,7 +144,7 @@
     this->told.running.clear();
     const request_changes news = this->report();
     REQUIRE(news.events.size() == 2);
-    CHECK(std::get<traffic::answered>(news.events[1]).request == id);
+    CHECK(std::get<traffic::answer_received>(news.events[1]).request == id);
     CHECK(this->report().events.empty());
     CHECK(this->book.reply(member, this->now).news_taken == 2);
 }
@@ -158,12 +158,12 @@
     const request_changes news = this->report();
     REQUIRE(news.others.size() == 1);
     CHECK(news.others[0].requests == 2);
-    CHECK(news.others[0].prompt_tokens == 500);
+    CHECK(news.others[0].pending_prefill_tokens == 500);
 }
 
 TEST_CASE_FIXTURE(desk_fixture, "speed_that_a_member_sees_counts_without_load")
 {
-    const traffic::upstream_use seen{
+    const traffic::upstream_load seen{
         engine, 3, 0, std::chrono::milliseconds(40)};
     const request_changes news =
         this->book.report(member, base::incarnation{1}, this->told, {&seen, 1});
@@ -203,9 +203,9 @@
 {
     send_journal journal;
     const base::request_id id{5};
-    journal.note(traffic::progressed{id, 1, 1});
-    journal.note(traffic::progressed{id, 1, 9});
-    journal.note(traffic::answered{id, 1, true});
+    journal.note(traffic::events_received{id, 1, 1});
+    journal.note(traffic::events_received{id, 1, 9});
+    journal.note(traffic::answer_received{id, 1, true});
     REQUIRE(journal.untold().size() == 2);
     CHECK(journal.untold()[0].what == send_change::first_event);
     journal.taken(1);
@@ -217,7 +217,7 @@
 {
     send_journal journal;
     for (std::uint64_t one = 1; one <= 1000; ++one)
-        journal.note(traffic::broken{base::request_id{one}, 1});
+        journal.note(traffic::answer_interrupted{base::request_id{one}, 1});
     CHECK(journal.untold().size() == 64);
     CHECK(journal.untold().back().number == 1000);
 }
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -30,7 +30,7 @@
     return {(seconds << random_bits) | (device() & ((1U << random_bits) - 1))};
 }
 
-traffic::retry_bounds retry_bounds_of(const bounds& from)
+traffic::retry_budget_settings retry_bounds_of(const bounds& from)
 {
     return {from.retry_ratio, from.retry_slack, from.retry_window};
 }
@@ -198,7 +198,7 @@
     this->state.limiter.set_tolerance({this->own_settings.bounds.usage_window,
                                        this->own_settings.bounds.usage_overshoot,
                                        this->own_settings.bounds.usage_slack});
-    this->state.scheduler.set_retry_bounds(retry_bounds_of(this->own_settings.bounds));
+    this->state.scheduler.set_retry_budget(retry_bounds_of(this->own_settings.bounds));
     if (this->store)
         this->store->set_update_bound(this->own_settings.bounds.shortest_update_delay());
     this->apply_slow_start_limits();
@@ -212,10 +212,10 @@
     const traffic::slow_start_tolerance tolerance{
         this->own_settings.bounds.warmup_overshoot, this->own_settings.bounds.warmup_slack};
     for (const routing::service& one : routes->config().services)
-        this->state.scheduler.set_slow_start(
+        this->state.scheduler.set_slow_start_rate(
             one.id,
             one.warmup_requests_per_second > 0
-                ? traffic::slow_start_sends(one.warmup_requests_per_second, tolerance)
+                ? traffic::slow_start_rate(one.warmup_requests_per_second, tolerance)
                 : 0);
 }
 
--- a/src/greengagedrum/entry/entry_lifecycle.cpp
+++ b/src/greengagedrum/entry/entry_lifecycle.cpp
@@ -176,7 +176,7 @@
     this->total_suspended = asleep;
     if (late || was_suspended) {
         this->pause_detected_at = now;
-        this->state.scheduler.hold(true);
+        this->state.scheduler.set_paused(true);
         this->store->poll_now();
         logs::write(
             logs::level::warning,
@@ -195,7 +195,7 @@
     if (!this->pause_detected_at)
         return;
     this->pause_detected_at.reset();
-    this->state.scheduler.hold(false);
+    this->state.scheduler.set_paused(false);
     logs::write(logs::level::info, "entry", "pause_over", {{"why", why}});
     this->handler->tick();
 }
--- a/src/greengagedrum/entry/exchange.cpp
+++ b/src/greengagedrum/entry/exchange.cpp
@@ -23,11 +23,11 @@
            type->starts_with("text/event-stream");
 }
 
-traffic::break_cause cause_of(relay::call_fault what)
+traffic::interruption_cause cause_of(relay::call_fault what)
 {
     return what == relay::call_fault::malformed
-               ? traffic::break_cause::malformed
-               : traffic::break_cause::connection_lost;
+               ? traffic::interruption_cause::malformed
+               : traffic::interruption_cause::connection_lost;
 }
 
 unsigned status_of(const base::verdict& verdict)
@@ -85,7 +85,7 @@
     out.not_connected = [self] {
         self->call.reset();
         self->report("no connection");
-        self->events.on_event(traffic::not_sent{self->origin.id, self->number});
+        self->events.on_event(traffic::connect_failed{self->origin.id, self->number});
     };
     out.head = [self] { self->on_head(); };
     out.body = [self](std::string_view bytes) { self->on_body(bytes); };
@@ -147,7 +147,7 @@
     const std::string fault = this->head_fault();
     if (!fault.empty()) {
         this->stop_send();
-        return this->on_broken(traffic::break_cause::malformed, fault);
+        return this->on_broken(traffic::interruption_cause::malformed, fault);
     }
     this->streaming = true;
 }
@@ -187,7 +187,7 @@
         this->call->pause(true);
     }
     this->events.on_event(
-        traffic::progressed{this->origin.id, this->number, this->events_seen});
+        traffic::events_received{this->origin.id, this->number, this->events_seen});
 }
 
 void exchange::resume_reading()
@@ -205,7 +205,7 @@
     if (this->streaming) {
         this->report({});
         this->events.on_event(
-            traffic::answered{this->origin.id, this->number, true});
+            traffic::answer_received{this->origin.id, this->number, true});
         return;
     }
     this->judge();
@@ -225,28 +225,28 @@
         this->report(misdirected ? "another upstream answers there"
                                  : "turned away");
         this->events.on_event(
-            traffic::turned_away{this->origin.id,
+            traffic::send_rejected{this->origin.id,
                                  this->number,
-                                 misdirected ? traffic::turn_away::misdirected
-                                             : traffic::turn_away::full});
+                                 misdirected ? traffic::rejection::misdirected
+                                             : traffic::rejection::not_run});
         return;
     }
     const std::string fault = this->head_fault();
     if (!fault.empty())
-        return this->on_broken(traffic::break_cause::malformed, fault);
+        return this->on_broken(traffic::interruption_cause::malformed, fault);
     this->report({});
     this->events.on_event(
-        traffic::answered{this->origin.id,
+        traffic::answer_received{this->origin.id,
                           this->number,
                           this->answer.status < first_server_error});
 }
 
-void exchange::on_broken(traffic::break_cause cause, const std::string& why)
+void exchange::on_broken(traffic::interruption_cause cause, const std::string& why)
 {
     this->call.reset();
     this->report(why);
     this->events.on_event(
-        traffic::broken{this->origin.id, this->number, cause});
+        traffic::answer_interrupted{this->origin.id, this->number, cause});
 }
 
 void exchange::report(std::string why) const
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-const base::class_id engines("engines");
+const base::upstream_class_id engines("engines");
 const base::workspace_id shop("shop");
 constexpr std::uint32_t slots = 5;
 constexpr base::duration crash_after = 180ms;
@@ -239,7 +239,7 @@
         to.runs.push_back(fresh);
         return;
     }
-    this->submit_event(at, traffic::not_sent{order.request, order.send});
+    this->submit_event(at, traffic::connect_failed{order.request, order.send});
 }
 
 // ---- Upstreams --------------------------------------------------------------
@@ -248,7 +248,7 @@
 {
     node* at = this->fleet.at(one.entry);
     if (at != nullptr && this->processes[one.entry].process == one.process)
-        this->submit_event(*at, traffic::broken{one.request, one.send});
+        this->submit_event(*at, traffic::answer_interrupted{one.request, one.send});
 }
 
 void poison_request_fleet::exit_upstream(upstream& one)
@@ -304,7 +304,7 @@
             node* at = this->fleet.at(ended.entry);
             if (at != nullptr &&
                 this->processes[ended.entry].process == ended.process)
-                this->submit_event(*at, traffic::answered{ended.request, ended.send});
+                this->submit_event(*at, traffic::answer_received{ended.request, ended.send});
         }
     }
 }
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-const base::class_id engines("engines");
+const base::upstream_class_id engines("engines");
 constexpr std::uint32_t slots = 50;
 constexpr base::duration request_interval = 50ms; // between requests at one entry
 constexpr base::duration window = 1s;
@@ -52,7 +52,7 @@
     const std::size_t place = one.number % this->plan.data_centres;
     one.state.scheduler = traffic::scheduler(
         {0.2, 60, 10s}, {"centre-" + std::to_string(place), one.number + 1});
-    one.state.scheduler.set_slow_start(engines, this->plan.sends);
+    one.state.scheduler.set_slow_start_rate(engines, this->plan.sends);
     for (std::size_t each = 0; each < this->plan.data_centres; ++each)
         one.state.scheduler.upstream_joined(this->published(each),
                                             this->fleet.time());
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -12,8 +12,8 @@
 {
     const base::instant now = this->state.clock();
     dispatch::member_report out;
-    for (traffic::waiting_send& one :
-         this->state.scheduler.waiting_sends(now)) {
+    for (traffic::queued_send& one :
+         this->state.scheduler.queued_sends(now)) {
         const auto found = this->requests.find(one.request);
         if (found == this->requests.end())
             continue;
@@ -26,12 +26,12 @@
                               request.cost,
                               counted});
     }
-    for (const traffic::sent_request& one :
-         this->state.scheduler.sent_requests()) {
+    for (const traffic::active_send& one :
+         this->state.scheduler.active_sends()) {
         if (dispatch::dispatcher_book::is_members(one.request))
             continue;
         out.running.push_back(
-            {{one.request, one.send}, one.upstream, one.unread_tokens});
+            {{one.request, one.send}, one.upstream, one.pending_prefill_tokens});
     }
     out.news = this->journal.untold();
     return out;
@@ -42,7 +42,7 @@
 {
     this->journal.taken(what.news_taken);
     for (const dispatch::granted_place& one : what.granted)
-        this->submit_event(traffic::place_granted{one.name.request,
+        this->submit_event(traffic::slot_granted{one.name.request,
                                                   one.name.send,
                                                   one.upstream,
                                                   one.expected,
@@ -50,7 +50,7 @@
                                                   one.places});
     for (const dispatch::declined_place& one : what.declined)
         this->submit_event(
-            traffic::place_declined{one.name.request,
+            traffic::slot_declined{one.name.request,
                                     one.name.send,
                                     base::not_run(one.why, one.retry_after)});
 }
@@ -58,7 +58,7 @@
 void request_handler::start_delegating()
 {
     this->state.delegating = true;
-    this->state.scheduler.delegate(true);
+    this->state.scheduler.set_delegating(true);
     this->apply_member_changes(this->members.lost_all());
 }
 
@@ -80,7 +80,7 @@
     this->state.limiter.set_never_heard_peer_count(unheard);
     this->state.limiter.update_silent_peers(now);
     this->state.delegating = false;
-    this->state.scheduler.delegate(false);
+    this->state.scheduler.set_delegating(false);
     this->count_waiting_requests();
 }
 
@@ -90,11 +90,11 @@
     base::slot_id member,
     base::incarnation life,
     const dispatch::member_report& told,
-    std::span<const traffic::upstream_use> uses)
+    std::span<const traffic::upstream_load> uses)
 {
     const dispatch::request_changes news =
         this->members.report(member, life, told, uses);
-    this->state.scheduler.peer_told(
+    this->state.scheduler.on_peer_report(
         member, news.others, {}, this->state.clock());
     this->apply_member_changes(news);
 }
--- a/src/greengagedrum/entry/peer_protocol.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -251,8 +251,8 @@
     gossip::message out =
         this->own_message(this->large ? gossip::message_kind::dispatcher_load
                                       : gossip::message_kind::load);
-    out.uses = this->state.scheduler.own_uses(now);
-    out.waiting = this->state.scheduler.own_waiting(now);
+    out.uses = this->state.scheduler.own_load(now);
+    out.waiting = this->state.scheduler.own_queue_reports(now);
     out.workspace_uses = this->state.limiter.own_usage(now);
     out.known = this->table.some_known(who, now);
     out.suspects = this->suspects_for(who == gossip::audience::own_data_centre
@@ -299,7 +299,7 @@
     this->update_role(now);
     for (const std::string& peer : this->table.fallen_silent(now)) {
         this->state.log.write(now, "peers", "peer_silent", {{"peer", peer}});
-        this->state.scheduler.peer_lost(base::slot_id(peer));
+        this->state.scheduler.on_peer_lost(base::slot_id(peer));
         this->members.erase(base::slot_id(peer));
         this->events.member_lost(base::slot_id(peer));
     }
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -72,7 +72,7 @@
         (this->state.delegating || told.data_centre == this->own.data_centre))
         this->answer_greeting(told, now);
     if (told.delegating) {
-        this->state.scheduler.peer_lost(slot);
+        this->state.scheduler.on_peer_lost(slot);
         this->state.limiter.forget_peer(slot);
         return;
     }
@@ -80,7 +80,7 @@
         return;
     if (this->large)
         this->counting[slot] = told.address;
-    this->state.scheduler.peer_told(slot, told.uses, told.waiting, now);
+    this->state.scheduler.on_peer_report(slot, told.uses, told.waiting, now);
     this->state.limiter.on_peer_report(
         slot, told.incarnation, told.workspace_uses, told.stopping, now);
     if (this->state.scheduler.waiting() > 0)
@@ -310,7 +310,7 @@
     this->state.log.write(now,
                           "peers",
                           "cold_upstreams_shared",
-                          {{"rank", next.rank}, {"sharers", next.sharers}});
+                          {{"rank", next.rank}, {"sharers", next.entries}});
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -89,7 +89,7 @@
     void on_member_report(base::slot_id member,
                          base::incarnation life,
                          const dispatch::member_report& told,
-                         std::span<const traffic::upstream_use> uses);
+                         std::span<const traffic::upstream_load> uses);
     void on_member_lost(base::slot_id member);
     dispatch::dispatcher_book& member_requests() { return this->members; }
 
@@ -149,11 +149,11 @@
     void handle_misdirection(const traffic::event& event);
     void execute(const traffic::actions& actions);
     void execute_action(const traffic::send_request& action);
-    void execute_action(const traffic::stop_send& action);
+    void execute_action(const traffic::cancel_send& action);
     void execute_action(const traffic::deliver_answer& action);
     void execute_action(const traffic::end_request& action);
     void execute_action(const traffic::check_upstream& action);
-    void execute_action(const traffic::trust_changed& change);
+    void execute_action(const traffic::suspicion_changed& change);
     void execute_action(const quarantine::quarantine_state_change& change);
     void grant_slot(const traffic::send_request& action);
     void decline_slot(const traffic::end_request& action);
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -48,7 +48,7 @@
 
 void request_handler::record_progress(const traffic::event& event)
 {
-    const auto* progress = std::get_if<traffic::progressed>(&event);
+    const auto* progress = std::get_if<traffic::events_received>(&event);
     if (progress == nullptr)
         return;
     const auto found = this->requests.find(progress->request);
@@ -73,8 +73,8 @@
 
 void request_handler::handle_misdirection(const traffic::event& event)
 {
-    const auto* turned_away = std::get_if<traffic::turned_away>(&event);
-    if (turned_away == nullptr || turned_away->why != traffic::turn_away::misdirected)
+    const auto* turned_away = std::get_if<traffic::send_rejected>(&event);
+    if (turned_away == nullptr || turned_away->cause != traffic::rejection::misdirected)
         return;
     const auto found = this->sent_to.find(turned_away->request);
     if (found != this->sent_to.end())
@@ -117,7 +117,7 @@
         this->state.cluster.upstreams().find_usable(action.upstream);
     if (to == nullptr) {
         // It left within this very turn.
-        return this->submit_event(traffic::not_sent{action.request, action.send});
+        return this->submit_event(traffic::connect_failed{action.request, action.send});
     }
     this->sent_to[action.request] = action.upstream;
     request.last_sent_at = now;
@@ -134,19 +134,19 @@
                           {{"request", http_exchange->info().marks.attempt},
                            {"send", action.send},
                            {"upstream", to->name},
-                           {"waited_ms", to_milliseconds(action.why.waited)},
-                           {"own", action.why.own},
-                           {"others", action.why.others},
-                           {"places", action.why.places},
-                           {"told_age_ms", to_milliseconds(action.why.told_age)},
-                           {"expected_ms", to_milliseconds(action.why.first_event)},
-                           {"gap_ms", to_milliseconds(action.why.gap)},
-                           {"suits", action.why.suits},
+                           {"waited_ms", to_milliseconds(action.choice.waited)},
+                           {"own", action.choice.own_requests},
+                           {"others", action.choice.peer_requests},
+                           {"places", action.choice.slots},
+                           {"told_age_ms", to_milliseconds(action.choice.peer_report_age)},
+                           {"expected_ms", to_milliseconds(action.choice.expected_first_event)},
+                           {"gap_ms", to_milliseconds(action.choice.expected_gap)},
+                           {"suits", action.choice.suitability},
                            {"store_revision", this->state.cluster.store_revision()}});
-    http_exchange->send(action.send, *to, action.end_at - now);
+    http_exchange->send(action.send, *to, action.deadline - now);
 }
 
-void request_handler::execute_action(const traffic::stop_send& action)
+void request_handler::execute_action(const traffic::cancel_send& action)
 {
     const auto found = this->requests.find(action.request);
     if (found == this->requests.end())
@@ -196,7 +196,7 @@
     check->start(to->address, connect_check_delay);
 }
 
-void request_handler::execute_action(const traffic::trust_changed& change)
+void request_handler::execute_action(const traffic::suspicion_changed& change)
 {
     const routing::published_upstream* of =
         this->state.cluster.upstreams().find_alive(change.upstream);
@@ -206,7 +206,7 @@
         change.suspected ? "upstream_suspected" : "upstream_cleared",
         {{"upstream", of == nullptr ? std::string() : of->name},
          {"cause", change.cause},
-         {"bad_share", change.bad_share}});
+         {"bad_share", change.failure_rate}});
 }
 
 void request_handler::execute_action(const quarantine::quarantine_state_change& change)
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -53,14 +53,14 @@
     return list->Get(static_cast<flatbuffers::uoffset_t>(at));
 }
 
-std::vector<traffic::upstream_use>
+std::vector<traffic::upstream_load>
 uses_of(const flatbuffers::Vector<const wire::Use*>& list,
         const number_list* gaps)
 {
-    std::vector<traffic::upstream_use> out;
+    std::vector<traffic::upstream_load> out;
     for (const wire::Use* one : list) {
         const std::size_t at = out.size();
-        traffic::upstream_use use{base::upstream_id(one->upstream()),
+        traffic::upstream_load use{base::upstream_id(one->upstream()),
                                   one->requests(),
                                   one->prompt_tokens()};
         use.event_gap = std::chrono::microseconds(number_at(gaps, at));
@@ -125,11 +125,11 @@
     return out;
 }
 
-wire::WaitingLevels levels_of(const traffic::service_waiting& told)
+wire::WaitingLevels levels_of(const traffic::queue_report& told)
 {
     std::array<std::uint16_t, traffic::priority_levels> counts{};
-    std::transform(told.counts.begin(),
-                   told.counts.end(),
+    std::transform(told.lengths.begin(),
+                   told.lengths.end(),
                    counts.begin(),
                    [](std::uint32_t count) {
                        return static_cast<std::uint16_t>(
@@ -138,11 +138,11 @@
     return {told.service.value, counts};
 }
 
-traffic::service_waiting waiting_of(const wire::WaitingLevels& from)
+traffic::queue_report waiting_of(const wire::WaitingLevels& from)
 {
-    traffic::service_waiting out{base::class_id(from.service()), {}};
-    for (std::size_t level = 0; level < out.counts.size(); ++level)
-        out.counts.at(level) =
+    traffic::queue_report out{base::upstream_class_id(from.service()), {}};
+    for (std::size_t level = 0; level < out.lengths.size(); ++level)
+        out.lengths.at(level) =
             from.counts()->Get(static_cast<flatbuffers::uoffset_t>(level));
     return out;
 }
@@ -155,7 +155,7 @@
     std::vector<wire::Use> uses;
     std::vector<std::uint32_t> gaps;
     for (const auto& one : told.uses) {
-        uses.emplace_back(one.upstream.value, one.requests, one.prompt_tokens);
+        uses.emplace_back(one.upstream.value, one.requests, one.pending_prefill_tokens);
         gaps.push_back(microseconds_of(one.event_gap));
     }
     std::vector<wire::WaitingLevels> waiting;
--- a/src/greengagedrum/gossip/message.hpp
+++ b/src/greengagedrum/gossip/message.hpp
@@ -60,8 +60,8 @@
     // change nothing move the store's revision on all the time.
     std::uint64_t change_revision = 0;
     base::duration store_age{0}; // since the store last answered the sender
-    std::vector<traffic::upstream_use> uses;
-    std::vector<traffic::service_waiting> waiting;
+    std::vector<traffic::upstream_load> uses;
+    std::vector<traffic::queue_report> waiting;
     std::vector<quota::workspace_usage> workspace_uses;
     std::vector<known_entry> known;
     std::uint32_t cpu_millicores = 0; // thousandths of a processor
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -55,7 +55,7 @@
     told.store_age = 120ms;
     told.store_revision = 12;
     told.uses = {{base::upstream_id("i-1"), 3, 4000, 55ms}};
-    told.waiting = {{base::class_id("models"), {1, 2, 3, 4}}};
+    told.waiting = {{base::upstream_class_id("models"), {1, 2, 3, 4}}};
     told.workspace_uses = {{base::workspace_id("gate"),
                             123456789012,
                             70,
@@ -76,9 +76,9 @@
     REQUIRE(read->uses.size() == 1);
     CHECK(read->uses[0].upstream == base::upstream_id("i-1"));
     CHECK(read->uses[0].requests == 3);
-    CHECK(read->uses[0].prompt_tokens == 4000);
+    CHECK(read->uses[0].pending_prefill_tokens == 4000);
     CHECK(read->uses[0].event_gap == 55ms);
-    CHECK(read->waiting.at(0).counts == traffic::waiting_counts{1, 2, 3, 4});
+    CHECK(read->waiting.at(0).lengths == traffic::queue_lengths{1, 2, 3, 4});
     CHECK(read->workspace_uses.at(0).sent_total == 123456789012);
     CHECK(read->workspace_uses.at(0).waiting == 70);
     CHECK(read->workspace_uses.at(0).sent_in_window == 5'000);
@@ -97,7 +97,7 @@
     told.known = {{other, 250ms, base::data_centre_id("yard"), 120}};
     dispatch::slot_request wanted;
     wanted.name = {base::request_id{4}, 2};
-    wanted.facts.service = base::class_id("models");
+    wanted.facts.service = base::upstream_class_id("models");
     wanted.facts.workspace = base::workspace_id("gate");
     wanted.facts.kind = base::kind_id("dossier");
     wanted.facts.rule = routing::retry_policy::idempotent;
@@ -108,8 +108,8 @@
     wanted.facts.objective = -20ms;
     wanted.facts.gap_objective = 200ms;
     wanted.facts.time_left = 9s;
-    wanted.facts.patience = 2s;
-    wanted.facts.sends_before = 1;
+    wanted.facts.first_event_timeout = 2s;
+    wanted.facts.prior_sends = 1;
     wanted.tried = {base::upstream_id("i-1")};
     wanted.cost = 1080;
     wanted.counted = true;
@@ -139,8 +139,8 @@
     CHECK(got.facts.objective == -20ms);
     CHECK(got.facts.gap_objective == 200ms);
     CHECK(got.facts.time_left == 9s);
-    CHECK(got.facts.patience == 2s);
-    CHECK(got.facts.sends_before == 1);
+    CHECK(got.facts.first_event_timeout == 2s);
+    CHECK(got.facts.prior_sends == 1);
     CHECK(got.facts.delegated);
     CHECK(got.tried == wanted.tried);
     CHECK(got.cost == 1080);
--- a/src/greengagedrum/peers/decode.cpp
+++ b/src/greengagedrum/peers/decode.cpp
@@ -88,7 +88,8 @@
     out.leaving = from.leaving();
     out.config_revision = from.config_revision();
     out.list_revision = from.list_revision();
-    out.contact = enumerator(from.contact(), base::service_contact::lost);
+    out.contact =
+        enumerator(from.contact(), base::platform_reachability::unreachable);
     if (from.lives() == nullptr)
         return out;
     for (const wire::known_life* known : *from.lives())
@@ -119,7 +120,7 @@
 capacity::class_demand read(const wire::class_demand& from)
 {
     capacity::class_demand out;
-    out.upstream_class = base::class_id(from.upstream_class());
+    out.upstream_class = base::upstream_class_id(from.upstream_class());
     for (std::uint16_t tier = 0; tier < base::tier_count; ++tier) {
         out.waiting[tier] = from.waiting()->Get(tier);
         out.running[tier] = from.running()->Get(tier);
--- a/src/greengagedrum/routing/upstream_directory.hpp
+++ b/src/greengagedrum/routing/upstream_directory.hpp
@@ -35,7 +35,7 @@
     base::upstream_id id; // of this life, see incarnation_id()
     std::optional<std::uint64_t>
         started_unix_ms; // Unix milliseconds, by its own clock
-    base::class_id service;
+    base::upstream_class_id service;
     base::ip_endpoint address;
     std::string data_centre;
     std::uint32_t slots = 1;
--- a/src/greengagedrum/traffic/containment.cpp
+++ b/src/greengagedrum/traffic/containment.cpp
@@ -71,7 +71,7 @@
 void scheduler::on(const upstream_checked& what)
 {
     this->tell(
-        what.accepts
+        what.accepts_connections
             ? this->suspects.on_upstream_reachable(what.upstream, this->now)
             : this->suspects.on_upstream_gone(what.upstream, this->now));
 }
--- a/src/greengagedrum/traffic/delegation.cpp
+++ b/src/greengagedrum/traffic/delegation.cpp
@@ -7,29 +7,29 @@
 namespace greengagedrum::traffic
 {
 
-std::vector<waiting_send> scheduler::waiting_sends(base::instant at) const
+std::vector<queued_send> scheduler::queued_sends(base::instant at) const
 {
-    std::vector<waiting_send> out;
+    std::vector<queued_send> out;
     for (const auto& [id, item] : this->requests) {
         if (!item.queued || this->awaits_copy(item))
             continue;
-        waiting_send one{id, item.connects + 1, item.facts, item.tried};
+        queued_send one{id, item.connects + 1, item.facts, item.tried};
         const base::duration first = this->first_event_expected(item);
         one.facts.objective = item.arrived + item.facts.objective - at;
-        one.facts.time_left = item.end_at - at;
-        one.facts.patience =
+        one.facts.time_left = item.deadline - at;
+        one.facts.first_event_timeout =
             std::max(base::duration(0), item.give_up_at + first - at);
         one.facts.delegated = true;
         one.facts.sends_max = 1;
-        one.facts.sends_before = item.connects;
+        one.facts.prior_sends = item.connects;
         out.push_back(std::move(one));
     }
     return out;
 }
 
-std::vector<sent_request> scheduler::sent_requests() const
+std::vector<active_send> scheduler::active_sends() const
 {
-    std::vector<sent_request> out;
+    std::vector<active_send> out;
     for (const auto& [id, item] : this->requests) {
         if (item.send == 0)
             continue;
@@ -51,7 +51,7 @@
     return &found->second;
 }
 
-void scheduler::on(const place_granted& what)
+void scheduler::on(const slot_granted& what)
 {
     request* item = this->awaiting(what.request, what.send);
     if (item == nullptr || this->held || !this->delegating)
@@ -73,14 +73,14 @@
     placing where;
     where.upstream = what.upstream;
     where.expected = placement::seconds_of(what.expected);
-    where.why.others = what.taken;
-    where.why.places = what.places;
-    where.why.first_event = what.expected;
-    where.why.suits = "granted";
+    where.choice.peer_requests = what.taken;
+    where.choice.slots = what.places;
+    where.choice.expected_first_event = what.expected;
+    where.choice.suitability = "granted";
     this->send(*item, where);
 }
 
-void scheduler::on(const place_declined& what)
+void scheduler::on(const slot_declined& what)
 {
     request* item = this->awaiting(what.request, what.send);
     if (item == nullptr || !this->delegating)
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -23,7 +23,7 @@
 
 // What the decisions need to know of a request.
 struct request_facts {
-    base::class_id service;
+    base::upstream_class_id service;
     base::workspace_id workspace;
     base::kind_id kind;          // its route
     base::request_digest digest; // empty: not known here
@@ -36,19 +36,19 @@
     base::duration objective{0};     // to the first event or the answer
     base::duration gap_objective{0}; // between events
     base::duration time_left{0};     // until the caller or the route gives up
-    bool returning = false;          // the caller resumes a stream by itself
+    bool caller_resumes = false;          // the caller resumes a stream by itself
     routing::data_centre_constraint homes{}; // not told between entries
     // Of another entry, which asks for a place only: it sends the request, sees
     // what becomes of it and decides what may be sent again.
     bool delegated = false;
-    std::uint32_t sends_before = 0; // of a delegated one
-    base::duration patience{0};     // of it: how long its caller waits
+    std::uint32_t prior_sends = 0; // of a delegated one
+    base::duration first_event_timeout{0};     // of it: how long its caller waits
 };
 
 // How long a caller waits for the first sign of an answer: of a stream, it
 // leaves after two seconds, four times the objective or eight times the pause
 // between events, whichever is longest.
-base::duration caller_patience(const request_facts& facts);
+base::duration first_event_timeout_of(const request_facts& facts);
 
 // ---- Events -------------------------------------------------------------
 
@@ -64,25 +64,25 @@
 };
 
 // The connect failed: no byte of the request was written.
-struct not_sent {
+struct connect_failed {
     base::request_id request;
     std::uint32_t send = 0;
 };
 
-enum class turn_away : std::uint8_t {
-    full,        // it did not run the request, whatever its reason
+enum class rejection : std::uint8_t {
+    not_run,        // it did not run the request, whatever its reason
     misdirected, // another upstream answers at that address
 };
 
 // The upstream promises that it did not run the request.
-struct turned_away {
+struct send_rejected {
     base::request_id request;
     std::uint32_t send = 0;
-    turn_away why = turn_away::full;
+    rejection cause = rejection::not_run;
 };
 
 // Events of a stream have come; `events` counts all of this send.
-struct progressed {
+struct events_received {
     base::request_id request;
     std::uint32_t send = 0;
     std::uint32_t events = 0;
@@ -90,33 +90,33 @@
 
 // The upstream's whole answer has come. One that is not `good` may still be
 // replaced by another upstream's.
-struct answered {
+struct answer_received {
     base::request_id request;
     std::uint32_t send = 0;
-    bool good = true;
+    bool successful = true;
 };
 
-enum class break_cause : std::uint8_t {
+enum class interruption_cause : std::uint8_t {
     connection_lost,
     malformed, // what came can't be this request's answer
 };
 
 // The answer broke off, or never came; the request may have run.
-struct broken {
+struct answer_interrupted {
     base::request_id request;
     std::uint32_t send = 0;
-    break_cause cause = break_cause::connection_lost;
+    interruption_cause cause = interruption_cause::connection_lost;
 };
 
 // What became of a `check_upstream`.
 struct upstream_checked {
     base::upstream_id upstream;
-    bool accepts = false; // connections
+    bool accepts_connections = false; // connections
 };
 
 // Another entry, which places this one's requests, has a place for the send
 // that was asked for, or will have none in time.
-struct place_granted {
+struct slot_granted {
     base::request_id request;
     std::uint32_t send = 0;
     base::upstream_id upstream;
@@ -125,7 +125,7 @@
     std::uint32_t places = 0;
 };
 
-struct place_declined {
+struct slot_declined {
     base::request_id request;
     std::uint32_t send = 0;
     base::verdict verdict;
@@ -133,39 +133,39 @@
 
 using event = std::variant<request_arrived,
                            caller_left,
-                           not_sent,
-                           turned_away,
-                           progressed,
-                           answered,
-                           broken,
+                           connect_failed,
+                           send_rejected,
+                           events_received,
+                           answer_received,
+                           answer_interrupted,
                            upstream_checked,
-                           place_granted,
-                           place_declined>;
+                           slot_granted,
+                           slot_declined>;
 
 // ---- Actions ------------------------------------------------------------
 
 // What a choice rested on, for the log.
-struct choice_facts {
+struct choice_record {
     base::duration waited{0};
-    std::uint32_t own = 0;    // requests there, of this entry
-    std::uint32_t others = 0; // and of its peers, as they told
-    std::uint32_t places = 0;
-    base::duration told_age{0};    // of the peers' oldest message
-    base::duration first_event{0}; // expected
-    base::duration gap{0};         // the longest expected there meanwhile
-    std::string_view suits;        // a suitability
+    std::uint32_t own_requests = 0;    // requests there, of this entry
+    std::uint32_t peer_requests = 0; // and of its peers, as they told
+    std::uint32_t slots = 0;
+    base::duration peer_report_age{0};    // of the peers' oldest message
+    base::duration expected_first_event{0}; // expected
+    base::duration expected_gap{0};         // the longest expected there meanwhile
+    std::string_view suitability;        // a suitability
 };
 
 struct send_request {
     base::request_id request;
     std::uint32_t send = 0;
     base::upstream_id upstream;
-    base::instant end_at; // the answer is of no use after it
-    choice_facts why;
+    base::instant deadline; // the answer is of no use after it
+    choice_record choice;
 };
 
 // Close that connection; whatever still comes on it is nobody's.
-struct stop_send {
+struct cancel_send {
     base::request_id request;
     std::uint32_t send = 0;
 };
@@ -188,19 +188,19 @@
 };
 
 // An upstream came under suspicion, or was cleared of it; for the log.
-struct trust_changed {
+struct suspicion_changed {
     base::upstream_id upstream;
     bool suspected = false;
     std::string_view cause; // what the last bad end was
-    double bad_share = 0;   // of its last ends
+    double failure_rate = 0;   // of its last ends
 };
 
 using action = std::variant<send_request,
-                            stop_send,
+                            cancel_send,
                             deliver_answer,
                             end_request,
                             check_upstream,
-                            trust_changed,
+                            suspicion_changed,
                             quarantine::quarantine_state_change>;
 
 using actions = std::vector<action>;
--- a/src/greengagedrum/traffic/patience.cpp
+++ b/src/greengagedrum/traffic/patience.cpp
@@ -36,7 +36,7 @@
 {
     std::optional<base::instant> first;
     for (const auto& [id, item] : this->requests) {
-        base::instant due = item.end_at;
+        base::instant due = item.deadline;
         if (item.queued)
             due = std::min({due, item.give_up_at, this->now + longest_sleep});
         else
@@ -57,7 +57,7 @@
 bool scheduler::try_again(request& item)
 {
     if (item.sends >= item.facts.sends_max || this->is_quarantined(item) ||
-        this->now + this->first_event_expected(item) >= item.end_at)
+        this->now + this->first_event_expected(item) >= item.deadline)
         return false;
     if (!this->retries.spend(item.facts.service, this->now))
         return false;
@@ -76,9 +76,9 @@
     if (item.queued && item.uncertain == 0 &&
         this->now >= item.give_up_at + reply_takes)
         return this->refuse(item, base::reason::overloaded);
-    if (this->now >= item.end_at) {
+    if (this->now >= item.deadline) {
         if (item.send != 0) {
-            this->out->push_back(stop_send{item.id, item.send});
+            this->out->push_back(cancel_send{item.id, item.send});
             this->note_unfinished(item);
             this->pool.probe_void(item.upstream);
             this->leave_upstream(item);
@@ -115,7 +115,7 @@
     const base::upstream_id upstream = item.upstream;
     if (!this->retries.spend(item.facts.service, this->now))
         return;
-    this->out->push_back(stop_send{item.id, send});
+    this->out->push_back(cancel_send{item.id, send});
     this->leave_upstream(item);
     item.tried.push_back(upstream);
     this->join_queue(item);
--- a/src/greengagedrum/traffic/retry_share.hpp
+++ b/src/greengagedrum/traffic/retry_budget.hpp
@@ -13,26 +13,31 @@
 namespace greengagedrum::traffic
 {
 
-struct retry_bounds {
+struct retry_budget_settings {
     double ratio = 0.2; // retries for each request of the service
     double slack = 0;   // and so many beside, over all entries
     base::duration window = std::chrono::seconds(10);
 };
 
-class retry_share
+class retry_budget
 {
 public:
-    explicit retry_share(const retry_bounds& bounds) : bounds(bounds) {}
+    explicit retry_budget(const retry_budget_settings& bounds) : bounds(bounds)
+    {
+    }
 
-    void set_bounds(const retry_bounds& given) { this->bounds = given; }
+    void set_bounds(const retry_budget_settings& given)
+    {
+        this->bounds = given;
+    }
 
     // How many entries share the slack; those that were there lately count.
-    void set_entries(std::size_t count) { this->entries = count; }
+    void set_entry_count(std::size_t count) { this->entries = count; }
 
-    void arrived(base::class_id service, base::instant now);
+    void arrived(base::upstream_class_id service, base::instant now);
 
     // False when no retry is left; else one is spent.
-    bool spend(base::class_id service, base::instant now);
+    bool spend(base::upstream_class_id service, base::instant now);
 
 private:
     struct service_window {
@@ -42,9 +47,9 @@
 
     void drop_old(std::deque<base::instant>& times, base::instant now) const;
 
-    retry_bounds bounds;
+    retry_budget_settings bounds;
     std::size_t entries = 1;
-    std::unordered_map<base::class_id, service_window> windows;
+    std::unordered_map<base::upstream_class_id, service_window> windows;
 };
 
 } // namespace greengagedrum::traffic
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -31,7 +31,7 @@
     this->out = nullptr;
 }
 
-void scheduler::place(base::instant at, actions& into)
+void scheduler::place_queued(base::instant at, actions& into)
 {
     this->now = at;
     this->out = &into;
@@ -66,13 +66,13 @@
     item.id = what.request;
     item.facts = what.facts;
     item.arrived = this->now;
-    item.end_at = this->now + what.facts.time_left;
+    item.deadline = this->now + what.facts.time_left;
     item.tried = what.tried;
     this->note_arrival(item);
     const base::duration first = this->first_event_expected(item);
     const base::duration patience = what.facts.delegated
-                                        ? what.facts.patience
-                                        : caller_patience(what.facts);
+                                        ? what.facts.first_event_timeout
+                                        : first_event_timeout_of(what.facts);
     item.give_up_at = std::max(this->now, item.arrived + patience - first);
     if (this->is_quarantined(item))
         return this->refuse_quarantined(item);
@@ -90,7 +90,7 @@
     const request_facts& facts = item.facts;
     if (!facts.delegated)
         this->retries.arrived(facts.service, this->now);
-    if (facts.sends_before > 0)
+    if (facts.prior_sends > 0)
         return;
     item.came_back = this->fresh.came_back(facts.kind, facts.time_left);
     this->fresh.asked(facts.kind, facts.time_left, this->now);
@@ -121,7 +121,7 @@
     this->tell(this->pool.bad_end(upstream, what, this->now));
 }
 
-void scheduler::tell(const std::optional<trust_changed>& change)
+void scheduler::tell(const std::optional<suspicion_changed>& change)
 {
     if (change)
         this->out->push_back(*change);
@@ -129,7 +129,7 @@
 
 // ---- What becomes of a send -------------------------------------------------
 
-void scheduler::on(const not_sent& what)
+void scheduler::on(const connect_failed& what)
 {
     request* item = this->under_way(what.request, what.send);
     if (item == nullptr)
@@ -148,7 +148,7 @@
     this->join_queue(*item);
 }
 
-void scheduler::on(const turned_away& what)
+void scheduler::on(const send_rejected& what)
 {
     request* item = this->under_way(what.request, what.send);
     if (item == nullptr)
@@ -165,7 +165,7 @@
     this->refuse(*item, base::reason::overloaded);
 }
 
-void scheduler::on(const progressed& what)
+void scheduler::on(const events_received& what)
 {
     request* item = this->under_way(what.request, what.send);
     if (item == nullptr || what.events <= item->events)
@@ -189,14 +189,14 @@
     item->silence_told = false;
 }
 
-void scheduler::on(const answered& what)
+void scheduler::on(const answer_received& what)
 {
     request* item = this->under_way(what.request, what.send);
     if (item == nullptr)
         return;
     const base::upstream_id upstream = item->upstream;
     this->note_answer(*item);
-    if (what.good) {
+    if (what.successful) {
         this->tell(this->pool.good_end(upstream));
         if (item->events == 0)
             this->pool.first_event(upstream,
@@ -216,7 +216,7 @@
     }
     const std::uint32_t send = item->send;
     this->leave_upstream(*item);
-    if (!what.good && this->may_repeat(*item)) {
+    if (!what.successful && this->may_repeat(*item)) {
         item->tried.push_back(upstream);
         if (this->try_again(*item))
             return;
@@ -226,13 +226,13 @@
     this->forget(*item);
 }
 
-void scheduler::on(const broken& what)
+void scheduler::on(const answer_interrupted& what)
 {
     request* item = this->under_way(what.request, what.send);
     if (item == nullptr)
         return;
     this->bad_end(item->upstream, trouble::broken);
-    if (what.cause == break_cause::connection_lost)
+    if (what.cause == interruption_cause::connection_lost)
         this->note_crash(*item);
     item->tried.push_back(item->upstream);
     this->leave_upstream(*item);
@@ -305,9 +305,9 @@
     this->pool.leave(upstream);
 }
 
-void scheduler::peer_told(base::slot_id peer,
-                          std::span<const upstream_use> uses,
-                          std::span<const service_waiting> waiting,
+void scheduler::on_peer_report(base::slot_id peer,
+                          std::span<const upstream_load> uses,
+                          std::span<const queue_report> waiting,
                           base::instant at)
 {
     peer_waiting& message = this->waiting_at_peers[peer];
@@ -318,12 +318,12 @@
     this->pool.set_waiting_peers(this->peers_with_queues);
     if (this->peers_with_queues > 0)
         this->fresh.disturbed(at);
-    this->pool.peer_told(peer, uses, at);
+    this->pool.on_peer_report(peer, uses, at);
 }
 
-void scheduler::peer_lost(base::slot_id peer)
+void scheduler::on_peer_lost(base::slot_id peer)
 {
-    this->pool.peer_lost(peer);
+    this->pool.on_peer_lost(peer);
     const auto found = this->waiting_at_peers.find(peer);
     if (found == this->waiting_at_peers.end())
         return;
@@ -332,11 +332,11 @@
     this->pool.set_waiting_peers(this->peers_with_queues);
 }
 
-void scheduler::set_entries(std::size_t count)
+void scheduler::set_entry_count(std::size_t count)
 {
     this->entries = std::max<std::size_t>(1, count);
-    this->retries.set_entries(this->entries);
-    this->pool.set_entries(this->entries);
+    this->retries.set_entry_count(this->entries);
+    this->pool.set_entry_count(this->entries);
 }
 
 } // namespace greengagedrum::traffic
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -9,7 +9,7 @@
 #include <greengagedrum/quarantine/suspect_table.hpp>
 #include <greengagedrum/traffic/first_attempt_estimator.hpp>
 #include <greengagedrum/traffic/messages.hpp>
-#include <greengagedrum/traffic/retry_share.hpp>
+#include <greengagedrum/traffic/retry_budget.hpp>
 #include <greengagedrum/traffic/upstream_pool.hpp>
 #include <greengagedrum/traffic/wait_queue.hpp>
 
@@ -25,24 +25,24 @@
 {
 
 // What waits at one entry for one service, as it tells its peers.
-struct service_waiting {
-    base::class_id service;
-    waiting_counts counts{};
+struct queue_report {
+    base::upstream_class_id service;
+    queue_lengths lengths{};
 };
 
 // A request of this entry that waits for a place, as it is asked for elsewhere.
-struct waiting_send {
+struct queued_send {
     base::request_id request;
     std::uint32_t send = 0; // the number that the send will have
     request_facts facts;    // times from now on
     std::vector<base::upstream_id> tried;
 };
 
-struct sent_request {
+struct active_send {
     base::request_id request;
     std::uint32_t send = 0;
     base::upstream_id upstream;
-    std::uint32_t unread_tokens = 0;
+    std::uint32_t pending_prefill_tokens = 0;
 };
 
 struct scheduler_counters {
@@ -58,7 +58,7 @@
 class scheduler
 {
 public:
-    scheduler(const retry_bounds& bounds, standpoint own)
+    scheduler(const retry_budget_settings& bounds, entry_identity own)
         : suspects(own.salt), pool(std::move(own)), retries(bounds)
     {
     }
@@ -68,7 +68,7 @@
     // Lets time pass: gives up, notices silence, places what waits.
     void tick(base::instant now, actions& out);
     // Only places what waits: a peer told that it uses less.
-    void place(base::instant now, actions& out);
+    void place_queued(base::instant now, actions& out);
     // When tick() has something to do at the latest.
     std::optional<base::instant> next_wake() const;
 
@@ -76,47 +76,51 @@
                          base::instant now);
     void upstream_left(base::upstream_id upstream);
 
-    void peer_told(base::slot_id peer,
-                   std::span<const upstream_use> uses,
-                   std::span<const service_waiting> waiting,
-                   base::instant now);
-    void peer_lost(base::slot_id peer);
+    void on_peer_report(base::slot_id peer,
+                        std::span<const upstream_load> uses,
+                        std::span<const queue_report> waiting,
+                        base::instant now);
+    void on_peer_lost(base::slot_id peer);
     // Entries that place requests, this one included.
-    void set_entries(std::size_t count);
+    void set_entry_count(std::size_t count);
     // Of each service that publishes one: the bound on cold upstreams.
-    void set_slow_start(base::class_id service, std::uint32_t sends)
+    void set_slow_start_rate(base::upstream_class_id service,
+                             std::uint32_t sends)
     {
-        this->pool.set_slow_start(service, sends);
+        this->pool.set_slow_start_rate(service, sends);
     }
     void set_slow_start_share(const slow_start_share& share)
     {
         this->pool.set_slow_start_share(share);
     }
     // Entries that send again what failed; all of them, unless told.
-    void set_retrying_entries(std::size_t count)
+    void set_retrying_entry_count(std::size_t count)
     {
-        this->retries.set_entries(std::max<std::size_t>(1, count));
+        this->retries.set_entry_count(std::max<std::size_t>(1, count));
     }
     // Between two messages of a peer close by, at the least.
-    void set_gossip_gap(base::duration gap) { this->pool.set_gossip_gap(gap); }
-    void set_retry_bounds(const retry_bounds& bounds)
+    void set_gossip_interval(base::duration gap)
+    {
+        this->pool.set_gossip_interval(gap);
+    }
+    void set_retry_budget(const retry_budget_settings& bounds)
     {
         this->retries.set_bounds(bounds);
     }
 
     // While held, nothing is sent: what is known of the world is too old.
-    void hold(bool held) { this->held = held; }
+    void set_paused(bool held) { this->held = held; }
 
     // Another entry places this one's requests: what waits is asked for there.
-    void delegate(bool to_another) { this->delegating = to_another; }
-    std::vector<waiting_send> waiting_sends(base::instant now) const;
-    std::vector<sent_request> sent_requests() const;
+    void set_delegating(bool to_another) { this->delegating = to_another; }
+    std::vector<queued_send> queued_sends(base::instant now) const;
+    std::vector<active_send> active_sends() const;
 
-    std::vector<upstream_use> own_uses(base::instant now) const
+    std::vector<upstream_load> own_load(base::instant now) const
     {
-        return this->pool.own_uses(now);
+        return this->pool.own_load(now);
     }
-    std::vector<service_waiting> own_waiting(base::instant now) const;
+    std::vector<queue_report> own_queue_reports(base::instant now) const;
 
     // Requests that crash upstreams, as known here.
     quarantine::suspect_table& crash_suspects() { return this->suspects; }
@@ -136,7 +140,7 @@
         request_facts facts;
         base::instant arrived;
         base::instant give_up_at; // queued: refused from here on
-        base::instant end_at;     // no answer of any kind is of use after it
+        base::instant deadline;   // no answer of any kind is of use after it
         bool came_back = false;   // its caller was refused before
         bool queued = false;
         std::uint32_t sends = 0;     // that reached an upstream
@@ -155,14 +159,14 @@
 
     void on(const request_arrived& what);
     void on(const caller_left& what);
-    void on(const not_sent& what);
-    void on(const turned_away& what);
-    void on(const progressed& what);
-    void on(const answered& what);
-    void on(const broken& what);
+    void on(const connect_failed& what);
+    void on(const send_rejected& what);
+    void on(const events_received& what);
+    void on(const answer_received& what);
+    void on(const answer_interrupted& what);
     void on(const upstream_checked& what);
-    void on(const place_granted& what);
-    void on(const place_declined& what);
+    void on(const slot_granted& what);
+    void on(const slot_declined& what);
 
     request* under_way(base::request_id id, std::uint32_t send);
     request* awaiting(base::request_id id, std::uint32_t send);
@@ -170,18 +174,18 @@
     void join_queue(request& item);
     bool cannot_meet_deadline(const request& item) const;
     void place_waiting();
-    void place_service(base::class_id service, wait_queue& queue);
+    void place_service(base::upstream_class_id service, wait_queue& queue);
     bool awaits_better(const request& item,
                        const waiting_request& entry,
                        const placing& offered) const;
-    waiting_counts waiting_elsewhere(base::class_id service) const;
+    queue_lengths waiting_elsewhere(base::upstream_class_id service) const;
     bool yields_to_peers(const waiting_request& item,
-                         const waiting_counts& elsewhere,
+                         const queue_lengths& elsewhere,
                          std::uint32_t free) const;
     void send(request& item, const placing& where);
     void leave_upstream(request& item);
     void bad_end(base::upstream_id upstream, trouble what);
-    void tell(const std::optional<trust_changed>& change);
+    void tell(const std::optional<suspicion_changed>& change);
     bool is_quarantined(const request& item) const;
     bool awaits_copy(const request& item) const;
     void refuse_quarantined(request& item);
@@ -203,13 +207,13 @@
 
     quarantine::suspect_table suspects;
     upstream_pool pool;
-    retry_share retries;
+    retry_budget retries;
     first_attempt_estimator fresh;
-    std::map<base::class_id, wait_queue> queues;
+    std::map<base::upstream_class_id, wait_queue> queues;
     std::unordered_map<base::request_id, request> requests;
     struct peer_waiting {
         base::instant at;
-        std::vector<service_waiting> services;
+        std::vector<queue_report> services;
     };
     std::unordered_map<base::slot_id, peer_waiting> waiting_at_peers;
     std::size_t peers_with_queues = 0;
--- a/src/greengagedrum/traffic/test/burst_run.cpp
+++ b/src/greengagedrum/traffic/test/burst_run.cpp
@@ -80,8 +80,8 @@
     base::instant at;
     std::size_t from = 0;
     bool to_near = true; // to its own data centre, else to the others
-    std::vector<upstream_use> uses;
-    std::vector<service_waiting> waiting;
+    std::vector<upstream_load> uses;
+    std::vector<queue_report> waiting;
 };
 
 // An entry's messages to one side.
@@ -107,10 +107,10 @@
     {
         for (std::size_t entry = 0; entry < given.entries; ++entry) {
             this->entries.push_back(std::make_unique<scheduler>(
-                retry_bounds{},
-                standpoint{place_of(entry, given), 1000 + entry}));
-            this->entries.back()->set_entries(given.entries);
-            this->entries.back()->set_gossip_gap(given.near_gap);
+                retry_budget_settings{},
+                entry_identity{place_of(entry, given), 1000 + entry}));
+            this->entries.back()->set_entry_count(given.entries);
+            this->entries.back()->set_gossip_interval(given.near_gap);
             for (std::size_t one = 0; one < given.engines; ++one) {
                 auto engine = upstream_named(std::to_string(one), given.slots);
                 engine.data_centre = place_of(one, given);
@@ -268,7 +268,7 @@
                     what.in_time = this->now - what.arrived <=
                                    kinds.at(what.kind).objective;
                     this->step(each.entry,
-                               progressed{each.request, each.send, 1});
+                               events_received{each.request, each.send, 1});
                 }
                 if (each.ends_at <= this->now)
                     ended.push_back(each);
@@ -284,10 +284,10 @@
 
     void finish(const run& what)
     {
-        this->step(
-            what.entry,
-            progressed{what.request, what.send, kinds.at(what.kind).events});
-        this->step(what.entry, answered{what.request, what.send, true});
+        this->step(what.entry,
+                   events_received{
+                       what.request, what.send, kinds.at(what.kind).events});
+        this->step(what.entry, answer_received{what.request, what.send, true});
         const asked_request& asked_one = this->asked[what.request];
         if (!asked_one.counted)
             return;
@@ -311,7 +311,7 @@
                 const bool is_near = place_of(to, this->settings) ==
                                      place_of(message.from, this->settings);
                 if (to != message.from && is_near == message.to_near)
-                    this->entries[to]->peer_told(
+                    this->entries[to]->on_peer_report(
                         base::slot_id(std::to_string(message.from)),
                         message.uses,
                         message.waiting,
@@ -333,8 +333,8 @@
             {this->now + message_delay,
              from,
              to_near,
-             this->entries[from]->own_uses(this->now),
-             this->entries[from]->own_waiting(this->now)});
+             this->entries[from]->own_load(this->now),
+             this->entries[from]->own_queue_reports(this->now)});
     }
 
     burst_settings settings;
--- a/src/greengagedrum/traffic/test/delegation_test.cpp
+++ b/src/greengagedrum/traffic/test/delegation_test.cpp
@@ -15,12 +15,12 @@
     delegating_fixture()
     {
         this->upstreams(1, 1);
-        this->tested.delegate(true);
+        this->tested.set_delegating(true);
     }
 
-    place_granted granted(base::request_id id, std::uint32_t send = 1)
+    slot_granted granted(base::request_id id, std::uint32_t send = 1)
     {
-        place_granted out;
+        slot_granted out;
         out.request = id;
         out.send = send;
         out.upstream = engine;
@@ -35,14 +35,14 @@
 {
     const auto id = this->arrive(stream_facts());
     CHECK(this->order<send_request>() == nullptr);
-    const auto waiting = this->tested.waiting_sends(this->now);
+    const auto waiting = this->tested.queued_sends(this->now);
     REQUIRE(waiting.size() == 1);
     CHECK(waiting[0].send == 1);
     CHECK(waiting[0].facts.delegated);
     this->step(this->granted(id));
     REQUIRE(this->order<send_request>() != nullptr);
-    CHECK(this->tested.waiting_sends(this->now).empty());
-    CHECK(this->tested.sent_requests().size() == 1);
+    CHECK(this->tested.queued_sends(this->now).empty());
+    CHECK(this->tested.active_sends().size() == 1);
 }
 
 // The reply with the place comes twice, since a report crossed it. A request
@@ -55,7 +55,7 @@
     this->step(this->granted(id));
     this->step(this->granted(id));
     CHECK(this->order<send_request>() == nullptr);
-    this->step(broken{id, 1});
+    this->step(answer_interrupted{id, 1});
     this->step(this->granted(id, 2));
     CHECK(this->order<send_request>() == nullptr);
 }
@@ -64,8 +64,8 @@
 {
     const auto id = this->arrive(stream_facts());
     this->step(this->granted(id));
-    this->step(not_sent{id, 1});
-    CHECK(this->tested.waiting_sends(this->now).at(0).send == 2);
+    this->step(connect_failed{id, 1});
+    CHECK(this->tested.queued_sends(this->now).at(0).send == 2);
     this->step(this->granted(id, 1));
     CHECK(this->order<send_request>() == nullptr);
     this->step(this->granted(id, 2));
@@ -82,7 +82,7 @@
     this->tested.upstream_left(engine);
     this->step(this->granted(id));
     CHECK(this->order<send_request>() == nullptr);
-    const auto waiting = this->tested.waiting_sends(this->now);
+    const auto waiting = this->tested.queued_sends(this->now);
     REQUIRE(waiting.size() == 1);
     CHECK(waiting[0].send == 2);
     CHECK(waiting[0].tried == std::vector{engine});
@@ -93,7 +93,7 @@
 {
     const auto id = this->arrive(stream_facts());
     this->step(
-        place_declined{id, 1, base::not_run(base::reason::limit_reached, 3s)});
+        slot_declined{id, 1, base::not_run(base::reason::limit_reached, 3s)});
     const auto* end = this->order<end_request>();
     REQUIRE(end != nullptr);
     CHECK(end->verdict.run == base::run_state::not_run);
@@ -109,9 +109,9 @@
     again.sends_max = 2;
     const auto id = this->arrive(again);
     this->step(this->granted(id));
-    this->step(broken{id, 1});
+    this->step(answer_interrupted{id, 1});
     this->step(
-        place_declined{id, 2, base::not_run(base::reason::overloaded, 1s)});
+        slot_declined{id, 2, base::not_run(base::reason::overloaded, 1s)});
     const auto* end = this->order<end_request>();
     REQUIRE(end != nullptr);
     CHECK(end->verdict.run == base::run_state::may_have_run);
@@ -130,7 +130,7 @@
                   "entry_that_places_again_sends_what_waits")
 {
     this->arrive(stream_facts());
-    this->tested.delegate(false);
+    this->tested.set_delegating(false);
     this->pass(1ms);
     CHECK(this->order<send_request>() != nullptr);
 }
@@ -143,14 +143,14 @@
     this->upstreams(2, 1);
     request_facts facts = stream_facts();
     facts.delegated = true;
-    facts.patience = 2s;
+    facts.first_event_timeout = 2s;
     facts.rule = routing::retry_policy::idempotent;
     const auto id = this->arrive(facts);
     REQUIRE(this->order<send_request>() != nullptr);
-    this->step(broken{id, 1});
+    this->step(answer_interrupted{id, 1});
     CHECK(this->order<send_request>() == nullptr);
     const auto second = this->arrive(facts);
-    this->step(not_sent{second, 1});
+    this->step(connect_failed{second, 1});
     CHECK(this->order<send_request>() == nullptr);
     CHECK(this->tested.in_flight() == 0);
 }
@@ -163,13 +163,13 @@
     this->upstreams(1, 2);
     request_facts facts = stream_facts();
     facts.delegated = true;
-    facts.patience = 2s;
+    facts.first_event_timeout = 2s;
     const auto id = this->arrive(facts);
-    this->step(progressed{id, 1, 1});
+    this->step(events_received{id, 1, 1});
     for (int count = 0; count < 20; ++count) {
         this->pass(300ms);
-        CHECK(this->order<trust_changed>() == nullptr);
-        CHECK(this->order<stop_send>() == nullptr);
+        CHECK(this->order<suspicion_changed>() == nullptr);
+        CHECK(this->order<cancel_send>() == nullptr);
     }
 }
 
--- a/src/greengagedrum/traffic/test/homes_test.cpp
+++ b/src/greengagedrum/traffic/test/homes_test.cpp
@@ -61,11 +61,11 @@
 {
     const auto id = this->arrive(bound_facts());
     const auto first = this->sent();
-    this->step(progressed{id, first.send, 2});
-    this->step(broken{id, first.send});
+    this->step(events_received{id, first.send, 2});
+    this->step(answer_interrupted{id, first.send});
     CHECK(is_home(this->sent().upstream));
     CHECK(this->sent().upstream != first.upstream);
-    this->step(broken{id, this->sent().send});
+    this->step(answer_interrupted{id, this->sent().send});
     CHECK(this->order<send_request>() == nullptr);
 }
 
@@ -81,11 +81,11 @@
 // The dispatcher's configuration is older, and lets the request go anywhere.
 TEST_CASE_FIXTURE(homes_fixture, "slot_granted_outside_the_home_is_not_taken")
 {
-    this->tested.delegate(true);
+    this->tested.set_delegating(true);
     const auto id = this->arrive(bound_facts());
-    this->step(place_granted{id, 1, base::upstream_id("near"), 50ms, 0, 1});
+    this->step(slot_granted{id, 1, base::upstream_id("near"), 50ms, 0, 1});
     CHECK(this->order<send_request>() == nullptr);
-    this->step(place_granted{id, 2, base::upstream_id("home-1"), 50ms, 0, 1});
+    this->step(slot_granted{id, 2, base::upstream_id("home-1"), 50ms, 0, 1});
     CHECK(this->sent().upstream == base::upstream_id("home-1"));
 }
 
--- a/src/greengagedrum/traffic/test/scheduler_fixture.hpp
+++ b/src/greengagedrum/traffic/test/scheduler_fixture.hpp
@@ -11,7 +11,7 @@
 namespace greengagedrum::traffic
 {
 
-inline const base::class_id engines("engines");
+inline const base::upstream_class_id engines("engines");
 
 inline routing::published_upstream upstream_named(const std::string& name,
                                                   std::uint32_t slots)
@@ -100,7 +100,7 @@
 
     void answer(base::request_id id, std::uint32_t send, bool good = true)
     {
-        this->step(answered{id, send, good});
+        this->step(answer_received{id, send, good});
     }
 };
 
--- a/src/greengagedrum/traffic/test/scheduler_test.cpp
+++ b/src/greengagedrum/traffic/test/scheduler_test.cpp
@@ -42,7 +42,7 @@
 {
     this->upstreams(3, 5);
     const auto id = this->arrive(facts_of(at_most_once, 3));
-    this->step(broken{id, this->sent().send});
+    this->step(answer_interrupted{id, this->sent().send});
     CHECK(this->order<send_request>() == nullptr);
     CHECK(this->verdict().run == base::run_state::may_have_run);
 }
@@ -55,9 +55,9 @@
     this->upstreams(3, 5);
     const auto id = this->arrive(facts_of(at_most_once, 2));
     const auto first = this->sent().upstream;
-    this->step(turned_away{id, this->sent().send, turn_away::full});
+    this->step(send_rejected{id, this->sent().send, rejection::not_run});
     CHECK(this->sent().upstream != first);
-    this->step(turned_away{id, this->sent().send, turn_away::full});
+    this->step(send_rejected{id, this->sent().send, rejection::not_run});
     CHECK(this->verdict().run == base::run_state::not_run);
     CHECK(this->verdict().retry_after);
 }
@@ -69,8 +69,8 @@
 {
     this->upstreams(3, 5);
     const auto id = this->arrive(facts_of(idempotent, 2));
-    this->step(broken{id, this->sent().send});
-    this->step(turned_away{id, this->sent().send, turn_away::full});
+    this->step(answer_interrupted{id, this->sent().send});
+    this->step(send_rejected{id, this->sent().send, rejection::not_run});
     CHECK(this->verdict().run == base::run_state::may_have_run);
 }
 
@@ -81,7 +81,7 @@
     this->upstreams(3, 5);
     const auto id = this->arrive(facts_of(at_most_once, 1));
     const auto first = this->sent().upstream;
-    this->step(not_sent{id, this->sent().send});
+    this->step(connect_failed{id, this->sent().send});
     CHECK(this->sent().upstream != first);
     this->answer(id, this->sent().send);
     CHECK(this->order<deliver_answer>() != nullptr);
@@ -95,7 +95,7 @@
 {
     this->upstreams(1, 5);
     const auto lost = this->arrive(stream_facts());
-    this->step(not_sent{lost, this->sent().send});
+    this->step(connect_failed{lost, this->sent().send});
     CHECK(this->order<send_request>() == nullptr);
     this->pass(260ms);
     // It was tried for the first request; another one is the probe.
@@ -105,7 +105,7 @@
     this->arrive(stream_facts());
     CHECK(this->order<send_request>() == nullptr);
     this->answer(probe, send.send);
-    CHECK(this->order<trust_changed>()->suspected == false);
+    CHECK(this->order<suspicion_changed>()->suspected == false);
     CHECK(this->order<send_request>() != nullptr);
 }
 
@@ -121,11 +121,11 @@
         this->tested.upstream_joined(entry, this->now);
     }
     // Their own are busy, so that the first choices are elsewhere.
-    const std::vector<upstream_use> busy = {
+    const std::vector<upstream_load> busy = {
         {base::upstream_id("i-0"), 4, 3000},
         {base::upstream_id("i-1"), 4, 3000},
         {base::upstream_id("i-2"), 4, 3000}};
-    this->tested.peer_told(base::slot_id("peer"), busy, {}, this->now);
+    this->tested.on_peer_report(base::slot_id("peer"), busy, {}, this->now);
     const auto id = this->arrive(facts_of(resumable, 2));
     int failed = 0;
     while (this->order<send_request>() != nullptr) {
@@ -136,7 +136,7 @@
         if (own)
             break;
         failed += 1;
-        this->step(not_sent{id, send.send});
+        this->step(connect_failed{id, send.send});
     }
     REQUIRE(this->order<send_request>() != nullptr);
     CHECK(failed <= 6);
@@ -158,7 +158,7 @@
                 break;
             }
             failed += 1;
-            this->step(not_sent{id, send.send});
+            this->step(connect_failed{id, send.send});
         }
     }
     // Each once at first, and then four a second for five seconds.
@@ -183,8 +183,8 @@
     this->upstreams(2, 5);
     const auto id = this->arrive(facts_of(idempotent, 3));
     const auto first = this->sent().send;
-    this->step(broken{id, first});
-    this->step(broken{id, first});
+    this->step(answer_interrupted{id, first});
+    this->step(answer_interrupted{id, first});
     CHECK(this->last.empty());
     CHECK(this->tested.in_flight() == 1);
 }
@@ -194,7 +194,7 @@
 TEST_CASE_FIXTURE(scheduler_fixture, "retries_of_one_entry_keep_to_its_part")
 {
     this->upstreams(4, 50);
-    this->tested.set_entries(10);
+    this->tested.set_entry_count(10);
     for (int count = 0; count < 100; ++count) {
         const auto id = this->arrive(facts_of(idempotent, 2));
         this->answer(id, this->sent().send, false);
@@ -218,9 +218,9 @@
     const auto other = this->arrive(facts_of(resumable, 2));
     const auto send = this->sent().send;
     for (std::uint32_t events = 1; events < 30; ++events) {
-        this->step(progressed{other, send, events});
+        this->step(events_received{other, send, events});
         this->pass(100ms);
-        REQUIRE(this->order<stop_send>() == nullptr);
+        REQUIRE(this->order<cancel_send>() == nullptr);
     }
     CHECK(this->tested.in_flight() == 2);
     static_cast<void>(waiting);
@@ -233,9 +233,9 @@
     this->upstreams(2, 5);
     const auto id = this->arrive(facts_of(resumable, 2));
     const auto first = this->sent();
-    this->step(progressed{id, first.send, 3});
+    this->step(events_received{id, first.send, 3});
     base::duration passed{0};
-    while (this->order<stop_send>() == nullptr && passed < 2s) {
+    while (this->order<cancel_send>() == nullptr && passed < 2s) {
         this->pass(20ms);
         passed += 20ms;
     }
@@ -250,11 +250,11 @@
     const auto id = this->arrive(facts_of(at_most_once, 2));
     for (int step = 0; step < 590; ++step) {
         this->pass(20ms);
-        REQUIRE(this->order<stop_send>() == nullptr);
+        REQUIRE(this->order<cancel_send>() == nullptr);
         REQUIRE(this->order<end_request>() == nullptr);
     }
     this->pass(250ms);
-    CHECK(this->order<stop_send>()->request == id);
+    CHECK(this->order<cancel_send>()->request == id);
     CHECK(this->verdict().why == base::reason::deadline);
     CHECK(this->verdict().run == base::run_state::may_have_run);
 }
@@ -283,10 +283,10 @@
                   "held_scheduler_sends_nothing_until_let_go")
 {
     this->upstreams(1, 5);
-    this->tested.hold(true);
+    this->tested.set_paused(true);
     const auto id = this->arrive(stream_facts());
     CHECK(this->last.empty());
-    this->tested.hold(false);
+    this->tested.set_paused(false);
     this->pass(1ms);
     CHECK(this->sent().request == id);
 }
--- a/src/greengagedrum/traffic/test/wait_queue_test.cpp
+++ b/src/greengagedrum/traffic/test/wait_queue_test.cpp
@@ -90,8 +90,8 @@
     for (int count = 0; count < 4; ++count)
         this->arrive(stream_facts(2));
     this->arrive(stream_facts(0));
-    service_waiting message{engines, {9, 0, 0, 0}};
-    this->tested.peer_told(peer, {}, {&message, 1}, this->now);
+    queue_report message{engines, {9, 0, 0, 0}};
+    this->tested.on_peer_report(peer, {}, {&message, 1}, this->now);
     this->answer(running, send);
     CHECK(this->order<send_request>() != nullptr);
 }
@@ -104,8 +104,8 @@
     const auto running = this->arrive(stream_facts(0));
     const auto send = this->sent().send;
     this->arrive(stream_facts(2));
-    service_waiting message{engines, {1, 0, 0, 0}};
-    this->tested.peer_told(peer, {}, {&message, 1}, this->now);
+    queue_report message{engines, {1, 0, 0, 0}};
+    this->tested.on_peer_report(peer, {}, {&message, 1}, this->now);
     this->answer(running, send);
     CHECK(this->order<send_request>() == nullptr);
     // The peer's message is good for as long as it takes to tell anew.
@@ -119,11 +119,11 @@
                   "place_freed_by_a_peer_is_left_to_it_first")
 {
     this->upstreams(1, 1);
-    const upstream_use taken{base::upstream_id("i-0"), 1, 0};
-    this->tested.peer_told(peer, {&taken, 1}, {}, this->now);
+    const upstream_load taken{base::upstream_id("i-0"), 1, 0};
+    this->tested.on_peer_report(peer, {&taken, 1}, {}, this->now);
     this->arrive(stream_facts());
     CHECK(this->order<send_request>() == nullptr);
-    this->tested.peer_told(peer, {}, {}, this->now);
+    this->tested.on_peer_report(peer, {}, {}, this->now);
     this->pass(5ms);
     CHECK(this->order<send_request>() == nullptr);
     this->pass(45ms);
@@ -133,8 +133,8 @@
 TEST_CASE_FIXTURE(scheduler_fixture, "places_of_a_silent_peer_are_free_again")
 {
     this->upstreams(1, 1);
-    const upstream_use taken{base::upstream_id("i-0"), 1, 0};
-    this->tested.peer_told(peer, {&taken, 1}, {}, this->now);
+    const upstream_load taken{base::upstream_id("i-0"), 1, 0};
+    this->tested.on_peer_report(peer, {&taken, 1}, {}, this->now);
     this->arrive(stream_facts());
     CHECK(this->order<send_request>() == nullptr);
     this->pass(1600ms);
@@ -185,9 +185,9 @@
         const auto send = this->sent();
         const bool slow = send.upstream == base::upstream_id("i-1");
         this->now += 60ms;
-        this->step(progressed{id, send.send, 1});
+        this->step(events_received{id, send.send, 1});
         this->now += slow ? 1500ms : 300ms;
-        this->step(progressed{id, send.send, 30});
+        this->step(events_received{id, send.send, 30});
         this->answer(id, send.send);
         // Keeps the faster one busy now and then, so that both are known.
         if (round % 3 == 0)
@@ -219,7 +219,7 @@
 TEST_CASE_FIXTURE(scheduler_fixture,
                   "entry_with_most_callers_counts_on_the_places_it_holds")
 {
-    this->tested.set_entries(40);
+    this->tested.set_entry_count(40);
     this->upstreams(8, 5);
     for (int count = 0; count < 40; ++count)
         this->arrive(stream_facts());
@@ -240,8 +240,8 @@
     this->arrive(stream_facts(0));
     for (int count = 0; count < 4; ++count)
         this->arrive(stream_facts(2));
-    const service_waiting queue{engines, {9, 0, 0, 0}};
-    this->tested.peer_told(peer, {}, {&queue, 1}, this->now);
+    const queue_report queue{engines, {9, 0, 0, 0}};
+    this->tested.on_peer_report(peer, {}, {&queue, 1}, this->now);
     this->tested.upstream_joined(upstream_named("more", 2), this->now);
     this->pass(20ms);
     CHECK(this->tested.waiting() == 3);
@@ -254,10 +254,10 @@
     this->arrive(stream_facts());
     this->arrive(stream_facts());
     for (std::uint64_t number = 0; number < 20; ++number) {
-        const service_waiting queue[] = {{engines, {5}}};
+        const queue_report queue[] = {{engines, {5}}};
         const base::slot_id one(std::to_string(number));
-        this->tested.peer_told(one, {}, queue, this->now);
-        this->tested.peer_lost(one);
+        this->tested.on_peer_report(one, {}, queue, this->now);
+        this->tested.on_peer_lost(one);
     }
     this->tested.upstream_joined(upstream_named("back", 5), this->now);
     this->pass(1ms);
@@ -274,8 +274,8 @@
     for (int count = 0; count < 10; ++count)
         this->arrive(stream_facts());
     for (std::uint64_t number = 0; number < peers; ++number) {
-        const service_waiting queued[] = {{engines, {5}}};
-        this->tested.peer_told(
+        const queue_report queued[] = {{engines, {5}}};
+        this->tested.on_peer_report(
             base::slot_id(std::to_string(number)), {}, queued, this->now);
     }
     this->tested.upstream_joined(upstream_named("back", 5), this->now);
--- a/src/greengagedrum/traffic/upstream_pool.cpp
+++ b/src/greengagedrum/traffic/upstream_pool.cpp
@@ -63,11 +63,11 @@
     this->note_join(entry.id, own, now);
     // Peers may have told of it before it was known here.
     for (const auto& [peer, message] : this->told) {
-        for (const upstream_use& use : message.uses) {
+        for (const upstream_load& use : message.uses) {
             if (use.upstream != entry.id)
                 continue;
             own.others += use.requests;
-            own.others_unread += use.prompt_tokens;
+            own.others_unread += use.pending_prefill_tokens;
             own.speed.told(use.event_gap, now);
         }
     }
@@ -85,7 +85,7 @@
         this->upstreams.erase(id);
 }
 
-bool upstream_pool::known(base::class_id service,
+bool upstream_pool::known(base::upstream_class_id service,
                           const routing::data_centre_constraint& homes) const
 {
     const auto found = this->services.find(service);
@@ -108,35 +108,35 @@
 
 void upstream_pool::count_peer(const peer_load& message, base::instant now)
 {
-    for (const upstream_use& use : message.uses) {
+    for (const upstream_load& use : message.uses) {
         upstream* own = this->find(use.upstream);
         if (own == nullptr)
             continue;
         own->others += use.requests;
-        own->others_unread += use.prompt_tokens;
+        own->others_unread += use.pending_prefill_tokens;
         own->speed.told(use.event_gap, now);
     }
 }
 
 void upstream_pool::uncount_peer(const peer_load& message)
 {
-    for (const upstream_use& use : message.uses) {
+    for (const upstream_load& use : message.uses) {
         upstream* own = this->find(use.upstream);
         if (own == nullptr)
             continue;
         own->others -= std::min(own->others, use.requests);
-        own->others_unread -= std::min(own->others_unread, use.prompt_tokens);
+        own->others_unread -= std::min(own->others_unread, use.pending_prefill_tokens);
         own->speed.withdrawn(use.event_gap);
     }
 }
 
-void upstream_pool::peer_told(base::slot_id peer,
-                              std::span<const upstream_use> uses,
+void upstream_pool::on_peer_report(base::slot_id peer,
+                              std::span<const upstream_load> uses,
                               base::instant now)
 {
     peer_load& message = this->told[peer];
     std::vector<std::pair<base::upstream_id, std::uint32_t>> before;
-    for (const upstream_use& use : message.uses) {
+    for (const upstream_load& use : message.uses) {
         if (const upstream* one = this->find(use.upstream))
             before.emplace_back(use.upstream, one->others);
     }
@@ -189,7 +189,7 @@
             now + this->own_turn(placement::mix(id.value, place)));
 }
 
-void upstream_pool::set_gossip_gap(base::duration gap)
+void upstream_pool::set_gossip_interval(base::duration gap)
 {
     this->peers_turn = gap + message_delay;
 }
@@ -215,11 +215,11 @@
     if (all == 0)
         return one.slots;
     const std::uint32_t part =
-        this->is_near(one) ? this->cold_share.part_of(all) : 0;
+        this->is_near(one) ? this->cold_share.share_of(all) : 0;
     return part - std::min(part, one.recent.count(now));
 }
 
-void upstream_pool::peer_lost(base::slot_id peer)
+void upstream_pool::on_peer_lost(base::slot_id peer)
 {
     const auto found = this->told.find(peer);
     if (found == this->told.end())
@@ -239,7 +239,7 @@
             silent.push_back(peer);
     }
     for (const base::slot_id peer : silent)
-        this->peer_lost(peer);
+        this->on_peer_lost(peer);
 }
 
 base::duration upstream_pool::oldest_load_report(base::instant now) const
@@ -287,7 +287,7 @@
         this->upstreams.erase(id);
 }
 
-std::optional<trust_changed> upstream_pool::good_end(base::upstream_id id)
+std::optional<suspicion_changed> upstream_pool::good_end(base::upstream_id id)
 {
     upstream* own = this->find(id);
     if (own == nullptr)
@@ -298,13 +298,13 @@
     own->trust.good_end();
     if (!cleared)
         return std::nullopt;
-    return trust_changed{id,
+    return suspicion_changed{id,
                          false,
                          to_string(own->trust.last_trouble()),
-                         own->trust.bad_share()};
+                         own->trust.failure_rate()};
 }
 
-std::optional<trust_changed>
+std::optional<suspicion_changed>
 upstream_pool::bad_end(base::upstream_id id, trouble what, base::instant now)
 {
     upstream* own = this->find(id);
@@ -317,7 +317,7 @@
         all.bad += service_weight * (1 - all.bad);
     if (was || !own->trust.suspected())
         return std::nullopt;
-    return trust_changed{id, true, to_string(what), own->trust.bad_share()};
+    return suspicion_changed{id, true, to_string(what), own->trust.failure_rate()};
 }
 
 void upstream_pool::probe_void(base::upstream_id id)
@@ -328,7 +328,7 @@
 
 // ---- Sums -----------------------------------------------------------------
 
-std::uint32_t upstream_pool::places(base::class_id service) const
+std::uint32_t upstream_pool::places(base::upstream_class_id service) const
 {
     const auto found = this->services.find(service);
     if (found == this->services.end())
@@ -342,7 +342,7 @@
     return sum;
 }
 
-std::uint32_t upstream_pool::free_places(base::class_id service,
+std::uint32_t upstream_pool::free_places(base::upstream_class_id service,
                                          base::instant now) const
 {
     const auto found = this->services.find(service);
@@ -357,7 +357,7 @@
     return sum;
 }
 
-bool upstream_pool::any_open(base::class_id service, base::instant now) const
+bool upstream_pool::any_open(base::upstream_class_id service, base::instant now) const
 {
     const auto found = this->services.find(service);
     if (found == this->services.end())
@@ -370,7 +370,7 @@
                        });
 }
 
-std::uint32_t upstream_pool::foreign_places(base::class_id service) const
+std::uint32_t upstream_pool::foreign_places(base::upstream_class_id service) const
 {
     const auto found = this->services.find(service);
     if (found == this->services.end())
@@ -381,9 +381,9 @@
     return sum;
 }
 
-std::vector<upstream_use> upstream_pool::own_uses(base::instant now) const
+std::vector<upstream_load> upstream_pool::own_load(base::instant now) const
 {
-    std::vector<upstream_use> out;
+    std::vector<upstream_load> out;
     for (const auto& [id, one] : this->upstreams) {
         if (one.own > 0)
             out.push_back(
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -28,10 +28,10 @@
 {
 
 // One entry's requests on one upstream.
-struct upstream_use {
+struct upstream_load {
     base::upstream_id upstream;
     std::uint32_t requests = 0;
-    std::uint32_t prompt_tokens = 0; // not yet read by it
+    std::uint32_t pending_prefill_tokens = 0; // not yet read by it
     base::duration event_gap{0};     // seen there; zero: nothing lately
 };
 
@@ -44,7 +44,7 @@
 
 struct placing {
     base::upstream_id upstream;
-    choice_facts why;
+    choice_record choice;
     double expected = 0; // seconds to its first event
     double finish = 0;   // and to its last
     bool probe = false;
@@ -55,7 +55,7 @@
 
 // What a choice has to know of a request.
 struct placing_question {
-    base::class_id service;
+    base::upstream_class_id service;
     std::uint32_t prompt_tokens = 0;
     std::uint32_t output_tokens = 0;          // expected
     std::span<const base::upstream_id> tried; // not to be taken again
@@ -66,7 +66,7 @@
 };
 
 // Where this entry stands, which tells its choices from its peers'.
-struct standpoint {
+struct entry_identity {
     std::string data_centre;
     std::uint64_t salt = 0; // differs between entries
 };
@@ -74,30 +74,30 @@
 class upstream_pool
 {
 public:
-    explicit upstream_pool(standpoint own) : own_place(std::move(own)) {}
+    explicit upstream_pool(entry_identity own) : own_place(std::move(own)) {}
 
     void join(const routing::published_upstream& entry, base::instant now);
     void leave(base::upstream_id upstream);
 
     // Replaces all that the peer told before.
-    void peer_told(base::slot_id peer,
-                   std::span<const upstream_use> uses,
+    void on_peer_report(base::slot_id peer,
+                   std::span<const upstream_load> uses,
                    base::instant now);
-    void peer_lost(base::slot_id peer);
+    void on_peer_lost(base::slot_id peer);
     // Peers whose message is too old count as lost.
     void forget_silent_peers(base::instant now);
 
     // Entries that take requests, this one included.
-    void set_entries(std::size_t count);
+    void set_entry_count(std::size_t count);
 
     // Between two messages of a peer close by, at the least.
-    void set_gossip_gap(base::duration gap);
+    void set_gossip_interval(base::duration gap);
     // Peers with requests that wait: they are after each place that falls free.
     void set_waiting_peers(std::size_t count) { this->waiting_peers = count; }
 
     // Requests that a cold upstream of the service gets in a second; 0: there
     // is no bound.
-    void set_slow_start(base::class_id service, std::uint32_t sends)
+    void set_slow_start_rate(base::upstream_class_id service, std::uint32_t sends)
     {
         this->services[service].cold_sends = sends;
     }
@@ -135,30 +135,30 @@
     void ended(base::upstream_id upstream, std::uint32_t unread);
 
     // Set when the upstream's standing changed by it.
-    std::optional<trust_changed> good_end(base::upstream_id upstream);
-    std::optional<trust_changed>
+    std::optional<suspicion_changed> good_end(base::upstream_id upstream);
+    std::optional<suspicion_changed>
     bad_end(base::upstream_id upstream, trouble what, base::instant now);
     void probe_void(base::upstream_id upstream);
 
     // Requests that the service's sound upstreams run at once.
-    std::uint32_t places(base::class_id service) const;
-    std::uint32_t free_places(base::class_id service, base::instant now) const;
+    std::uint32_t places(base::upstream_class_id service) const;
+    std::uint32_t free_places(base::upstream_class_id service, base::instant now) const;
     // Any place that could be taken, at a suspect too.
-    bool any_open(base::class_id service, base::instant now) const;
+    bool any_open(base::upstream_class_id service, base::instant now) const;
     // Taken by peers.
-    std::uint32_t foreign_places(base::class_id service) const;
-    bool known(base::class_id service,
+    std::uint32_t foreign_places(base::upstream_class_id service) const;
+    bool known(base::upstream_class_id service,
                const routing::data_centre_constraint& homes) const;
     // It is published, takes requests, and stands in one of the homes.
     bool may_run(base::upstream_id upstream,
                  const routing::data_centre_constraint& homes) const;
 
     // Seconds to the first event on a usual upstream with nothing before it.
-    double usual_first_event(base::class_id service,
+    double usual_first_event(base::upstream_class_id service,
                              std::uint32_t prompt_tokens) const;
 
     // Of this entry, for its peers.
-    std::vector<upstream_use> own_uses(base::instant now) const;
+    std::vector<upstream_load> own_load(base::instant now) const;
 
     std::size_t peers() const { return this->told.size(); }
 
@@ -167,7 +167,7 @@
     static constexpr double service_weight = 0.03;
 
     struct upstream {
-        base::class_id service;
+        base::upstream_class_id service;
         std::uint32_t slots = 1;
         bool listed = true;
         base::data_centre_id data_centre;
@@ -188,7 +188,7 @@
 
     struct peer_load {
         base::instant at;
-        std::vector<upstream_use> uses;
+        std::vector<upstream_load> uses;
     };
 
     struct service_state {
@@ -255,14 +255,14 @@
                        base::instant now) const;
     const candidate* pick(const offers& open, std::uint64_t draw) const;
 
-    standpoint own_place;
+    entry_identity own_place;
     slow_start_share cold_share{0, 1};
     std::size_t entries = 1;
     double alike = 0; // see set_entries()
     std::size_t waiting_peers = 0;
     base::duration peers_turn = std::chrono::milliseconds(14);
     std::unordered_map<base::upstream_id, upstream> upstreams;
-    std::unordered_map<base::class_id, service_state> services;
+    std::unordered_map<base::upstream_class_id, service_state> services;
     std::unordered_map<base::slot_id, peer_load> told;
     base::instant silence_checked_at;
 };
--- a/src/programs/bench_core/workload.hpp
+++ b/src/programs/bench_core/workload.hpp
@@ -1,7 +1,7 @@
 // The fleet and the requests that the bench of the core measures with.
 #pragma once
 
-#include <greengagedrum/base/work.hpp>
+#include <greengagedrum/base/request_spec.hpp>
 #include <greengagedrum/config/fleet.hpp>
 #include <greengagedrum/membership/messages.hpp>
 #include <greengagedrum/placement/mix.hpp>
@@ -25,7 +25,7 @@
         entry.name = "engine-" + std::to_string(number);
         entry.id = base::upstream_id(entry.name);
         entry.data_centre = base::data_centre_id("zona-4");
-        entry.upstream_class = base::class_id("photo");
+        entry.upstream_class = base::upstream_class_id("photo");
         entry.generation = "g" + std::to_string(number % 3);
         entry.models = {"compliance"};
         entry.max_in_flight = places;
@@ -50,13 +50,13 @@
 }
 
 // Prompts of 16 to 16,000 tokens; a third of them share 500 prefixes.
-inline base::work make_work(std::uint64_t number)
+inline base::request_spec make_work(std::uint64_t number)
 {
     const std::uint64_t random = placement::mix(number);
-    base::work out;
+    base::request_spec out;
     out.workspace = base::workspace_id(1 + random % 50);
     out.kind = base::kind_id(1 + random % 7);
-    out.upstream_class = base::class_id("photo");
+    out.upstream_class = base::upstream_class_id("photo");
     out.model = base::model_id("compliance");
     out.tier = base::all_tiers[random % base::tier_count];
     out.repetition = base::repetition::idempotent;
--- a/src/programs/ggd_bench_traffic.cpp
+++ b/src/programs/ggd_bench_traffic.cpp
@@ -36,7 +36,7 @@
             routing::published_upstream entry;
             entry.name = "i-" + std::to_string(number);
             entry.id = base::upstream_id(entry.name);
-            entry.service = base::class_id("models");
+            entry.service = base::upstream_class_id("models");
             entry.data_centre = "dc-" + std::to_string(number % data_centres);
             entry.slots = slots;
             this->tested.upstream_joined(entry, this->now);
@@ -46,12 +46,12 @@
     // A message of each peer, with one request on every third upstream.
     void hear(std::size_t upstreams)
     {
-        std::vector<traffic::upstream_use> uses;
+        std::vector<traffic::upstream_load> uses;
         for (std::size_t number = 0; number < upstreams; number += 3)
             uses.push_back(
                 {base::upstream_id("i-" + std::to_string(number)), 1, 0});
         for (std::size_t peer = 0; peer < peers; ++peer)
-            this->tested.peer_told(
+            this->tested.on_peer_report(
                 base::slot_id(std::to_string(peer)), uses, {}, this->now);
     }
 
@@ -61,7 +61,7 @@
         this->now += std::chrono::milliseconds(1);
         const base::request_id id{number};
         traffic::request_facts facts;
-        facts.service = base::class_id("models");
+        facts.service = base::upstream_class_id("models");
         facts.stream = true;
         facts.prompt_tokens = 3000;
         facts.output_tokens = 100;
@@ -77,9 +77,9 @@
             const std::uint32_t order = send->send;
             traffic::actions rest;
             this->tested.step(
-                traffic::progressed{id, order, 1}, this->now, rest);
+                traffic::events_received{id, order, 1}, this->now, rest);
             this->tested.step(
-                traffic::answered{id, order, true}, this->now, rest);
+                traffic::answer_received{id, order, true}, this->now, rest);
             return;
         }
     }
