--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -80,7 +80,7 @@
                                      base::instant now)
 {
     cluster_changes out =
-        this->learn(passed.items, passed.store_revision, passed.whole, now);
+        this->learn(passed.items, passed.store_revision, passed.complete, now);
     this->change = std::max(this->change, passed.change_revision);
     return out;
 }
@@ -344,9 +344,9 @@
     gossip::item_transfer out;
     out.store_revision = this->revision;
     out.change_revision = this->change;
-    out.whole = since == 0;
+    out.complete = since == 0;
     for (const auto& [key, item] : this->items) {
-        if (item.revision > since && !(out.whole && item.removed))
+        if (item.revision > since && !(out.complete && item.removed))
             out.items.push_back(item);
     }
     return out;
@@ -359,13 +359,13 @@
     gossip::item_transfer out;
     out.store_revision = this->revision;
     out.change_revision = this->change;
-    out.changes = this->change_count;
-    out.whole = changes == 0;
+    out.change_count = this->change_count;
+    out.complete = changes == 0;
     for (const auto& [key, item] : this->items) {
         const auto found = this->changed_as.find(key);
         const bool changed =
             found != this->changed_as.end() && found->second > changes;
-        if (out.whole ? !item.removed : changed)
+        if (out.complete ? !item.removed : changed)
             out.items.push_back(item);
     }
     return out;
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -154,7 +154,7 @@
     out.member_reported = [this](base::slot_id member,
                                  const gossip::message& told) {
         this->callers->member_reported(
-            member, told.incarnation, told.report, told.uses);
+            member, told.incarnation, told.report, told.upstream_uses);
     };
     out.member_lost = [this](base::slot_id member) {
         this->callers->member_lost(member);
--- a/src/greengagedrum/entry/fleet_test/cold_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/cold_fleet.cpp
@@ -72,7 +72,7 @@
     out.member_reported = [this, &of](base::slot_id member,
                                       const gossip::message& told) {
         this->books[of.number].report(
-            member, told.incarnation, told.report, told.uses);
+            member, told.incarnation, told.report, told.upstream_uses);
     };
     out.member_lost = [this, &of](base::slot_id member) {
         this->books[of.number].lost(member);
--- a/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
@@ -97,7 +97,7 @@
     out.member_reported = [this, &of](base::slot_id member,
                                       const gossip::message& told) {
         this->works[of.number].book.report(
-            member, told.incarnation, told.report, told.uses);
+            member, told.incarnation, told.report, told.upstream_uses);
     };
     out.member_lost = [this, &of](base::slot_id member) {
         this->works[of.number].book.lost(member);
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -205,7 +205,7 @@
     quota::usage_limiter& limiter = dispatcher.state.limiter;
     dispatch::dispatcher_book& book = this->of(dispatcher).book;
     const dispatch::request_changes news =
-        book.report(member, told.incarnation, told.report, told.uses);
+        book.report(member, told.incarnation, told.report, told.upstream_uses);
     for (const dispatch::counted_cost& cost : news.withdrawn)
         limiter.withdrawn(cost.workspace, cost.amount, this->fleet.time());
     for (const auto& [id, wanted] : news.arrived) {
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -227,7 +227,7 @@
     gossip::message out;
     out.kind = kind;
     out.delegating = this->state.delegating;
-    out.serving = this->is_serving();
+    out.dispatching = this->is_serving();
     out.incarnation = this->life;
     out.sequence = ++this->sequence;
     out.instance = this->own.instance;
@@ -239,8 +239,8 @@
     out.configuration_revision = this->state.known.configuration_revision();
     out.store_revision = this->state.known.as_of();
     out.change_revision = this->state.known.changed_at();
-    out.changes = this->state.known.changes();
-    out.digest = this->state.known.digest();
+    out.change_count = this->state.known.changes();
+    out.state_digest = this->state.known.digest();
     out.store_age = now - this->own_read_at;
     return out;
 }
@@ -251,10 +251,10 @@
     gossip::message out =
         this->own_message(this->large ? gossip::message_kind::dispatcher_load
                                       : gossip::message_kind::load);
-    out.uses = this->state.scheduler.own_uses(now);
-    out.waiting = this->state.scheduler.own_waiting(now);
+    out.upstream_uses = this->state.scheduler.own_uses(now);
+    out.waiting_by_service = this->state.scheduler.own_waiting(now);
     out.workspace_uses = this->state.limiter.own_uses(now);
-    out.known = this->table.some_known(who, now);
+    out.known_entries = this->table.some_known(who, now);
     out.suspects = this->suspects_for(who == gossip::audience::own_data_centre
                                           ? this->suspects_to_near
                                           : this->suspects_to_far,
@@ -343,7 +343,7 @@
             this->asking = false;
             if (got && got->status == relay::status_ok) {
                 if (const auto items = gossip::decode_items(got->body)) {
-                    this->passed = {items->incarnation, items->changes};
+                    this->passed = {items->incarnation, items->change_count};
                     return this->events.items(*items);
                 }
             }
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -80,7 +80,8 @@
         return;
     if (this->large)
         this->counting[slot] = told.address;
-    this->state.scheduler.peer_told(slot, told.uses, told.waiting, now);
+    this->state.scheduler.peer_told(
+        slot, told.upstream_uses, told.waiting_by_service, now);
     this->state.limiter.peer_told(
         slot, told.incarnation, told.workspace_uses, told.stopping, now);
     if (this->state.scheduler.waiting() > 0)
@@ -143,7 +144,7 @@
     answered = now;
     gossip::message out =
         this->own_message(gossip::message_kind::greeting_answer);
-    out.known =
+    out.known_entries =
         this->order.to_name(base::data_centre_id(told.data_centre), now);
     this->transport.send(gossip::encode(out), told.address);
 }
@@ -154,9 +155,9 @@
 // changes.
 void peer_link::follow(const gossip::message& told, base::instant now)
 {
-    this->dispatcher_digest = told.digest;
-    if (told.digest == this->state.known.digest())
-        this->passed = {told.incarnation, told.changes};
+    this->dispatcher_digest = told.state_digest;
+    if (told.state_digest == this->state.known.digest())
+        this->passed = {told.incarnation, told.change_count};
     else if (!this->asking && now - this->asked_at >= follow_gap)
         this->ask_dispatcher(told, now);
 }
@@ -201,7 +202,7 @@
         this->schedule.set_peers(this->table.alive_near(now), this->alive());
         return;
     }
-    this->order.set_serving(this->is_serving());
+    this->order.set_dispatching(this->is_serving());
     const auto next = this->order.dispatcher(now);
     const auto former = std::exchange(this->dispatcher, next);
     if (next != former) {
--- a/src/greengagedrum/entry/peer_telling.cpp
+++ b/src/greengagedrum/entry/peer_telling.cpp
@@ -102,7 +102,7 @@
     if (!this->dispatcher)
         return;
     gossip::message out = this->own_message(gossip::message_kind::report);
-    out.uses = this->state.scheduler.own_uses(now);
+    out.upstream_uses = this->state.scheduler.own_uses(now);
     out.report = this->events.report();
     out.suspects = this->suspects_for(this->suspects_to_near, now);
     this->reported_at = now;
@@ -119,7 +119,7 @@
     if (!to_try.empty()) {
         gossip::message out = this->own_message(gossip::message_kind::report);
         if (this->state.delegating && !this->dispatcher) {
-            out.uses = this->state.scheduler.own_uses(now);
+            out.upstream_uses = this->state.scheduler.own_uses(now);
             out.report = this->events.report();
         }
         const std::string bytes = gossip::encode(out);
@@ -152,7 +152,7 @@
                       base::instant now)
 {
     gossip::message out = this->own_message(gossip::message_kind::greeting);
-    out.known =
+    out.known_entries =
         this->order.to_name(base::data_centre_id(this->own.data_centre), now);
     const std::string bytes = gossip::encode(out);
     for (const gossip::ipv4_address address : to_greet)
@@ -170,7 +170,7 @@
         if (now - one.heard_at > member_for)
             continue;
         gossip::message out = this->own_message(gossip::message_kind::reply);
-        out.known = known;
+        out.known_entries = known;
         out.suspects = suspects;
         out.reply = this->events.reply(slot);
         if (std::find(next.begin(), next.end(), one.address) != next.end())
@@ -202,7 +202,7 @@
     if (far.empty())
         return;
     gossip::message out = this->own_load(gossip::audience::others);
-    out.known =
+    out.known_entries =
         this->order.to_name(base::data_centre_id(this->own.data_centre), now);
     const std::string bytes = gossip::encode(out);
     for (const gossip::ipv4_address address : far) {
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -316,15 +316,15 @@
     this->whole({config_item(3, 2), upstream_item("i-1", 4)}, 6);
     this->news({{"servers/i-1", "", 9, true}, upstream_item("i-2", 8)}, 9);
     const auto some = this->known.items_since(6);
-    CHECK_FALSE(some.whole);
+    CHECK_FALSE(some.complete);
     CHECK(some.store_revision == 9);
     CHECK(some.items.size() == 2);
     const auto all = this->known.items_since(0);
-    CHECK(all.whole);
+    CHECK(all.complete);
     CHECK(all.items.size() == 2); // no removed ones
 
     cluster_state other;
-    other.learn(all.items, all.store_revision, all.whole, this->now);
+    other.learn(all.items, all.store_revision, all.complete, this->now);
     CHECK(other.configuration_version() == 3);
     CHECK(other.upstreams().usable_count() == 1);
 }
@@ -363,7 +363,7 @@
     REQUIRE(after.items.size() == 1);
     CHECK(after.items[0].key == "servers/i-2");
     CHECK(this->known.items_after(this->known.changes()).items.empty());
-    CHECK(this->known.items_after(0).whole);
+    CHECK(this->known.items_after(0).complete);
 }
 
 // Entries hear the same in another order, and of reports at other times. They
--- a/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
+++ b/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
@@ -41,7 +41,7 @@
         out.cpu_millicores = 5000;
         out.store_age = 1h;
         for (gossip::ipv4_address one = 0; one < others; ++one)
-            out.known.push_back(
+            out.known_entries.push_back(
                 {first_other + one, 10ms, base::data_centre_id("yard"), 1});
         return out;
     }
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -154,12 +154,12 @@
     flatbuffers::FlatBufferBuilder builder;
     std::vector<wire::Use> uses;
     std::vector<std::uint32_t> gaps;
-    for (const auto& one : told.uses) {
+    for (const auto& one : told.upstream_uses) {
         uses.emplace_back(one.upstream.value, one.requests, one.prompt_tokens);
         gaps.push_back(microseconds_of(one.event_gap));
     }
     std::vector<wire::WaitingLevels> waiting;
-    for (const auto& one : told.waiting)
+    for (const auto& one : told.waiting_by_service)
         waiting.push_back(levels_of(one));
     std::vector<wire::WorkspaceUse> spent;
     std::vector<std::uint32_t> spent_waiting;
@@ -174,7 +174,7 @@
     }
     std::vector<wire::Known> known;
     std::vector<wire::Standing> standings;
-    for (const auto& one : told.known) {
+    for (const auto& one : told.known_entries) {
         known.emplace_back(one.address, milliseconds_of(one.age));
         standings.emplace_back(one.data_centre.value, one.cpu_millicores);
     }
@@ -209,12 +209,12 @@
                             builder.CreateVectorOfStructs(standings),
                             static_cast<std::uint8_t>(told.kind),
                             told.delegating,
-                            told.changes,
-                            told.digest,
+                            told.change_count,
+                            told.state_digest,
                             report,
                             reply,
                             milliseconds_of(told.uptime),
-                            told.serving,
+                            told.dispatching,
                             suspects.requests,
                             suspects.crashes);
     builder.Finish(root);
@@ -239,22 +239,22 @@
     out.change_revision = root->change_revision();
     out.store_age = std::chrono::milliseconds(root->store_age_ms());
     if (const auto* list = root->uses())
-        out.uses = uses_of(*list, root->event_gaps_us());
+        out.upstream_uses = uses_of(*list, root->event_gaps_us());
     if (const auto* list = root->waiting_levels()) {
         for (const wire::WaitingLevels* one : *list)
-            out.waiting.push_back(waiting_of(*one));
+            out.waiting_by_service.push_back(waiting_of(*one));
     }
     if (const auto* list = root->workspace_uses())
         out.workspace_uses = workspace_uses_of(*list, *root);
     if (const auto* list = root->known())
-        out.known = known_of(*list, root->standings());
+        out.known_entries = known_of(*list, root->standings());
     out.cpu_millicores = root->strength();
     out.uptime = std::chrono::milliseconds(root->lived_for_ms());
     out.kind = kind_of(root->kind());
     out.delegating = root->delegating();
-    out.serving = root->serving();
-    out.changes = root->changes();
-    out.digest = root->digest();
+    out.dispatching = root->serving();
+    out.change_count = root->changes();
+    out.state_digest = root->digest();
     if (const auto* report = root->report())
         out.report = read_report(*report);
     out.suspects = read_suspects(*root);
@@ -276,11 +276,11 @@
                                          one.removed));
     const auto root = wire::CreateItems(builder,
                                         passed.store_revision,
-                                        passed.whole,
+                                        passed.complete,
                                         builder.CreateVector(items),
                                         passed.change_revision,
                                         passed.incarnation.value,
-                                        passed.changes);
+                                        passed.change_count);
     builder.Finish(root);
     return bytes_of(builder);
 }
@@ -293,10 +293,10 @@
     const auto* root = flatbuffers::GetRoot<wire::Items>(bytes.data());
     item_transfer out;
     out.store_revision = root->store_revision();
-    out.whole = root->whole();
+    out.complete = root->whole();
     out.change_revision = root->change_revision();
     out.incarnation.value = root->life();
-    out.changes = root->changes();
+    out.change_count = root->changes();
     if (root->items() == nullptr)
         return out;
     for (const wire::Item* one : *root->items())
--- a/src/greengagedrum/gossip/message.hpp
+++ b/src/greengagedrum/gossip/message.hpp
@@ -43,7 +43,7 @@
     // Another entry places the sender's requests.
     bool delegating = false;
     // The sender places requests of others.
-    bool serving = false;
+    bool dispatching = false;
     base::incarnation incarnation;
     std::uint64_t sequence = 0; // grows with each message of a life
     std::string instance;
@@ -54,16 +54,16 @@
     std::uint64_t store_revision = 0; // as of which the upstreams are known
     // How often what the sender believes has changed since its start: whoever
     // has passed on all of them knows what it knows.
-    std::uint64_t changes = 0;
-    std::uint64_t digest = 0; // alike at entries that believe the same
+    std::uint64_t change_count = 0;
+    std::uint64_t state_digest = 0; // alike at entries that believe the same
     // Of the newest change known of configuration or upstreams; reports that
     // change nothing move the store's revision on all the time.
     std::uint64_t change_revision = 0;
     base::duration store_age{0}; // since the store last answered the sender
-    std::vector<traffic::upstream_use> uses;
-    std::vector<traffic::service_waiting> waiting;
+    std::vector<traffic::upstream_use> upstream_uses;
+    std::vector<traffic::service_waiting> waiting_by_service;
     std::vector<quota::workspace_use> workspace_uses;
-    std::vector<known_entry> known;
+    std::vector<known_entry> known_entries;
     std::uint32_t cpu_millicores = 0; // thousandths of a processor
     base::duration uptime{0};         // the sender's process, at least
     dispatch::member_report report;
@@ -76,8 +76,8 @@
     std::uint64_t store_revision = 0;
     std::uint64_t change_revision = 0; // as in a message
     base::incarnation incarnation;     // of the sender
-    std::uint64_t changes = 0;         // of it
-    bool whole = false; // all that there is; what is missing was removed
+    std::uint64_t change_count = 0;    // of it
+    bool complete = false; // all that there is; what is missing was removed
     routing::item_list items;
 };
 
--- a/src/greengagedrum/gossip/peer_table.cpp
+++ b/src/greengagedrum/gossip/peer_table.cpp
@@ -64,7 +64,7 @@
     one.configuration_revision = told.configuration_revision;
     one.change_revision = told.change_revision;
     one.store_revision = told.store_revision;
-    for (const known_entry& named : told.known) {
+    for (const known_entry& named : told.known_entries) {
         if (named.address != this->own && named.age < forgotten_after)
             this->peers[named.address].named_at = now;
     }
--- a/src/greengagedrum/gossip/succession.cpp
+++ b/src/greengagedrum/gossip/succession.cpp
@@ -81,8 +81,8 @@
     sender.passed_over_until = now;
     sender.stopping = told.stopping;
     sender.delegating = told.delegating;
-    sender.serving = told.serving;
-    for (const known_entry& named : told.known) {
+    sender.dispatching = told.dispatching;
+    for (const known_entry& named : told.known_entries) {
         if (named.address == this->own || named.data_centre.empty() ||
             named.age > forgotten_after)
             continue;
@@ -211,14 +211,15 @@
     if (found == this->others.end())
         return false;
     const candidate& one = found->second;
-    return one.serving && places(one, now) && !is_young(one.started_at, now);
+    return one.dispatching && places(one, now) &&
+           !is_young(one.started_at, now);
 }
 
 bool dispatcher_election::is_well_served(base::instant now) const
 {
     if (this->chosen)
         return this->is_settled(*this->chosen, now);
-    return this->serving && !is_young(this->started, now);
+    return this->dispatching && !is_young(this->started, now);
 }
 
 bool dispatcher_election::is_replaced(ipv4_address address,
--- a/src/greengagedrum/gossip/succession.hpp
+++ b/src/greengagedrum/gossip/succession.hpp
@@ -49,7 +49,7 @@
     bool is_large(base::instant now);
 
     // This entry places for others too.
-    void set_serving(bool serving) { this->serving = serving; }
+    void set_dispatching(bool serving) { this->dispatching = serving; }
 
     // Who places this entry's requests; none: itself.
     std::optional<ipv4_address> dispatcher(base::instant now);
@@ -99,8 +99,8 @@
         std::optional<base::instant> asked_at; // and not answered since
         base::instant passed_over_until;
         bool stopping = false;
-        bool delegating = false; // another one places for it
-        bool serving = false;    // it places for others
+        bool delegating = false;  // another one places for it
+        bool dispatching = false; // it places for others
     };
 
     using candidates = std::map<ipv4_address, candidate>;
@@ -126,7 +126,7 @@
     base::data_centre_id data_centre;
     std::uint32_t cpu_millicores; // thousandths of a processor
     base::instant started;
-    bool serving = false;
+    bool dispatching = false;
     std::optional<ipv4_address> chosen; // the dispatcher, when last asked
     std::optional<base::instant> searching_since; // none was found since then
     candidates others;
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -54,14 +54,14 @@
     told.change_revision = 11;
     told.store_age = 120ms;
     told.store_revision = 12;
-    told.uses = {{base::upstream_id("i-1"), 3, 4000, 55ms}};
-    told.waiting = {{base::class_id("models"), {1, 2, 3, 4}}};
+    told.upstream_uses = {{base::upstream_id("i-1"), 3, 4000, 55ms}};
+    told.waiting_by_service = {{base::class_id("models"), {1, 2, 3, 4}}};
     told.workspace_uses = {{base::workspace_id("gate"),
                             123456789012,
                             70,
                             5'000,
                             {9'000, 1, 2, 3}}};
-    told.known = {{other, 250ms}};
+    told.known_entries = {{other, 250ms}};
     const auto read = decode_message(encode(told));
     REQUIRE(read);
     CHECK(read->incarnation == told.incarnation);
@@ -73,18 +73,19 @@
     CHECK(read->change_revision == 11);
     CHECK(read->store_age == 120ms);
     CHECK(read->store_revision == 12);
-    REQUIRE(read->uses.size() == 1);
-    CHECK(read->uses[0].upstream == base::upstream_id("i-1"));
-    CHECK(read->uses[0].requests == 3);
-    CHECK(read->uses[0].prompt_tokens == 4000);
-    CHECK(read->uses[0].event_gap == 55ms);
-    CHECK(read->waiting.at(0).counts == traffic::waiting_counts{1, 2, 3, 4});
+    REQUIRE(read->upstream_uses.size() == 1);
+    CHECK(read->upstream_uses[0].upstream == base::upstream_id("i-1"));
+    CHECK(read->upstream_uses[0].requests == 3);
+    CHECK(read->upstream_uses[0].prompt_tokens == 4000);
+    CHECK(read->upstream_uses[0].event_gap == 55ms);
+    CHECK(read->waiting_by_service.at(0).counts ==
+          traffic::waiting_counts{1, 2, 3, 4});
     CHECK(read->workspace_uses.at(0).used == 123456789012);
     CHECK(read->workspace_uses.at(0).waiting == 70);
     CHECK(read->workspace_uses.at(0).lately == 5'000);
     CHECK(read->workspace_uses.at(0).all_lately.at(0) == 9'000);
     CHECK(read->workspace_uses.at(0).all_lately.at(3) == 3);
-    CHECK(read->known.at(0).age == 250ms);
+    CHECK(read->known_entries.at(0).age == 250ms);
 }
 
 // What members and dispatchers tell each other, field by field.
@@ -94,7 +95,7 @@
     told.kind = message_kind::report;
     told.cpu_millicores = 500;
     told.delegating = true;
-    told.known = {{other, 250ms, base::data_centre_id("yard"), 120}};
+    told.known_entries = {{other, 250ms, base::data_centre_id("yard"), 120}};
     dispatch::slot_request wanted;
     wanted.name = {base::request_id{4}, 2};
     wanted.facts.service = base::class_id("models");
@@ -123,8 +124,9 @@
     CHECK(read->kind == message_kind::report);
     CHECK(read->cpu_millicores == 500);
     CHECK(read->delegating);
-    CHECK(read->known.at(0).data_centre == base::data_centre_id("yard"));
-    CHECK(read->known.at(0).cpu_millicores == 120);
+    CHECK(read->known_entries.at(0).data_centre ==
+          base::data_centre_id("yard"));
+    CHECK(read->known_entries.at(0).cpu_millicores == 120);
     REQUIRE(read->report.wanted.size() == 1);
     const dispatch::slot_request& got = read->report.wanted[0];
     CHECK(got.name == wanted.name);
@@ -170,13 +172,13 @@
 {
     item_transfer passed;
     passed.store_revision = 8;
-    passed.whole = true;
+    passed.complete = true;
     passed.change_revision = 6;
     passed.items = {{"op/config", "{}", 3, false}, {"servers/i", "", 4, true}};
     const auto read = decode_items(encode(passed));
     REQUIRE(read);
     CHECK(read->store_revision == 8);
-    CHECK(read->whole);
+    CHECK(read->complete);
     CHECK(read->change_revision == 6);
     REQUIRE(read->items.size() == 2);
     CHECK(read->items[0].value == "{}");
@@ -207,7 +209,7 @@
 TEST_CASE_FIXTURE(peers_fixture, "entry_named_by_a_peer_is_told")
 {
     message told = message_from(seed, 1, 1);
-    told.known = {{other, 100ms}, {own_address, 0ms}};
+    told.known_entries = {{other, 100ms}, {own_address, 0ms}};
     CHECK(this->table.heard(told, this->now) == peer_news::found);
     CHECK(this->told(seed));
     this->now += 600ms;
@@ -236,7 +238,7 @@
     this->table.add_seed(seed);
     CHECK(this->table.unheard() == 1);
     message told = message_from(seed, 1, 1);
-    told.known = {{other, 100ms}};
+    told.known_entries = {{other, 100ms}};
     this->table.heard(told, this->now);
     CHECK(this->table.unheard() == 1);
     this->table.heard(message_from(other, 1, 1), this->now);
--- a/src/greengagedrum/gossip/test/succession_test.cpp
+++ b/src/greengagedrum/gossip/test/succession_test.cpp
@@ -46,7 +46,7 @@
     void name(const known_entry& one)
     {
         message told = this->from(49, weak, "hall");
-        told.known = {one};
+        told.known_entries = {one};
         this->own.heard(told, this->now);
     }
 };
@@ -185,7 +185,7 @@
 {
     message told = this->from(200, weak, "yard");
     for (ipv4_address address = 10; address < 50; ++address)
-        told.known.push_back({address, 100ms, hall, strong});
+        told.known_entries.push_back({address, 100ms, hall, strong});
     this->own.heard(told, this->now);
     std::set<ipv4_address> asked;
     for (const base::instant until = this->now + 500ms; this->now < until;
@@ -236,7 +236,7 @@
     dispatcher_election best(1, hall, strong, this->now);
     message placing = this->from(70, weak, "hall");
     placing.uptime = 1min;
-    placing.serving = true;
+    placing.dispatching = true;
     for (int second = 0; second < 9; ++second) {
         best.heard(placing, this->now);
         CHECK(best.dispatcher(this->now) == 70);
@@ -253,7 +253,7 @@
     dispatcher_election next(1, hall, weak, this->now);
     message placing = this->from(70, weak, "hall");
     placing.uptime = 1min;
-    placing.serving = true;
+    placing.dispatching = true;
     next.heard(placing, this->now);
     CHECK(next.dispatcher(this->now) == 70);
     this->now += 1min;
@@ -269,7 +269,7 @@
 TEST_CASE_FIXTURE(succession_fixture, "dispatcher_leaves_a_young_entry_aside")
 {
     this->now += 1min;
-    this->own.set_serving(true);
+    this->own.set_dispatching(true);
     this->hear(70, strong);
     CHECK_FALSE(this->own.dispatcher(this->now));
     this->now += 10s;
@@ -283,7 +283,7 @@
 {
     message placing = this->from(40, weak, "hall");
     placing.uptime = 1min;
-    placing.serving = true;
+    placing.dispatching = true;
     this->own.heard(placing, this->now);
     CHECK(this->own.dispatcher(this->now) == 40);
     this->hear(70, strong);
