--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -153,10 +153,10 @@
     case gossip::message_kind::reply:
         this->take_reply(*message, now);
         break;
-    case gossip::message_kind::greeting:
+    case gossip::message_kind::dispatcher_query:
         this->answer_greeting(*message, now);
         break;
-    case gossip::message_kind::greeting_answer:
+    case gossip::message_kind::dispatcher_query_reply:
         break;
     }
     if (news != gossip::peer_news::none)
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -143,7 +143,7 @@
         return;
     answered = now;
     gossip::message out =
-        this->own_message(gossip::message_kind::greeting_answer);
+        this->own_message(gossip::message_kind::dispatcher_query_reply);
     out.known_entries =
         this->order.to_name(base::data_centre_id(told.data_centre), now);
     this->transport.send(gossip::encode(out), told.address);
--- a/src/greengagedrum/entry/peer_telling.cpp
+++ b/src/greengagedrum/entry/peer_telling.cpp
@@ -151,7 +151,8 @@
 void peer_link::greet(const std::vector<gossip::ipv4_address>& to_greet,
                       base::instant now)
 {
-    gossip::message out = this->own_message(gossip::message_kind::greeting);
+    gossip::message out =
+        this->own_message(gossip::message_kind::dispatcher_query);
     out.known_entries =
         this->order.to_name(base::data_centre_id(this->own.data_centre), now);
     const std::string bytes = gossip::encode(out);
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -103,7 +103,7 @@
     constexpr auto last = message_kind::dispatcher_load;
     return from <= static_cast<std::uint8_t>(last)
                ? static_cast<message_kind>(from)
-               : message_kind::greeting_answer;
+               : message_kind::dispatcher_query_reply;
 }
 
 // An entry of an earlier build tells no standings.
--- a/src/greengagedrum/gossip/message.hpp
+++ b/src/greengagedrum/gossip/message.hpp
@@ -29,11 +29,11 @@
 };
 
 enum class message_kind : std::uint8_t {
-    load,     // what the sender uses, where each entry places its own
-    report,   // to the entry that places the sender's requests
-    reply,    // and back
-    greeting, // asks who places requests where the sender is
-    greeting_answer,
+    load,             // what the sender uses, where each entry places its own
+    report,           // to the entry that places the sender's requests
+    reply,            // and back
+    dispatcher_query, // asks who places requests where the sender is
+    dispatcher_query_reply,
     // The same as a load, from one that places for all of its data centre.
     dispatcher_load,
 };
