--- a/fuzz/peer_words.cpp
+++ b/fuzz/peer_words.cpp
@@ -19,8 +19,8 @@
         gossip::peer_table table(1, "hall", base::incarnation{1});
         const base::instant now(std::chrono::hours(1));
         table.heard(*message, now);
-        table.to_tell(gossip::audience::own_data_centre, now);
-        table.to_tell(gossip::audience::others, now);
+        table.to_tell(gossip::recipient_group::own_data_centre, now);
+        table.to_tell(gossip::recipient_group::other_data_centres, now);
     }
     if (const auto items = gossip::decode_items(text))
         require(gossip::decode_items(gossip::encode(*items)).has_value(),
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -245,7 +245,7 @@
     return out;
 }
 
-gossip::message peer_link::own_load(gossip::audience who)
+gossip::message peer_link::own_load(gossip::recipient_group who)
 {
     const base::instant now = this->state.clock();
     gossip::message out =
@@ -255,10 +255,10 @@
     out.waiting_by_service = this->state.scheduler.own_waiting(now);
     out.workspace_uses = this->state.limiter.own_uses(now);
     out.known_entries = this->table.some_known(who, now);
-    out.suspects = this->suspects_for(who == gossip::audience::own_data_centre
-                                          ? this->suspects_to_near
-                                          : this->suspects_to_far,
-                                      now);
+    out.suspects = this->suspects_for(
+        who == gossip::recipient_group::own_data_centre ? this->suspects_to_near
+                                                        : this->suspects_to_far,
+        now);
     return out;
 }
 
@@ -267,14 +267,15 @@
     const base::instant now = this->state.clock();
     if (this->large)
         return this->tell_among_many(now);
-    for (const gossip::audience who :
-         {gossip::audience::own_data_centre, gossip::audience::others}) {
+    for (const gossip::recipient_group who :
+         {gossip::recipient_group::own_data_centre,
+          gossip::recipient_group::other_data_centres}) {
         if (this->schedule.is_due(who, now))
             this->tell(who);
     }
 }
 
-void peer_link::tell(gossip::audience who)
+void peer_link::tell(gossip::recipient_group who)
 {
     const base::instant now = this->state.clock();
     this->schedule.told(who, now);
--- a/src/greengagedrum/entry/peer_link.hpp
+++ b/src/greengagedrum/entry/peer_link.hpp
@@ -92,10 +92,10 @@
 
 private:
     void tell_due();
-    void tell(gossip::audience who);
+    void tell(gossip::recipient_group who);
     void set_timer();
     gossip::message own_message(gossip::message_kind kind);
-    gossip::message own_load(gossip::audience who);
+    gossip::message own_load(gossip::recipient_group who);
 
     // ---- Among many entries
     void take_suspects(const gossip::message& received, base::instant now);
--- a/src/greengagedrum/entry/peer_telling.cpp
+++ b/src/greengagedrum/entry/peer_telling.cpp
@@ -64,7 +64,7 @@
 
 void peer_link::tell_among_many(base::instant now)
 {
-    using gossip::audience;
+    using gossip::recipient_group;
     const bool beats = now - this->beat_at >= beat;
     if (beats)
         this->beat_at = now;
@@ -83,10 +83,10 @@
     if (beats)
         this->look_for_silent(now);
     const bool to_far = !this->state.delegating || this->farewells > 0;
-    if (to_far && this->schedule.is_due(audience::others, now))
+    if (to_far && this->schedule.is_due(audience::other_data_centres, now))
         this->tell_far(now);
     else if (this->state.delegating)
-        this->schedule.told(audience::others, now);
+        this->schedule.told(audience::other_data_centres, now);
 }
 
 // Failure guarded against: a report is lost, and with it a request that asks,
@@ -195,14 +195,15 @@
 
 void peer_link::tell_far(base::instant now)
 {
-    this->schedule.told(gossip::audience::others, now);
+    this->schedule.told(gossip::recipient_group::other_data_centres, now);
     if (this->state.delegating)
         this->farewells -= 1;
     const std::vector<gossip::ipv4_address> far =
         this->order.far_dispatchers(now);
     if (far.empty())
         return;
-    gossip::message out = this->own_load(gossip::audience::others);
+    gossip::message out =
+        this->own_load(gossip::recipient_group::other_data_centres);
     out.known_entries =
         this->order.to_name(base::data_centre_id(this->own.data_centre), now);
     const std::string bytes = gossip::encode(out);
--- a/src/greengagedrum/gossip/gossip_schedule.cpp
+++ b/src/greengagedrum/gossip/gossip_schedule.cpp
@@ -56,12 +56,12 @@
     this->quiet_gap = dispatched_gap;
 }
 
-const gossip_schedule::telling& gossip_schedule::of(audience who) const
+const gossip_schedule::telling& gossip_schedule::of(recipient_group who) const
 {
-    return who == audience::own_data_centre ? this->near : this->far;
+    return who == recipient_group::own_data_centre ? this->near : this->far;
 }
 
-base::duration gossip_schedule::gap(audience who) const
+base::duration gossip_schedule::gap(recipient_group who) const
 {
     return this->of(who).gap;
 }
@@ -72,14 +72,15 @@
     this->far.has_news = true;
 }
 
-void gossip_schedule::told(audience who, base::instant now)
+void gossip_schedule::told(recipient_group who, base::instant now)
 {
-    telling& state = who == audience::own_data_centre ? this->near : this->far;
+    telling& state =
+        who == recipient_group::own_data_centre ? this->near : this->far;
     state.has_news = false;
     state.told_at = now;
 }
 
-bool gossip_schedule::is_due(audience who, base::instant now) const
+bool gossip_schedule::is_due(recipient_group who, base::instant now) const
 {
     const telling& state = this->of(who);
     const base::duration passed = now - state.told_at;
--- a/src/greengagedrum/gossip/gossip_schedule.hpp
+++ b/src/greengagedrum/gossip/gossip_schedule.hpp
@@ -25,13 +25,13 @@
 
     // There is something to tell.
     void changed();
-    void told(audience who, base::instant now);
+    void told(recipient_group who, base::instant now);
 
-    bool is_due(audience who, base::instant now) const;
+    bool is_due(recipient_group who, base::instant now) const;
     // When a change that is to be told becomes due; empty: there is none.
     std::optional<base::instant> next() const;
 
-    base::duration gap(audience who) const;
+    base::duration gap(recipient_group who) const;
 
 private:
     struct telling {
@@ -40,7 +40,7 @@
         base::duration gap = std::chrono::milliseconds(10);
     };
 
-    const telling& of(audience who) const;
+    const telling& of(recipient_group who) const;
 
     telling near;
     telling far;
--- a/src/greengagedrum/gossip/peer_table.cpp
+++ b/src/greengagedrum/gossip/peer_table.cpp
@@ -73,9 +73,10 @@
     return was_alive ? peer_news::none : peer_news::found;
 }
 
-std::vector<ipv4_address> peer_table::to_tell(audience who, base::instant now)
+std::vector<ipv4_address> peer_table::to_tell(recipient_group who,
+                                              base::instant now)
 {
-    const bool near = who == audience::own_data_centre;
+    const bool near = who == recipient_group::own_data_centre;
     std::vector<ipv4_address> out;
     for (auto& [address, one] : this->peers) {
         const bool alive = is_alive(one, now);
@@ -106,10 +107,11 @@
     return out;
 }
 
-std::vector<known_entry> peer_table::some_known(audience who, base::instant now)
+std::vector<known_entry> peer_table::some_known(recipient_group who,
+                                                base::instant now)
 {
     std::vector<known_entry> out;
-    base::instant& named_at = who == audience::own_data_centre
+    base::instant& named_at = who == recipient_group::own_data_centre
                                   ? this->named_near_at
                                   : this->named_far_at;
     if (now - named_at < naming_gap)
--- a/src/greengagedrum/gossip/peer_table.hpp
+++ b/src/greengagedrum/gossip/peer_table.hpp
@@ -24,9 +24,9 @@
 };
 
 // Whom a message is for.
-enum class audience : std::uint8_t {
+enum class recipient_group : std::uint8_t {
     own_data_centre,
-    others,
+    other_data_centres,
 };
 
 class peer_table
@@ -45,13 +45,13 @@
 
     // Addresses to be told now: those that are alive, of the own data centre
     // or of the others, and with the others once in a while those that may be.
-    std::vector<ipv4_address> to_tell(audience who, base::instant now);
+    std::vector<ipv4_address> to_tell(recipient_group who, base::instant now);
 
     // Seeds that are not alive.
     std::vector<ipv4_address> silent_seeds(base::instant now) const;
 
     // For the own message: those heard lately, a few at a time in turn.
-    std::vector<known_entry> some_known(audience who, base::instant now);
+    std::vector<known_entry> some_known(recipient_group who, base::instant now);
 
     // Those that fell silent since the last call.
     std::vector<std::string> fallen_silent(base::instant now);
--- a/src/greengagedrum/gossip/test/gossip_schedule_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_schedule_test.cpp
@@ -11,8 +11,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr audience near = audience::own_data_centre;
-constexpr audience far = audience::others;
+constexpr recipient_group near = recipient_group::own_data_centre;
+constexpr recipient_group far = recipient_group::other_data_centres;
 
 struct schedule_fixture {
     base::instant now{1h};
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -35,9 +35,10 @@
 
     bool told(ipv4_address address)
     {
-        auto all = this->table.to_tell(audience::others, this->now);
+        auto all =
+            this->table.to_tell(recipient_group::other_data_centres, this->now);
         const auto near =
-            this->table.to_tell(audience::own_data_centre, this->now);
+            this->table.to_tell(recipient_group::own_data_centre, this->now);
         all.insert(all.end(), near.begin(), near.end());
         return std::find(all.begin(), all.end(), address) != all.end();
     }
@@ -225,12 +226,14 @@
 TEST_CASE_FIXTURE(peers_fixture, "entries_are_named_to_both_audiences")
 {
     this->table.heard(message_from(seed, 1, 1), this->now);
-    for (const audience who : {audience::own_data_centre, audience::others}) {
+    for (const recipient_group who : {recipient_group::own_data_centre,
+                                      recipient_group::other_data_centres}) {
         REQUIRE(this->table.some_known(who, this->now).size() == 1);
         CHECK(this->table.some_known(who, this->now).empty());
     }
     this->now += 200ms;
-    CHECK(this->table.some_known(audience::others, this->now).size() == 1);
+    CHECK(this->table.some_known(recipient_group::other_data_centres, this->now)
+              .size() == 1);
 }
 
 TEST_CASE_FIXTURE(peers_fixture, "entries_named_and_never_heard_are_counted")
