--- a/fuzz/peer_words.cpp
+++ b/fuzz/peer_words.cpp
@@ -18,9 +18,10 @@
                 "a message that was read can be told again");
         gossip::peer_table table(1, "hall", base::incarnation{1});
         const base::instant now(std::chrono::hours(1));
-        table.heard(*message, now);
-        table.to_tell(gossip::recipient_group::own_data_centre, now);
-        table.to_tell(gossip::recipient_group::other_data_centres, now);
+        table.on_message(*message, now);
+        table.select_recipients(gossip::recipient_group::own_data_centre, now);
+        table.select_recipients(gossip::recipient_group::other_data_centres,
+                                now);
     }
     if (const auto items = gossip::decode_items(text))
         require(gossip::decode_items(gossip::encode(*items)).has_value(),
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -102,12 +102,12 @@
 
 std::size_t peer_link::alive() const
 {
-    return this->table.alive(this->state.clock());
+    return this->table.live_count(this->state.clock());
 }
 
 std::size_t peer_link::alive_lately() const
 {
-    return this->table.alive_lately(this->state.clock());
+    return this->table.recently_live_count(this->state.clock());
 }
 
 // ---- Hearing --------------------------------------------------------------
@@ -123,15 +123,16 @@
                               {{"from", from}, {"bytes", bytes.size()}});
         return;
     }
-    const gossip::peer_news news = this->table.heard(*message, now);
-    if (news == gossip::peer_news::outdated)
+    const gossip::peer_update news = this->table.on_message(*message, now);
+    if (news == gossip::peer_update::outdated)
         return;
     this->order.heard(*message, now);
-    if (news != gossip::peer_news::none)
+    if (news != gossip::peer_update::none)
         this->state.log.write(
             now,
             "peers",
-            news == gossip::peer_news::found ? "peer_found" : "peer_restarted",
+            news == gossip::peer_update::found ? "peer_found"
+                                               : "peer_restarted",
             {{"peer", message->instance},
              {"config_revision", message->configuration_revision},
              {"store_revision", message->store_revision}});
@@ -159,7 +160,7 @@
     case gossip::message_kind::dispatcher_query_reply:
         break;
     }
-    if (news != gossip::peer_news::none)
+    if (news != gossip::peer_update::none)
         this->update_role(now);
     if (this->large && this->dispatcher == message->address)
         return this->follow(*message, now);
@@ -189,7 +190,7 @@
         return this->dispatcher_reads(bound, now);
     return now - this->own_read_at < bound &&
            now - this->peer_read_at <= this->read_lately() &&
-           this->table.has_reader_nearby(now);
+           this->table.has_store_reader_in_data_centre(now);
 }
 
 // ---- Telling --------------------------------------------------------------
@@ -254,7 +255,7 @@
     out.upstream_uses = this->state.scheduler.own_uses(now);
     out.waiting_by_service = this->state.scheduler.own_waiting(now);
     out.workspace_uses = this->state.limiter.own_uses(now);
-    out.known_entries = this->table.some_known(who, now);
+    out.known_entries = this->table.select_known_entries(who, now);
     out.suspects = this->suspects_for(
         who == gossip::recipient_group::own_data_centre ? this->suspects_to_near
                                                         : this->suspects_to_far,
@@ -280,7 +281,7 @@
     const base::instant now = this->state.clock();
     this->schedule.told(who, now);
     const std::vector<gossip::ipv4_address> to_tell =
-        this->table.to_tell(who, now);
+        this->table.select_recipients(who, now);
     if (to_tell.empty())
         return;
     const std::string bytes = gossip::encode(this->own_load(who));
@@ -298,7 +299,7 @@
         return;
     this->looked_at = now;
     this->update_role(now);
-    for (const std::string& peer : this->table.fallen_silent(now)) {
+    for (const std::string& peer : this->table.take_newly_silent(now)) {
         this->state.log.write(now, "peers", "peer_silent", {{"peer", peer}});
         this->state.scheduler.peer_lost(base::slot_id(peer));
         this->members.erase(base::slot_id(peer));
@@ -306,7 +307,7 @@
     }
     this->count_entries(now);
     this->state.limiter.assume_silent_peers(now);
-    const auto newest = this->table.newest_source(now, this->turn);
+    const auto newest = this->table.newest_store_source(now, this->turn);
     const bool changed =
         newest && newest->change_revision > this->state.known.changed_at();
     if (store_fails || changed)
@@ -317,7 +318,7 @@
 {
     if (this->asking || now - this->asked_at < ask_gap)
         return;
-    const auto source = this->table.newest_source(now, ++this->turn);
+    const auto source = this->table.newest_store_source(now, ++this->turn);
     if (!source || (source->store_revision <= this->state.known.as_of() &&
                     source->change_revision <= this->state.known.changed_at()))
         return;
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -199,7 +199,8 @@
     if (!this->large) {
         this->dispatcher.reset();
         this->set_role(false, now);
-        this->schedule.set_peers(this->table.alive_near(now), this->alive());
+        this->schedule.set_peers(this->table.live_count_in_data_centre(now),
+                                 this->alive());
         return;
     }
     this->order.set_dispatching(this->is_serving());
@@ -285,17 +286,18 @@
 traffic::slow_start_share peer_link::cold_share(base::instant now) const
 {
     const base::duration awake = now - this->awake_since;
-    const bool others_unheard = this->large ? this->table.has_unheard_seed()
-                                            : this->table.unheard() > 0;
+    const bool others_unheard = this->large
+                                    ? this->table.has_never_heard_seed()
+                                    : this->table.never_heard_count() > 0;
     if (awake < (others_unheard ? unheard_awaited : peers_found_within))
         return {};
     if (this->large)
         return now - this->half_since >= last_sends_within
                    ? traffic::slow_start_share{0, 1}
                    : traffic::slow_start_share{};
-    const auto nearby = this->table.nearby_lately(now);
-    return {static_cast<std::uint32_t>(nearby.lower),
-            static_cast<std::uint32_t>(nearby.entries)};
+    const auto nearby = this->table.rank_in_data_centre(now);
+    return {static_cast<std::uint32_t>(nearby.lower_count),
+            static_cast<std::uint32_t>(nearby.entry_count)};
 }
 
 void peer_link::share_cold_upstreams(base::instant now)
--- a/src/greengagedrum/gossip/peer_table.cpp
+++ b/src/greengagedrum/gossip/peer_table.cpp
@@ -40,20 +40,20 @@
         this->peers[address].seed = true;
 }
 
-peer_news peer_table::heard(const message& told, base::instant now)
+peer_update peer_table::on_message(const message& told, base::instant now)
 {
     // An address may be another process of ours at this very place, before a
     // restart: its messages are not to be taken for a peer's.
     if (told.address == this->own)
-        return peer_news::outdated;
+        return peer_update::outdated;
     peer& one = this->peers[told.address];
     const bool known = one.heard_at.has_value();
     const bool same_life = known && one.incarnation == told.incarnation;
     if (same_life && told.sequence <= one.sequence)
-        return peer_news::outdated;
+        return peer_update::outdated;
     const bool was_alive = one.alive_told;
     one.instance = told.instance;
-    one.near = told.data_centre == this->data_centre;
+    one.in_own_data_centre = told.data_centre == this->data_centre;
     one.data_centre = base::data_centre_id(told.data_centre);
     one.cpu_millicores = told.cpu_millicores;
     one.incarnation = told.incarnation;
@@ -69,18 +69,18 @@
             this->peers[named.address].named_at = now;
     }
     if (known && !same_life)
-        return peer_news::restarted;
-    return was_alive ? peer_news::none : peer_news::found;
+        return peer_update::restarted;
+    return was_alive ? peer_update::none : peer_update::found;
 }
 
-std::vector<ipv4_address> peer_table::to_tell(recipient_group who,
-                                              base::instant now)
+std::vector<ipv4_address> peer_table::select_recipients(recipient_group who,
+                                                        base::instant now)
 {
     const bool near = who == recipient_group::own_data_centre;
     std::vector<ipv4_address> out;
     for (auto& [address, one] : this->peers) {
         const bool alive = is_alive(one, now);
-        if ((alive && one.near) != near)
+        if ((alive && one.in_own_data_centre) != near)
             continue;
         if (!alive) {
             if (now - one.tried_at < retry_period)
@@ -107,8 +107,8 @@
     return out;
 }
 
-std::vector<known_entry> peer_table::some_known(recipient_group who,
-                                                base::instant now)
+std::vector<known_entry> peer_table::select_known_entries(recipient_group who,
+                                                          base::instant now)
 {
     std::vector<known_entry> out;
     base::instant& named_at = who == recipient_group::own_data_centre
@@ -134,7 +134,7 @@
     return out;
 }
 
-std::vector<std::string> peer_table::fallen_silent(base::instant now)
+std::vector<std::string> peer_table::take_newly_silent(base::instant now)
 {
     std::vector<std::string> out;
     for (auto& [address, one] : this->peers) {
@@ -146,7 +146,7 @@
     return out;
 }
 
-std::size_t peer_table::alive(base::instant now) const
+std::size_t peer_table::live_count(base::instant now) const
 {
     std::size_t count = 0;
     for (const auto& [address, one] : this->peers)
@@ -154,7 +154,7 @@
     return count;
 }
 
-std::size_t peer_table::unheard() const
+std::size_t peer_table::never_heard_count() const
 {
     return static_cast<std::size_t>(std::count_if(
         this->peers.begin(), this->peers.end(), [](const auto& entry) {
@@ -162,7 +162,7 @@
         }));
 }
 
-bool peer_table::has_unheard_seed() const
+bool peer_table::has_never_heard_seed() const
 {
     return std::any_of(
         this->peers.begin(), this->peers.end(), [](const auto& entry) {
@@ -170,15 +170,16 @@
         });
 }
 
-std::size_t peer_table::alive_near(base::instant now) const
+std::size_t peer_table::live_count_in_data_centre(base::instant now) const
 {
     return static_cast<std::size_t>(std::count_if(
         this->peers.begin(), this->peers.end(), [&](const auto& entry) {
-            return entry.second.near && is_alive(entry.second, now);
+            return entry.second.in_own_data_centre &&
+                   is_alive(entry.second, now);
         }));
 }
 
-std::size_t peer_table::alive_lately(base::instant now) const
+std::size_t peer_table::recently_live_count(base::instant now) const
 {
     std::size_t count = 0;
     for (const auto& [address, one] : this->peers)
@@ -186,26 +187,28 @@
     return count;
 }
 
-peer_table::nearby_order peer_table::nearby_lately(base::instant now) const
+peer_table::address_rank
+peer_table::rank_in_data_centre(base::instant now) const
 {
-    nearby_order out;
+    address_rank out;
     for (const auto& [address, one] : this->peers) {
-        if (!one.near || !one.heard_at || now - *one.heard_at > lately)
+        if (!one.in_own_data_centre || !one.heard_at ||
+            now - *one.heard_at > lately)
             continue;
-        out.entries += 1;
-        out.lower += address < this->own ? 1 : 0;
+        out.entry_count += 1;
+        out.lower_count += address < this->own ? 1 : 0;
     }
     return out;
 }
 
-std::optional<peer_table::source>
-peer_table::newest_source(base::instant now, std::uint64_t turn) const
+std::optional<peer_table::store_source>
+peer_table::newest_store_source(base::instant now, std::uint64_t turn) const
 {
-    std::vector<source> known;
+    std::vector<store_source> known;
     for (const auto& [address, one] : this->peers) {
         if (is_alive(one, now) && one.store_revision > 0)
             known.push_back({address,
-                             one.near,
+                             one.in_own_data_centre,
                              one.configuration_revision,
                              one.change_revision,
                              one.store_revision});
@@ -217,22 +220,25 @@
                     static_cast<std::ptrdiff_t>(turn % known.size()),
                 known.end());
     return *std::max_element(
-        known.begin(), known.end(), [](const source& one, const source& other) {
+        known.begin(),
+        known.end(),
+        [](const store_source& one, const store_source& other) {
             return std::tie(one.configuration_revision,
                             one.change_revision,
-                            one.near) < std::tie(other.configuration_revision,
-                                                 other.change_revision,
-                                                 other.near);
+                            one.in_own_data_centre) <
+                   std::tie(other.configuration_revision,
+                            other.change_revision,
+                            other.in_own_data_centre);
         });
 }
 
-bool peer_table::has_reader_nearby(base::instant now) const
+bool peer_table::has_store_reader_in_data_centre(base::instant now) const
 {
     return std::any_of(
         this->peers.begin(), this->peers.end(), [&](const auto& entry) {
             const peer& one = entry.second;
-            return entry.first < this->own && one.near && !one.stopping &&
-                   is_alive(one, now);
+            return entry.first < this->own && one.in_own_data_centre &&
+                   !one.stopping && is_alive(one, now);
         });
 }
 
--- a/src/greengagedrum/gossip/peer_table.hpp
+++ b/src/greengagedrum/gossip/peer_table.hpp
@@ -16,7 +16,7 @@
 namespace greengagedrum::gossip
 {
 
-enum class peer_news : std::uint8_t {
+enum class peer_update : std::uint8_t {
     none,
     found,     // first heard, or heard again after silence
     restarted, // another process in its place
@@ -41,40 +41,42 @@
 
     void add_seed(ipv4_address address);
 
-    peer_news heard(const message& told, base::instant now);
+    peer_update on_message(const message& told, base::instant now);
 
     // Addresses to be told now: those that are alive, of the own data centre
     // or of the others, and with the others once in a while those that may be.
-    std::vector<ipv4_address> to_tell(recipient_group who, base::instant now);
+    std::vector<ipv4_address> select_recipients(recipient_group who,
+                                                base::instant now);
 
     // Seeds that are not alive.
     std::vector<ipv4_address> silent_seeds(base::instant now) const;
 
     // For the own message: those heard lately, a few at a time in turn.
-    std::vector<known_entry> some_known(recipient_group who, base::instant now);
+    std::vector<known_entry> select_known_entries(recipient_group who,
+                                                  base::instant now);
 
     // Those that fell silent since the last call.
-    std::vector<std::string> fallen_silent(base::instant now);
+    std::vector<std::string> take_newly_silent(base::instant now);
 
-    std::size_t alive(base::instant now) const;
+    std::size_t live_count(base::instant now) const;
     // Named by seeds or peers, and never heard.
-    std::size_t unheard() const;
-    bool has_unheard_seed() const;
-    std::size_t alive_near(base::instant now) const;
+    std::size_t never_heard_count() const;
+    bool has_never_heard_seed() const;
+    std::size_t live_count_in_data_centre(base::instant now) const;
     // Alive now, or not long ago.
-    std::size_t alive_lately(base::instant now) const;
+    std::size_t recently_live_count(base::instant now) const;
 
     // Of those of the own data centre, this entry included: how many there
     // are, and how many of them have a lower address.
-    struct nearby_order {
-        std::size_t entries = 1;
-        std::size_t lower = 0;
+    struct address_rank {
+        std::size_t entry_count = 1;
+        std::size_t lower_count = 0;
     };
-    nearby_order nearby_lately(base::instant now) const;
+    address_rank rank_in_data_centre(base::instant now) const;
 
-    struct source {
+    struct store_source {
         ipv4_address address = 0;
-        bool near = false;
+        bool in_own_data_centre = false;
         std::uint64_t configuration_revision = 0;
         std::uint64_t change_revision = 0;
         std::uint64_t store_revision = 0;
@@ -82,19 +84,19 @@
     // The live peer with the newest configuration and the newest change known
     // of the store's, of the own data centre if there is one; `turn` picks
     // among equals.
-    std::optional<source> newest_source(base::instant now,
-                                        std::uint64_t turn) const;
+    std::optional<store_source> newest_store_source(base::instant now,
+                                                    std::uint64_t turn) const;
 
     // A live peer of the own data centre comes before this entry: it is to
     // read the store for both.
-    bool has_reader_nearby(base::instant now) const;
+    bool has_store_reader_in_data_centre(base::instant now) const;
 
 private:
     struct peer {
         std::string instance;
         base::data_centre_id data_centre;
         std::uint32_t cpu_millicores = 0;
-        bool near = false; // of the own data centre
+        bool in_own_data_centre = false; // of the own data centre
         base::incarnation incarnation;
         std::uint64_t sequence = 0;
         std::optional<base::instant> heard_at; // empty: only named by others
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -35,10 +35,10 @@
 
     bool told(ipv4_address address)
     {
-        auto all =
-            this->table.to_tell(recipient_group::other_data_centres, this->now);
-        const auto near =
-            this->table.to_tell(recipient_group::own_data_centre, this->now);
+        auto all = this->table.select_recipients(
+            recipient_group::other_data_centres, this->now);
+        const auto near = this->table.select_recipients(
+            recipient_group::own_data_centre, this->now);
         all.insert(all.end(), near.begin(), near.end());
         return std::find(all.begin(), all.end(), address) != all.end();
     }
@@ -211,13 +211,13 @@
 {
     message told = message_from(seed, 1, 1);
     told.known_entries = {{other, 100ms}, {own_address, 0ms}};
-    CHECK(this->table.heard(told, this->now) == peer_news::found);
+    CHECK(this->table.on_message(told, this->now) == peer_update::found);
     CHECK(this->told(seed));
     this->now += 600ms;
     CHECK(this->told(other));
     CHECK_FALSE(this->told(own_address));
     // Being named is no sign of life.
-    CHECK(this->table.alive(this->now) == 1);
+    CHECK(this->table.live_count(this->now) == 1);
 }
 
 // Entries of another data centre learn of those here by their names only. When
@@ -225,60 +225,62 @@
 // where both had heard a seed: placed blindly, a day lost 0.05 of its worth.
 TEST_CASE_FIXTURE(peers_fixture, "entries_are_named_to_both_audiences")
 {
-    this->table.heard(message_from(seed, 1, 1), this->now);
+    this->table.on_message(message_from(seed, 1, 1), this->now);
     for (const recipient_group who : {recipient_group::own_data_centre,
                                       recipient_group::other_data_centres}) {
-        REQUIRE(this->table.some_known(who, this->now).size() == 1);
-        CHECK(this->table.some_known(who, this->now).empty());
+        REQUIRE(this->table.select_known_entries(who, this->now).size() == 1);
+        CHECK(this->table.select_known_entries(who, this->now).empty());
     }
     this->now += 200ms;
-    CHECK(this->table.some_known(recipient_group::other_data_centres, this->now)
+    CHECK(this->table
+              .select_known_entries(recipient_group::other_data_centres,
+                                    this->now)
               .size() == 1);
 }
 
 TEST_CASE_FIXTURE(peers_fixture, "entries_named_and_never_heard_are_counted")
 {
     this->table.add_seed(seed);
-    CHECK(this->table.unheard() == 1);
+    CHECK(this->table.never_heard_count() == 1);
     message told = message_from(seed, 1, 1);
     told.known_entries = {{other, 100ms}};
-    this->table.heard(told, this->now);
-    CHECK(this->table.unheard() == 1);
-    this->table.heard(message_from(other, 1, 1), this->now);
-    CHECK(this->table.unheard() == 0);
+    this->table.on_message(told, this->now);
+    CHECK(this->table.never_heard_count() == 1);
+    this->table.on_message(message_from(other, 1, 1), this->now);
+    CHECK(this->table.never_heard_count() == 0);
 }
 
 TEST_CASE_FIXTURE(peers_fixture, "message_received_late_or_twice_is_outdated")
 {
-    CHECK(this->table.heard(message_from(seed, 1, 5), this->now) ==
-          peer_news::found);
-    CHECK(this->table.heard(message_from(seed, 1, 5), this->now) ==
-          peer_news::outdated);
-    CHECK(this->table.heard(message_from(seed, 1, 4), this->now) ==
-          peer_news::outdated);
-    CHECK(this->table.heard(message_from(seed, 1, 6), this->now) ==
-          peer_news::none);
+    CHECK(this->table.on_message(message_from(seed, 1, 5), this->now) ==
+          peer_update::found);
+    CHECK(this->table.on_message(message_from(seed, 1, 5), this->now) ==
+          peer_update::outdated);
+    CHECK(this->table.on_message(message_from(seed, 1, 4), this->now) ==
+          peer_update::outdated);
+    CHECK(this->table.on_message(message_from(seed, 1, 6), this->now) ==
+          peer_update::none);
 }
 
 // The time of day was set back by an hour while an entry was restarted: its new
 // life has a lower number than the old one, and is heard all the same.
 TEST_CASE_FIXTURE(peers_fixture, "life_with_a_lower_number_is_heard")
 {
-    this->table.heard(message_from(seed, 900, 5), this->now);
-    CHECK(this->table.heard(message_from(seed, 100, 1), this->now) ==
-          peer_news::restarted);
+    this->table.on_message(message_from(seed, 900, 5), this->now);
+    CHECK(this->table.on_message(message_from(seed, 100, 1), this->now) ==
+          peer_update::restarted);
 }
 
 TEST_CASE_FIXTURE(peers_fixture, "peer_that_falls_silent_is_reported_once")
 {
-    this->table.heard(message_from(seed, 1, 1), this->now);
+    this->table.on_message(message_from(seed, 1, 1), this->now);
     this->now += 1600ms;
-    CHECK(this->table.fallen_silent(this->now).size() == 1);
-    CHECK(this->table.fallen_silent(this->now).empty());
-    CHECK(this->table.alive(this->now) == 0);
-    CHECK(this->table.alive_lately(this->now) == 1);
-    CHECK(this->table.heard(message_from(seed, 1, 2), this->now) ==
-          peer_news::found);
+    CHECK(this->table.take_newly_silent(this->now).size() == 1);
+    CHECK(this->table.take_newly_silent(this->now).empty());
+    CHECK(this->table.live_count(this->now) == 0);
+    CHECK(this->table.recently_live_count(this->now) == 1);
+    CHECK(this->table.on_message(message_from(seed, 1, 2), this->now) ==
+          peer_update::found);
 }
 
 TEST_CASE_FIXTURE(peers_fixture, "peer_with_the_newest_configuration_is_asked")
@@ -287,36 +289,37 @@
     old_one.change_revision = 4;
     message new_one = message_from(other, 1, 1);
     new_one.change_revision = 9;
-    this->table.heard(old_one, this->now);
-    this->table.heard(new_one, this->now);
+    this->table.on_message(old_one, this->now);
+    this->table.on_message(new_one, this->now);
     for (std::uint64_t turn = 0; turn < 4; ++turn)
-        CHECK(this->table.newest_source(this->now, turn)->address == other);
+        CHECK(this->table.newest_store_source(this->now, turn)->address ==
+              other);
     this->now += 2s;
-    CHECK_FALSE(this->table.newest_source(this->now, 0));
+    CHECK_FALSE(this->table.newest_store_source(this->now, 0));
 }
 
 // One entry a data centre reads the store. It is stopped, or falls silent: the
 // next one takes over, without being told by anyone.
 TEST_CASE_FIXTURE(peers_fixture, "reader_nearby_is_the_first_live_entry")
 {
-    CHECK_FALSE(this->table.has_reader_nearby(this->now));
+    CHECK_FALSE(this->table.has_store_reader_in_data_centre(this->now));
     message first = message_from(own_address - 1, 1, 1);
     first.data_centre = "elsewhere";
-    this->table.heard(first, this->now);
-    CHECK_FALSE(this->table.has_reader_nearby(this->now));
+    this->table.on_message(first, this->now);
+    CHECK_FALSE(this->table.has_store_reader_in_data_centre(this->now));
     first.sequence = 2;
     first.data_centre = "hall";
-    this->table.heard(first, this->now);
-    CHECK(this->table.has_reader_nearby(this->now));
+    this->table.on_message(first, this->now);
+    CHECK(this->table.has_store_reader_in_data_centre(this->now));
     first.sequence = 3;
     first.stopping = true;
-    this->table.heard(first, this->now);
-    CHECK_FALSE(this->table.has_reader_nearby(this->now));
+    this->table.on_message(first, this->now);
+    CHECK_FALSE(this->table.has_store_reader_in_data_centre(this->now));
     first.sequence = 4;
     first.stopping = false;
-    this->table.heard(first, this->now);
+    this->table.on_message(first, this->now);
     this->now += 2s;
-    CHECK_FALSE(this->table.has_reader_nearby(this->now));
+    CHECK_FALSE(this->table.has_store_reader_in_data_centre(this->now));
 }
 
 } // namespace greengagedrum::gossip
