--- a/src/greengagedrum/entry/peer_counting.cpp
+++ b/src/greengagedrum/entry/peer_counting.cpp
@@ -26,7 +26,7 @@
     traffic::scheduler& scheduler = this->state.scheduler;
     scheduler.set_entries(this->table.recently_live_count(now) + 1);
     scheduler.set_gossip_gap(
-        this->schedule.gap(gossip::recipient_group::own_data_centre));
+        this->schedule.interval(gossip::recipient_group::own_data_centre));
     this->state.limiter.set_unheard_peers(this->table.never_heard_count());
     this->state.limiter.set_unreported_members(0, now); // it has none
 }
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -197,7 +197,7 @@
 
 void peer_link::tell_soon()
 {
-    this->schedule.changed();
+    this->schedule.on_change();
     if (this->large)
         this->answer_members();
     this->tell_due();
@@ -208,7 +208,7 @@
 // it.
 void peer_link::set_timer()
 {
-    const auto next = this->schedule.next();
+    const auto next = this->schedule.next_due();
     if (!next || (this->wakes_at && *this->wakes_at <= *next))
         return;
     this->wakes_at = next;
@@ -279,7 +279,7 @@
 void peer_link::tell(gossip::recipient_group who)
 {
     const base::instant now = this->state.clock();
-    this->schedule.told(who, now);
+    this->schedule.on_sent(who, now);
     const std::vector<gossip::ipv4_address> to_tell =
         this->table.select_recipients(who, now);
     if (to_tell.empty())
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -199,8 +199,8 @@
     if (!this->large) {
         this->dispatcher.reset();
         this->set_role(false, now);
-        this->schedule.set_peers(this->table.live_count_in_data_centre(now),
-                                 this->alive());
+        this->schedule.set_full_mesh_intervals(
+            this->table.live_count_in_data_centre(now), this->alive());
         return;
     }
     this->order.set_dispatching(this->is_serving());
@@ -215,7 +215,7 @@
               next ? relay::asio::ip::address_v4(*next).to_string()
                    : std::string("none")},
              {"entries", this->order.size(now)}});
-        this->schedule.changed();
+        this->schedule.on_change();
     }
     if (next)
         this->dispatcher_at = now;
@@ -224,8 +224,8 @@
                           !this->order.to_try(now).empty();
     this->set_role(next.has_value() || may_come, now);
     if (this->state.delegating)
-        return this->schedule.set_member();
-    this->schedule.set_dispatcher();
+        return this->schedule.set_member_intervals();
+    this->schedule.set_dispatcher_intervals();
     // It would ask this entry again in two seconds only, and place meanwhile.
     if (former)
         this->greet({*former}, now);
--- a/src/greengagedrum/entry/peer_telling.cpp
+++ b/src/greengagedrum/entry/peer_telling.cpp
@@ -71,11 +71,11 @@
     if (this->state.delegating) {
         const bool news = this->schedule.is_due(audience::own_data_centre, now);
         if (news || this->is_report_overdue(now)) {
-            this->schedule.told(audience::own_data_centre, now);
+            this->schedule.on_sent(audience::own_data_centre, now);
             this->tell_dispatcher(now);
         }
     } else if (beats) {
-        this->schedule.told(audience::own_data_centre, now);
+        this->schedule.on_sent(audience::own_data_centre, now);
         this->tell_members(now);
     }
     if (!this->state.delegating)
@@ -86,7 +86,7 @@
     if (to_far && this->schedule.is_due(audience::other_data_centres, now))
         this->tell_far(now);
     else if (this->state.delegating)
-        this->schedule.told(audience::other_data_centres, now);
+        this->schedule.on_sent(audience::other_data_centres, now);
 }
 
 // Failure guarded against: a report is lost, and with it a request that asks,
@@ -195,7 +195,7 @@
 
 void peer_link::tell_far(base::instant now)
 {
-    this->schedule.told(gossip::recipient_group::other_data_centres, now);
+    this->schedule.on_sent(gossip::recipient_group::other_data_centres, now);
     if (this->state.delegating)
         this->farewells -= 1;
     const std::vector<gossip::ipv4_address> far =
--- a/src/greengagedrum/gossip/gossip_schedule.cpp
+++ b/src/greengagedrum/gossip/gossip_schedule.cpp
@@ -30,70 +30,76 @@
 
 } // namespace
 
-void gossip_schedule::set_peers(std::size_t near_peers, std::size_t all_peers)
+void gossip_schedule::set_full_mesh_intervals(std::size_t near_peers,
+                                              std::size_t all_peers)
 {
     const auto close = static_cast<std::int64_t>(std::max(few, near_peers));
     const auto all = static_cast<std::int64_t>(std::max(few, all_peers));
     constexpr auto least = static_cast<std::int64_t>(few);
-    this->near.gap = gap_among_few * close / least;
-    this->far.gap =
+    this->own_data_centre.interval = gap_among_few * close / least;
+    this->other_data_centres.interval =
         std::min(gap_among_few * (all * all) / (least * least), far_gap_most);
-    this->quiet_gap = usual_quiet_gap;
+    this->heartbeat_interval = usual_quiet_gap;
 }
 
-void gossip_schedule::set_member()
+void gossip_schedule::set_member_intervals()
 {
-    this->near.gap = member_gap;
-    this->far.gap = far_gap_most;
-    this->quiet_gap = dispatched_gap;
+    this->own_data_centre.interval = member_gap;
+    this->other_data_centres.interval = far_gap_most;
+    this->heartbeat_interval = dispatched_gap;
 }
 
 // Replies to members go out at once and by themselves.
-void gossip_schedule::set_dispatcher()
+void gossip_schedule::set_dispatcher_intervals()
 {
-    this->near.gap = dispatched_gap;
-    this->far.gap = dispatched_gap;
-    this->quiet_gap = dispatched_gap;
+    this->own_data_centre.interval = dispatched_gap;
+    this->other_data_centres.interval = dispatched_gap;
+    this->heartbeat_interval = dispatched_gap;
 }
 
-const gossip_schedule::telling& gossip_schedule::of(recipient_group who) const
+const gossip_schedule::group_state&
+gossip_schedule::state_of(recipient_group who) const
 {
-    return who == recipient_group::own_data_centre ? this->near : this->far;
+    return who == recipient_group::own_data_centre ? this->own_data_centre
+                                                   : this->other_data_centres;
 }
 
-base::duration gossip_schedule::gap(recipient_group who) const
+base::duration gossip_schedule::interval(recipient_group who) const
 {
-    return this->of(who).gap;
+    return this->state_of(who).interval;
 }
 
-void gossip_schedule::changed()
+void gossip_schedule::on_change()
 {
-    this->near.has_news = true;
-    this->far.has_news = true;
+    this->own_data_centre.change_pending = true;
+    this->other_data_centres.change_pending = true;
 }
 
-void gossip_schedule::told(recipient_group who, base::instant now)
+void gossip_schedule::on_sent(recipient_group who, base::instant now)
 {
-    telling& state =
-        who == recipient_group::own_data_centre ? this->near : this->far;
-    state.has_news = false;
-    state.told_at = now;
+    group_state& state = who == recipient_group::own_data_centre
+                             ? this->own_data_centre
+                             : this->other_data_centres;
+    state.change_pending = false;
+    state.sent_at = now;
 }
 
 bool gossip_schedule::is_due(recipient_group who, base::instant now) const
 {
-    const telling& state = this->of(who);
-    const base::duration passed = now - state.told_at;
-    return passed >= this->quiet_gap || (state.has_news && passed >= state.gap);
+    const group_state& state = this->state_of(who);
+    const base::duration passed = now - state.sent_at;
+    return passed >= this->heartbeat_interval ||
+           (state.change_pending && passed >= state.interval);
 }
 
-std::optional<base::instant> gossip_schedule::next() const
+std::optional<base::instant> gossip_schedule::next_due() const
 {
     std::optional<base::instant> first;
-    for (const telling* one : {&this->near, &this->far}) {
-        if (!one->has_news)
+    for (const group_state* one :
+         {&this->own_data_centre, &this->other_data_centres}) {
+        if (!one->change_pending)
             continue;
-        const base::instant due = one->told_at + one->gap;
+        const base::instant due = one->sent_at + one->interval;
         first = first ? std::min(*first, due) : due;
     }
     return first;
--- a/src/greengagedrum/gossip/gossip_schedule.hpp
+++ b/src/greengagedrum/gossip/gossip_schedule.hpp
@@ -18,33 +18,33 @@
 {
 public:
     // Live peers of the own data centre, and of all.
-    void set_peers(std::size_t near, std::size_t all);
+    void set_full_mesh_intervals(std::size_t near, std::size_t all);
     // The same where one entry of each data centre places for all.
-    void set_member();
-    void set_dispatcher();
+    void set_member_intervals();
+    void set_dispatcher_intervals();
 
     // There is something to tell.
-    void changed();
-    void told(recipient_group who, base::instant now);
+    void on_change();
+    void on_sent(recipient_group who, base::instant now);
 
     bool is_due(recipient_group who, base::instant now) const;
     // When a change that is to be told becomes due; empty: there is none.
-    std::optional<base::instant> next() const;
+    std::optional<base::instant> next_due() const;
 
-    base::duration gap(recipient_group who) const;
+    base::duration interval(recipient_group who) const;
 
 private:
-    struct telling {
-        bool has_news = false;
-        base::instant told_at;
-        base::duration gap = std::chrono::milliseconds(10);
+    struct group_state {
+        bool change_pending = false;
+        base::instant sent_at;
+        base::duration interval = std::chrono::milliseconds(10);
     };
 
-    const telling& of(recipient_group who) const;
+    const group_state& state_of(recipient_group who) const;
 
-    telling near;
-    telling far;
-    base::duration quiet_gap = std::chrono::milliseconds(200);
+    group_state own_data_centre;
+    group_state other_data_centres;
+    base::duration heartbeat_interval = std::chrono::milliseconds(200);
 };
 
 } // namespace greengagedrum::gossip
--- a/src/greengagedrum/gossip/test/gossip_schedule_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_schedule_test.cpp
@@ -20,8 +20,8 @@
 
     schedule_fixture()
     {
-        this->tested.told(near, this->now);
-        this->tested.told(far, this->now);
+        this->tested.on_sent(near, this->now);
+        this->tested.on_sent(far, this->now);
     }
 };
 
@@ -29,8 +29,8 @@
 
 TEST_CASE_FIXTURE(schedule_fixture, "few_entries_are_all_told_alike")
 {
-    this->tested.set_peers(1, 7);
-    this->tested.changed();
+    this->tested.set_full_mesh_intervals(1, 7);
+    this->tested.on_change();
     CHECK_FALSE(this->tested.is_due(far, this->now + 9ms));
     CHECK(this->tested.is_due(near, this->now + 10ms));
     CHECK(this->tested.is_due(far, this->now + 10ms));
@@ -41,21 +41,21 @@
 // twenty entries meet on that place.
 TEST_CASE_FIXTURE(schedule_fixture, "message_due_far_away_delays_none_nearby")
 {
-    this->tested.set_peers(19, 79);
+    this->tested.set_full_mesh_intervals(19, 79);
     this->now += 30ms;
-    this->tested.changed();
-    this->tested.told(near, this->now);
-    CHECK(*this->tested.next() == base::instant(1h + 200ms)); // the far one
+    this->tested.on_change();
+    this->tested.on_sent(near, this->now);
+    CHECK(*this->tested.next_due() == base::instant(1h + 200ms)); // the far one
     this->now += 5ms;
-    this->tested.changed();
-    CHECK(*this->tested.next() == this->now + 14ms);
+    this->tested.on_change();
+    CHECK(*this->tested.next_due() == this->now + 14ms);
     CHECK(this->tested.is_due(near, this->now + 14ms));
     CHECK_FALSE(this->tested.is_due(far, this->now + 14ms));
 }
 
 TEST_CASE_FIXTURE(schedule_fixture, "quiet_entry_gives_a_sign_of_life")
 {
-    CHECK_FALSE(this->tested.next());
+    CHECK_FALSE(this->tested.next_due());
     CHECK_FALSE(this->tested.is_due(near, this->now + 199ms));
     CHECK(this->tested.is_due(near, this->now + 200ms));
     CHECK(this->tested.is_due(far, this->now + 200ms));
