--- a/src/greengagedrum/entry/peer_counting.cpp
+++ b/src/greengagedrum/entry/peer_counting.cpp
@@ -36,14 +36,14 @@
 // beside the one that the others give.
 void peer_link::count_among_many(base::instant now)
 {
-    const std::size_t all = this->order.size(now);
-    const std::size_t placing = this->order.dispatchers(now) + 1;
+    const std::size_t all = this->order.entry_count(now);
+    const std::size_t placing = this->order.other_dispatcher_count(now) + 1;
     traffic::scheduler& scheduler = this->state.scheduler;
     scheduler.set_entries(this->members.empty() ? all : placing);
     scheduler.set_retrying_entries(all);
     scheduler.set_gossip_gap(gossip_gap_among_many);
-    const std::size_t unheard =
-        this->order.unheard_data_centres(now) + this->unheard_near(now);
+    const std::size_t unheard = this->order.never_heard_data_centre_count(now) +
+                                this->unheard_near(now);
     this->state.limiter.set_unheard_peers(unheard);
     this->state.limiter.set_unreported_members(this->unreported_part(now), now);
     this->forget_replaced(now);
@@ -68,7 +68,7 @@
     const bool gathered = now - this->placing_since >= gather_time;
     if (this->members.empty())
         return gathered ? std::max(this->unheard_alone,
-                                   this->order.known_nearby(now))
+                                   this->order.known_count_in_data_centre(now))
                         : this->unheard_alone;
     if (gathered || this->members.size() >= this->unheard_alone)
         return 0;
@@ -81,10 +81,10 @@
 {
     if (this->state.delegating || this->state.stopping ||
         this->members.empty() || now - this->placing_since < gather_time ||
-        this->order.is_placed_nearby(now))
+        this->order.has_dispatcher_in_data_centre(now))
         return 0;
     const std::size_t reporting = 1 + this->members_heard(now);
-    const std::size_t all = 1 + this->order.known_nearby(now);
+    const std::size_t all = 1 + this->order.known_count_in_data_centre(now);
     return reporting >= all
                ? 0
                : 1 - static_cast<double>(reporting) / static_cast<double>(all);
--- a/src/greengagedrum/entry/peer_link.cpp
+++ b/src/greengagedrum/entry/peer_link.cpp
@@ -126,7 +126,7 @@
     const gossip::peer_update news = this->table.on_message(*message, now);
     if (news == gossip::peer_update::outdated)
         return;
-    this->order.heard(*message, now);
+    this->order.on_message(*message, now);
     if (news != gossip::peer_update::none)
         this->state.log.write(
             now,
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -144,8 +144,8 @@
     answered = now;
     gossip::message out =
         this->own_message(gossip::message_kind::dispatcher_query_reply);
-    out.known_entries =
-        this->order.to_name(base::data_centre_id(told.data_centre), now);
+    out.known_entries = this->order.select_known_entries(
+        base::data_centre_id(told.data_centre), now);
     this->transport.send(gossip::encode(out), told.address);
 }
 
@@ -178,7 +178,8 @@
         this->dispatcher_digest != this->state.known.digest())
         return false;
     const base::duration age = now - this->peer_read_at;
-    const bool next_in_line = this->order.place_in_line(now) < readers_in_line;
+    const bool next_in_line =
+        this->order.higher_ranked_count(now) < readers_in_line;
     const base::duration lately = this->read_lately();
     return age <= (next_in_line ? lately : std::max(bound, lately));
 }
@@ -193,7 +194,7 @@
 void peer_link::update_role(base::instant now)
 {
     const bool was_large =
-        std::exchange(this->large, this->order.is_large(now));
+        std::exchange(this->large, this->order.uses_dispatchers(now));
     if (this->large && !was_large)
         this->state.limiter.forget_peers();
     if (!this->large) {
@@ -214,14 +215,14 @@
             {{"dispatcher",
               next ? relay::asio::ip::address_v4(*next).to_string()
                    : std::string("none")},
-             {"entries", this->order.size(now)}});
+             {"entries", this->order.entry_count(now)}});
         this->schedule.on_change();
     }
     if (next)
         this->dispatcher_at = now;
     const bool may_come = !next &&
                           now - this->dispatcher_at < wait_for_dispatcher &&
-                          !this->order.to_try(now).empty();
+                          !this->order.probe_targets(now).empty();
     this->set_role(next.has_value() || may_come, now);
     if (this->state.delegating)
         return this->schedule.set_member_intervals();
@@ -245,8 +246,9 @@
     const bool handed =
         this->limits && now - this->limits->told_at <= limits_hold;
     const bool planned = handed && this->limits->stopping;
-    this->unheard_alone = planned ? 0 : this->order.known_nearby(now);
-    this->events.place_alone(this->order.unheard_data_centres(now) +
+    this->unheard_alone =
+        planned ? 0 : this->order.known_count_in_data_centre(now);
+    this->events.place_alone(this->order.never_heard_data_centre_count(now) +
                                  this->unheard_alone,
                              handed ? &*this->limits : nullptr);
     this->limits.reset();
@@ -270,7 +272,7 @@
     if (this->state.delegating)
         return false;
     return 2 * (this->members_heard(now) + 1) >=
-           this->order.known_nearby(now) + 1;
+           this->order.known_count_in_data_centre(now) + 1;
 }
 
 std::size_t peer_link::members_heard(base::instant now) const
--- a/src/greengagedrum/entry/peer_telling.cpp
+++ b/src/greengagedrum/entry/peer_telling.cpp
@@ -107,7 +107,7 @@
     out.suspects = this->suspects_for(this->suspects_to_near, now);
     this->reported_at = now;
     this->unanswered_report = out.sequence;
-    this->order.told(*this->dispatcher, now);
+    this->order.on_probe_sent(*this->dispatcher, now);
     this->transport.send(gossip::encode(out), *this->dispatcher);
 }
 
@@ -115,7 +115,8 @@
 // report, so that the first of them to answer can begin.
 void peer_link::look_for_silent(base::instant now)
 {
-    const std::vector<gossip::ipv4_address> to_try = this->order.to_try(now);
+    const std::vector<gossip::ipv4_address> to_try =
+        this->order.probe_targets(now);
     if (!to_try.empty()) {
         gossip::message out = this->own_message(gossip::message_kind::report);
         if (this->state.delegating && !this->dispatcher) {
@@ -124,7 +125,7 @@
         }
         const std::string bytes = gossip::encode(out);
         for (const gossip::ipv4_address address : to_try) {
-            this->order.told(address, now);
+            this->order.on_probe_sent(address, now);
             this->transport.send(bytes, address);
         }
     }
@@ -138,7 +139,7 @@
     std::vector<gossip::ipv4_address> to_greet = this->table.silent_seeds(now);
     if (!this->state.delegating) {
         const std::vector<gossip::ipv4_address> silent =
-            this->order.silent_nearby(now);
+            this->order.silent_in_data_centre(now);
         for (std::size_t count = 0;
              count < std::min(greeted_at_once, silent.size());
              ++count)
@@ -153,8 +154,8 @@
 {
     gossip::message out =
         this->own_message(gossip::message_kind::dispatcher_query);
-    out.known_entries =
-        this->order.to_name(base::data_centre_id(this->own.data_centre), now);
+    out.known_entries = this->order.select_known_entries(
+        base::data_centre_id(this->own.data_centre), now);
     const std::string bytes = gossip::encode(out);
     for (const gossip::ipv4_address address : to_greet)
         this->transport.send(bytes, address);
@@ -163,9 +164,10 @@
 void peer_link::tell_members(base::instant now)
 {
     const std::vector<gossip::known_entry> known =
-        this->order.to_name(base::data_centre_id(this->own.data_centre), now);
+        this->order.select_known_entries(
+            base::data_centre_id(this->own.data_centre), now);
     const std::vector<gossip::ipv4_address> next =
-        this->order.next_in_line(now);
+        this->order.standby_entries(now);
     const auto suspects = this->suspects_for(this->suspects_to_members, now);
     for (const auto& [slot, one] : this->members) {
         if (now - one.heard_at > member_for)
@@ -199,16 +201,16 @@
     if (this->state.delegating)
         this->farewells -= 1;
     const std::vector<gossip::ipv4_address> far =
-        this->order.far_dispatchers(now);
+        this->order.remote_dispatcher_candidates(now);
     if (far.empty())
         return;
     gossip::message out =
         this->own_load(gossip::recipient_group::other_data_centres);
-    out.known_entries =
-        this->order.to_name(base::data_centre_id(this->own.data_centre), now);
+    out.known_entries = this->order.select_known_entries(
+        base::data_centre_id(this->own.data_centre), now);
     const std::string bytes = gossip::encode(out);
     for (const gossip::ipv4_address address : far) {
-        this->order.told(address, now);
+        this->order.on_probe_sent(address, now);
         this->transport.send(bytes, address);
     }
 }
--- a/src/greengagedrum/gossip/dispatcher_search.cpp
+++ b/src/greengagedrum/gossip/dispatcher_search.cpp
@@ -30,22 +30,22 @@
 // Failure guarded against: the strongest entries of another data centre were
 // restarted and left the one that had followed them in place. Whoever asked
 // only them who places there, again and again, never heard of that one.
-void dispatcher_election::try_strongest(base::data_centre_id of,
-                                        std::size_t most,
-                                        std::optional<ipv4_address> before,
-                                        base::instant now,
-                                        std::vector<ipv4_address>& out)
+void dispatcher_election::add_probe_targets(base::data_centre_id of,
+                                            std::size_t most,
+                                            std::optional<ipv4_address> before,
+                                            base::instant now,
+                                            std::vector<ipv4_address>& out)
 {
     std::size_t count = 0;
-    for (const ipv4_address address : this->ranked(of, now)) {
+    for (const ipv4_address address : this->ranked_candidates(of, now)) {
         if (address == before || count == most)
             return;
-        const candidate& one = this->others.at(address);
+        const candidate& one = this->other_entries.at(address);
         const bool others_may_place = before || of != this->data_centre;
         const bool declined = others_may_place && one.delegating &&
                               one.heard_at &&
                               now - *one.heard_at <= delegates_for;
-        if (declined || now < one.passed_over_until || places(one, now))
+        if (declined || now < one.skipped_until || is_placing(one, now))
             continue;
         out.push_back(address);
         count += 1;
@@ -55,7 +55,7 @@
 // Failure guarded against: a data centre is cut in two, and those on one side
 // that go first in line are all on the other. Asked three at a time, it takes
 // seconds to pass them over, in which each entry places by itself.
-std::size_t dispatcher_election::tried_now(base::instant now) const
+std::size_t dispatcher_election::probe_limit(base::instant now) const
 {
     if (!this->searching_since || now - *this->searching_since > wide_search)
         return tried_at_once;
@@ -63,7 +63,7 @@
     return tried_at_once << std::min<std::int64_t>(steps, search_steps);
 }
 
-std::vector<ipv4_address> dispatcher_election::to_try(base::instant now)
+std::vector<ipv4_address> dispatcher_election::probe_targets(base::instant now)
 {
     std::vector<ipv4_address> out;
     const auto placing = this->dispatcher(now);
@@ -71,44 +71,44 @@
         this->searching_since.reset();
     else if (!this->searching_since)
         this->searching_since = now;
-    this->try_strongest(
-        this->data_centre, this->tried_now(now), placing, now, out);
+    this->add_probe_targets(
+        this->data_centre, this->probe_limit(now), placing, now, out);
     if (!placing)
         std::erase_if(out, [&](ipv4_address address) {
-            return !this->goes_before_own(address);
+            return !this->outranks_self(address);
         });
     return out;
 }
 
 std::vector<ipv4_address>
-dispatcher_election::far_dispatchers(base::instant now)
+dispatcher_election::remote_dispatcher_candidates(base::instant now)
 {
     std::set<base::data_centre_id> data_centres;
     std::vector<ipv4_address> out;
-    for (const auto& [address, one] : this->others) {
+    for (const auto& [address, one] : this->other_entries) {
         if (one.data_centre == this->data_centre || one.data_centre.empty())
             continue;
         data_centres.insert(one.data_centre);
-        if (places(one, now))
+        if (is_placing(one, now))
             out.push_back(address);
     }
     for (const base::data_centre_id place : data_centres) {
         std::optional<ipv4_address> strongest;
-        for (const ipv4_address address : this->ranked(place, now)) {
-            if (!strongest && places(this->others.at(address), now))
+        for (const ipv4_address address : this->ranked_candidates(place, now)) {
+            if (!strongest && is_placing(this->other_entries.at(address), now))
                 strongest = address;
         }
-        this->try_strongest(place, far_tried_at_once, strongest, now, out);
+        this->add_probe_targets(place, far_tried_at_once, strongest, now, out);
     }
     return out;
 }
 
 std::vector<ipv4_address>
-dispatcher_election::silent_nearby(base::instant now) const
+dispatcher_election::silent_in_data_centre(base::instant now) const
 {
     std::vector<ipv4_address> out;
-    for (const auto& [address, one] : this->others) {
-        if (one.data_centre == this->data_centre && !is_heard(one, now))
+    for (const auto& [address, one] : this->other_entries) {
+        if (one.data_centre == this->data_centre && !is_live(one, now))
             out.push_back(address);
     }
     return out;
--- a/src/greengagedrum/gossip/succession.cpp
+++ b/src/greengagedrum/gossip/succession.cpp
@@ -49,49 +49,49 @@
 } // namespace
 
 // The strongest goes first, and among equals the lowest address.
-bool dispatcher_election::goes_before_own(ipv4_address address) const
+bool dispatcher_election::outranks_self(ipv4_address address) const
 {
-    const std::uint32_t other = this->others.at(address).cpu_millicores;
+    const std::uint32_t other = this->other_entries.at(address).cpu_millicores;
     return other != this->cpu_millicores ? other > this->cpu_millicores
-                                         : address < this->own;
+                                         : address < this->own_address;
 }
 
-bool dispatcher_election::is_heard(const candidate& one, base::instant now)
+bool dispatcher_election::is_live(const candidate& one, base::instant now)
 {
     return one.heard_at && now - *one.heard_at <= heard_for;
 }
 
 // It was heard, and places requests: its own, and those of whoever asks it.
-bool dispatcher_election::places(const candidate& one, base::instant now)
+bool dispatcher_election::is_placing(const candidate& one, base::instant now)
 {
-    return is_heard(one, now) && !one.delegating && !one.stopping;
+    return is_live(one, now) && !one.delegating && !one.stopping;
 }
 
-void dispatcher_election::heard(const message& told, base::instant now)
+void dispatcher_election::on_message(const message& told, base::instant now)
 {
-    if (told.address == this->own)
+    if (told.address == this->own_address)
         return;
-    candidate& sender = this->others[told.address];
+    candidate& sender = this->other_entries[told.address];
     sender.data_centre = base::data_centre_id(told.data_centre);
     sender.cpu_millicores = told.cpu_millicores;
-    sender.seen_at = now;
+    sender.last_seen_at = now;
     sender.started_at = now - told.uptime;
     sender.heard_at = now;
-    sender.asked_at.reset();
-    sender.passed_over_until = now;
+    sender.probed_at.reset();
+    sender.skipped_until = now;
     sender.stopping = told.stopping;
     sender.delegating = told.delegating;
     sender.dispatching = told.dispatching;
     for (const known_entry& named : told.known_entries) {
-        if (named.address == this->own || named.data_centre.empty() ||
+        if (named.address == this->own_address || named.data_centre.empty() ||
             named.age > forgotten_after)
             continue;
-        candidate& one = this->others[named.address];
-        one.seen_at = std::max(one.seen_at, now - named.age);
+        candidate& one = this->other_entries[named.address];
+        one.last_seen_at = std::max(one.last_seen_at, now - named.age);
         // Failure guarded against: a strong entry is restarted, and whoever
         // heard it stop goes on taking it for that. When it is next in line,
         // they look for a dispatcher in vain and place by themselves.
-        if (one.heard_at && one.seen_at > *one.heard_at + naming_lag)
+        if (one.heard_at && one.last_seen_at > *one.heard_at + naming_lag)
             one.stopping = false;
         if (one.heard_at)
             continue;
@@ -100,44 +100,47 @@
     }
 }
 
-void dispatcher_election::told(ipv4_address address, base::instant now)
+void dispatcher_election::on_probe_sent(ipv4_address address, base::instant now)
 {
-    const auto found = this->others.find(address);
-    if (found == this->others.end() || is_heard(found->second, now))
+    const auto found = this->other_entries.find(address);
+    if (found == this->other_entries.end() || is_live(found->second, now))
         return;
     candidate& one = found->second;
-    if (!one.asked_at)
-        one.asked_at = now;
-    if (now - *one.asked_at <= answer_bound)
+    if (!one.probed_at)
+        one.probed_at = now;
+    if (now - *one.probed_at <= answer_bound)
         return;
-    one.asked_at.reset();
-    one.passed_over_until = now + passed_over;
+    one.probed_at.reset();
+    one.skipped_until = now + passed_over;
 }
 
-std::size_t dispatcher_election::size(base::instant now) const
+std::size_t dispatcher_election::entry_count(base::instant now) const
 {
-    return 1 + static_cast<std::size_t>(std::count_if(
-                   this->others.begin(),
-                   this->others.end(),
-                   [&](const auto& entry) {
-                       return now - entry.second.seen_at <= forgotten_after;
-                   }));
+    return 1 + static_cast<std::size_t>(
+                   std::count_if(this->other_entries.begin(),
+                                 this->other_entries.end(),
+                                 [&](const auto& entry) {
+                                     return now - entry.second.last_seen_at <=
+                                            forgotten_after;
+                                 }));
 }
 
-bool dispatcher_election::is_large(base::instant now)
+bool dispatcher_election::uses_dispatchers(base::instant now)
 {
-    const std::size_t count = this->size(now);
-    this->large = this->large ? count >= large_until : count >= large_from;
-    return this->large;
+    const std::size_t count = this->entry_count(now);
+    this->dispatchers_in_use =
+        this->dispatchers_in_use ? count >= large_until : count >= large_from;
+    return this->dispatchers_in_use;
 }
 
-std::vector<ipv4_address> dispatcher_election::ranked(base::data_centre_id of,
-                                                      base::instant now) const
+std::vector<ipv4_address>
+dispatcher_election::ranked_candidates(base::data_centre_id of,
+                                       base::instant now) const
 {
     std::vector<std::pair<std::uint32_t, ipv4_address>> known;
-    for (const auto& [address, one] : this->others) {
+    for (const auto& [address, one] : this->other_entries) {
         if (one.data_centre == of && !one.stopping &&
-            now - one.seen_at <= forgotten_after)
+            now - one.last_seen_at <= forgotten_after)
             known.emplace_back(one.cpu_millicores, address);
     }
     std::sort(known.begin(), known.end(), [](const auto& a, const auto& b) {
@@ -153,9 +156,9 @@
 
 std::optional<ipv4_address> dispatcher_election::dispatcher(base::instant now)
 {
-    const auto first = this->first_before_own(now);
-    this->chosen = first ? first : this->left_in_place(now);
-    return this->chosen;
+    const auto first = this->higher_ranked_dispatcher(now);
+    this->current_dispatcher = first ? first : this->incumbent_dispatcher(now);
+    return this->current_dispatcher;
 }
 
 // Failure guarded against: entries are restarted one after the other, and each
@@ -163,14 +166,16 @@
 // changes for each stop, the second to a process that knows nothing of
 // upstreams.
 std::optional<ipv4_address>
-dispatcher_election::first_before_own(base::instant now) const
+dispatcher_election::higher_ranked_dispatcher(base::instant now) const
 {
-    const bool served = this->is_well_served(now);
-    for (const ipv4_address address : this->ranked(this->data_centre, now)) {
-        if (!this->goes_before_own(address))
+    const bool served = this->has_established_dispatcher(now);
+    for (const ipv4_address address :
+         this->ranked_candidates(this->data_centre, now)) {
+        if (!this->outranks_self(address))
             return std::nullopt;
-        const candidate& one = this->others.at(address);
-        if (places(one, now) && !(served && is_young(one.started_at, now)))
+        const candidate& one = this->other_entries.at(address);
+        if (is_placing(one, now) &&
+            !(served && is_recently_started(one.started_at, now)))
             return address;
     }
     return std::nullopt;
@@ -178,113 +183,123 @@
 
 // One that goes after this entry and is to go on.
 std::optional<ipv4_address>
-dispatcher_election::left_in_place(base::instant now) const
+dispatcher_election::incumbent_dispatcher(base::instant now) const
 {
-    const bool young = is_young(this->started, now);
-    if (this->chosen && this->is_settled(*this->chosen, now)) {
+    const bool young = is_recently_started(this->started, now);
+    if (this->current_dispatcher &&
+        this->is_established(*this->current_dispatcher, now)) {
         const std::uint32_t other =
-            this->others.at(*this->chosen).cpu_millicores;
+            this->other_entries.at(*this->current_dispatcher).cpu_millicores;
         const bool much_stronger =
             2 * this->cpu_millicores >= stronger_halves * other;
         if (young || !much_stronger)
-            return this->chosen;
+            return this->current_dispatcher;
     }
     if (!young)
         return std::nullopt;
-    for (const ipv4_address address : this->ranked(this->data_centre, now)) {
-        if (this->is_settled(address, now))
+    for (const ipv4_address address :
+         this->ranked_candidates(this->data_centre, now)) {
+        if (this->is_established(address, now))
             return address;
     }
     return std::nullopt;
 }
 
-bool dispatcher_election::is_young(base::instant started, base::instant now)
+bool dispatcher_election::is_recently_started(base::instant started,
+                                              base::instant now)
 {
     return now - started < young_for;
 }
 
 // It places for others, and its process has seen enough to do it well.
-bool dispatcher_election::is_settled(ipv4_address address,
-                                     base::instant now) const
+bool dispatcher_election::is_established(ipv4_address address,
+                                         base::instant now) const
 {
-    const auto found = this->others.find(address);
-    if (found == this->others.end())
+    const auto found = this->other_entries.find(address);
+    if (found == this->other_entries.end())
         return false;
     const candidate& one = found->second;
-    return one.dispatching && places(one, now) &&
-           !is_young(one.started_at, now);
+    return one.dispatching && is_placing(one, now) &&
+           !is_recently_started(one.started_at, now);
 }
 
-bool dispatcher_election::is_well_served(base::instant now) const
+bool dispatcher_election::has_established_dispatcher(base::instant now) const
 {
-    if (this->chosen)
-        return this->is_settled(*this->chosen, now);
-    return this->dispatching && !is_young(this->started, now);
+    if (this->current_dispatcher)
+        return this->is_established(*this->current_dispatcher, now);
+    return this->dispatching && !is_recently_started(this->started, now);
 }
 
 bool dispatcher_election::is_replaced(ipv4_address address,
                                       base::instant now) const
 {
-    const auto found = this->others.find(address);
-    if (found == this->others.end())
+    const auto found = this->other_entries.find(address);
+    if (found == this->other_entries.end())
         return false;
     // One that stops places its own requests to the end, and tells of them.
-    if (is_heard(found->second, now) && !found->second.delegating)
+    if (is_live(found->second, now) && !found->second.delegating)
         return false;
     const base::data_centre_id of = found->second.data_centre;
-    return std::any_of(
-        this->others.begin(), this->others.end(), [&](const auto& entry) {
-            return entry.second.data_centre == of && places(entry.second, now);
-        });
+    return std::any_of(this->other_entries.begin(),
+                       this->other_entries.end(),
+                       [&](const auto& entry) {
+                           return entry.second.data_centre == of &&
+                                  is_placing(entry.second, now);
+                       });
 }
 
 std::vector<ipv4_address>
-dispatcher_election::next_in_line(base::instant now) const
+dispatcher_election::standby_entries(base::instant now) const
 {
     std::vector<ipv4_address> out;
-    for (const ipv4_address address : this->ranked(this->data_centre, now)) {
+    for (const ipv4_address address :
+         this->ranked_candidates(this->data_centre, now)) {
         if (out.size() == successors)
             break;
-        if (is_heard(this->others.at(address), now))
+        if (is_live(this->other_entries.at(address), now))
             out.push_back(address);
     }
     return out;
 }
 
-std::size_t dispatcher_election::place_in_line(base::instant now) const
+std::size_t dispatcher_election::higher_ranked_count(base::instant now) const
 {
-    const std::vector<ipv4_address> all = this->ranked(this->data_centre, now);
+    const std::vector<ipv4_address> all =
+        this->ranked_candidates(this->data_centre, now);
     return static_cast<std::size_t>(
         std::count_if(all.begin(), all.end(), [&](ipv4_address address) {
-            return this->goes_before_own(address);
+            return this->outranks_self(address);
         }));
 }
 
-std::size_t dispatcher_election::dispatchers(base::instant now) const
+std::size_t dispatcher_election::other_dispatcher_count(base::instant now) const
 {
     return static_cast<std::size_t>(std::count_if(
-        this->others.begin(), this->others.end(), [&](const auto& entry) {
-            return places(entry.second, now);
-        }));
+        this->other_entries.begin(),
+        this->other_entries.end(),
+        [&](const auto& entry) { return is_placing(entry.second, now); }));
 }
 
-bool dispatcher_election::is_placed_nearby(base::instant now) const
+bool dispatcher_election::has_dispatcher_in_data_centre(base::instant now) const
 {
-    return std::any_of(
-        this->others.begin(), this->others.end(), [&](const auto& entry) {
-            return entry.second.data_centre == this->data_centre &&
-                   places(entry.second, now);
-        });
+    return std::any_of(this->other_entries.begin(),
+                       this->other_entries.end(),
+                       [&](const auto& entry) {
+                           return entry.second.data_centre ==
+                                      this->data_centre &&
+                                  is_placing(entry.second, now);
+                       });
 }
 
-std::size_t dispatcher_election::unheard_data_centres(base::instant now) const
+std::size_t
+dispatcher_election::never_heard_data_centre_count(base::instant now) const
 {
     std::set<base::data_centre_id> known;
     std::set<base::data_centre_id> ever_heard;
-    for (const auto& [address, one] : this->others) {
+    for (const auto& [address, one] : this->other_entries) {
         if (one.data_centre == this->data_centre || one.data_centre.empty())
             continue;
-        if (now - one.seen_at <= forgotten_after)
+        if (now - one.last_seen_at <= forgotten_after)
             known.insert(one.data_centre);
         if (one.heard_at)
             ever_heard.insert(one.data_centre);
@@ -295,40 +310,45 @@
     return out;
 }
 
-std::size_t dispatcher_election::known_nearby(base::instant now) const
+std::size_t
+dispatcher_election::known_count_in_data_centre(base::instant now) const
 {
-    return this->ranked(this->data_centre, now).size();
+    return this->ranked_candidates(this->data_centre, now).size();
 }
 
-std::vector<known_entry> dispatcher_election::to_name(base::data_centre_id to,
-                                                      base::instant now)
+std::vector<known_entry>
+dispatcher_election::select_known_entries(base::data_centre_id to,
+                                          base::instant now)
 {
     std::vector<known_entry> out;
     const auto name = [&](ipv4_address address) {
-        const candidate& one = this->others.at(address);
-        out.push_back(
-            {address, now - one.seen_at, one.data_centre, one.cpu_millicores});
+        const candidate& one = this->other_entries.at(address);
+        out.push_back({address,
+                       now - one.last_seen_at,
+                       one.data_centre,
+                       one.cpu_millicores});
     };
-    for (const ipv4_address address : this->ranked(to, now)) {
+    for (const ipv4_address address : this->ranked_candidates(to, now)) {
         if (out.size() == strongest_named)
             break;
-        if (now - this->others.at(address).seen_at <= answer_bound)
+        if (now - this->other_entries.at(address).last_seen_at <= answer_bound)
             name(address);
     }
     const std::size_t most = out.size() + named_in_turn;
-    auto next = this->others.lower_bound(this->next_named);
-    for (std::size_t seen = 0; seen < this->others.size(); ++seen) {
-        if (next == this->others.end())
-            next = this->others.begin();
+    auto next = this->other_entries.lower_bound(this->next_address_to_share);
+    for (std::size_t seen = 0; seen < this->other_entries.size(); ++seen) {
+        if (next == this->other_entries.end())
+            next = this->other_entries.begin();
         // Whoever is named has not said that it stops.
-        const bool there = now - next->second.seen_at <= forgotten_after;
+        const bool there = now - next->second.last_seen_at <= forgotten_after;
         if (there && !next->second.stopping)
             name(next->first);
         ++next;
         if (out.size() == most)
             break;
     }
-    this->next_named = next == this->others.end() ? 0 : next->first;
+    this->next_address_to_share =
+        next == this->other_entries.end() ? 0 : next->first;
     return out;
 }
 
--- a/src/greengagedrum/gossip/succession.hpp
+++ b/src/greengagedrum/gossip/succession.hpp
@@ -34,19 +34,19 @@
                         base::data_centre_id data_centre,
                         std::uint32_t strength,
                         base::instant started)
-        : own(own), data_centre(data_centre), cpu_millicores(strength),
+        : own_address(own), data_centre(data_centre), cpu_millicores(strength),
           started(started)
     {
     }
 
-    void heard(const message& told, base::instant now);
+    void on_message(const message& told, base::instant now);
     // A message was sent to it, which it is to answer.
-    void told(ipv4_address address, base::instant now);
+    void on_probe_sent(ipv4_address address, base::instant now);
 
     // Entries with any sign of life lately, this one included.
-    std::size_t size(base::instant now) const;
+    std::size_t entry_count(base::instant now) const;
     // Many entries: one of each data centre places for all.
-    bool is_large(base::instant now);
+    bool uses_dispatchers(base::instant now);
 
     // This entry places for others too.
     void set_dispatching(bool serving) { this->dispatching = serving; }
@@ -56,48 +56,48 @@
 
     // Those that would go before the dispatcher, or before this entry, and may
     // be there: to be asked whether they are.
-    std::vector<ipv4_address> to_try(base::instant now);
+    std::vector<ipv4_address> probe_targets(base::instant now);
 
     // Entries that place for other data centres, as far as is known, and
     // those that may.
-    std::vector<ipv4_address> far_dispatchers(base::instant now);
+    std::vector<ipv4_address> remote_dispatcher_candidates(base::instant now);
 
     // Entries of the own data centre that were not heard for a while.
-    std::vector<ipv4_address> silent_nearby(base::instant now) const;
+    std::vector<ipv4_address> silent_in_data_centre(base::instant now) const;
 
     // It does not place any more, and another one of its data centre does.
     bool is_replaced(ipv4_address address, base::instant now) const;
 
     // Entries that are first in line after this one, as long as it places.
-    std::vector<ipv4_address> next_in_line(base::instant now) const;
+    std::vector<ipv4_address> standby_entries(base::instant now) const;
 
     // Entries of the own data centre that would place before this one.
-    std::size_t place_in_line(base::instant now) const;
+    std::size_t higher_ranked_count(base::instant now) const;
 
     // Others that place, of any data centre, this one not counted.
-    std::size_t dispatchers(base::instant now) const;
+    std::size_t other_dispatcher_count(base::instant now) const;
     // Another entry of the own data centre places.
-    bool is_placed_nearby(base::instant now) const;
+    bool has_dispatcher_in_data_centre(base::instant now) const;
 
     // Other data centres of which nobody was heard lately, and entries of the
     // own one that are known of.
-    std::size_t unheard_data_centres(base::instant now) const;
-    std::size_t known_nearby(base::instant now) const;
+    std::size_t never_heard_data_centre_count(base::instant now) const;
+    std::size_t known_count_in_data_centre(base::instant now) const;
 
     // For a message to an entry of that data centre: the strongest there, and
     // others in turn.
-    std::vector<known_entry> to_name(base::data_centre_id to,
-                                     base::instant now);
+    std::vector<known_entry> select_known_entries(base::data_centre_id to,
+                                                  base::instant now);
 
 private:
     struct candidate {
         base::data_centre_id data_centre;
         std::uint32_t cpu_millicores = 0;
-        base::instant seen_at;    // by anyone
-        base::instant started_at; // its process
+        base::instant last_seen_at; // by anyone
+        base::instant started_at;   // its process
         std::optional<base::instant> heard_at;
-        std::optional<base::instant> asked_at; // and not answered since
-        base::instant passed_over_until;
+        std::optional<base::instant> probed_at; // and not answered since
+        base::instant skipped_until;
         bool stopping = false;
         bool delegating = false;  // another one places for it
         bool dispatching = false; // it places for others
@@ -105,33 +105,35 @@
 
     using candidates = std::map<ipv4_address, candidate>;
 
-    bool goes_before_own(ipv4_address address) const;
-    std::optional<ipv4_address> first_before_own(base::instant now) const;
-    std::optional<ipv4_address> left_in_place(base::instant now) const;
-    bool is_settled(ipv4_address address, base::instant now) const;
-    bool is_well_served(base::instant now) const;
-    static bool is_young(base::instant started, base::instant now);
-    static bool is_heard(const candidate& one, base::instant now);
-    static bool places(const candidate& one, base::instant now);
-    std::vector<ipv4_address> ranked(base::data_centre_id of,
-                                     base::instant now) const;
-    std::size_t tried_now(base::instant now) const;
-    void try_strongest(base::data_centre_id of,
-                       std::size_t most,
-                       std::optional<ipv4_address> before,
-                       base::instant now,
-                       std::vector<ipv4_address>& out);
-
-    ipv4_address own;
+    bool outranks_self(ipv4_address address) const;
+    std::optional<ipv4_address>
+    higher_ranked_dispatcher(base::instant now) const;
+    std::optional<ipv4_address> incumbent_dispatcher(base::instant now) const;
+    bool is_established(ipv4_address address, base::instant now) const;
+    bool has_established_dispatcher(base::instant now) const;
+    static bool is_recently_started(base::instant started, base::instant now);
+    static bool is_live(const candidate& one, base::instant now);
+    static bool is_placing(const candidate& one, base::instant now);
+    std::vector<ipv4_address> ranked_candidates(base::data_centre_id of,
+                                                base::instant now) const;
+    std::size_t probe_limit(base::instant now) const;
+    void add_probe_targets(base::data_centre_id of,
+                           std::size_t most,
+                           std::optional<ipv4_address> before,
+                           base::instant now,
+                           std::vector<ipv4_address>& out);
+
+    ipv4_address own_address;
     base::data_centre_id data_centre;
     std::uint32_t cpu_millicores; // thousandths of a processor
     base::instant started;
     bool dispatching = false;
-    std::optional<ipv4_address> chosen; // the dispatcher, when last asked
+    std::optional<ipv4_address>
+        current_dispatcher; // the dispatcher, when last asked
     std::optional<base::instant> searching_since; // none was found since then
-    candidates others;
-    ipv4_address next_named = 0;
-    bool large = false;
+    candidates other_entries;
+    ipv4_address next_address_to_share = 0;
+    bool dispatchers_in_use = false;
 };
 
 } // namespace greengagedrum::gossip
--- a/src/greengagedrum/gossip/test/succession_test.cpp
+++ b/src/greengagedrum/gossip/test/succession_test.cpp
@@ -40,14 +40,14 @@
 
     void hear(ipv4_address address, std::uint32_t strength = weak)
     {
-        this->own.heard(this->from(address, strength, "hall"), this->now);
+        this->own.on_message(this->from(address, strength, "hall"), this->now);
     }
 
     void name(const known_entry& one)
     {
         message told = this->from(49, weak, "hall");
         told.known_entries = {one};
-        this->own.heard(told, this->now);
+        this->own.on_message(told, this->now);
     }
 };
 
@@ -58,10 +58,10 @@
 {
     for (ipv4_address one = 100; one < 124; ++one)
         this->hear(one);
-    CHECK_FALSE(this->own.is_large(this->now));
+    CHECK_FALSE(this->own.uses_dispatchers(this->now));
     for (ipv4_address one = 124; one < 140; ++one)
         this->hear(one);
-    CHECK(this->own.is_large(this->now));
+    CHECK(this->own.uses_dispatchers(this->now));
 }
 
 // An entry more or less must not turn the whole fleet's way of placing round.
@@ -69,12 +69,12 @@
 {
     for (ipv4_address one = 100; one < 132; ++one)
         this->hear(one);
-    CHECK(this->own.is_large(this->now));
+    CHECK(this->own.uses_dispatchers(this->now));
     this->now += 29s;
     for (ipv4_address one = 100; one < 126; ++one)
         this->hear(one);
     this->now += 2s;
-    CHECK(this->own.is_large(this->now));
+    CHECK(this->own.uses_dispatchers(this->now));
 }
 
 TEST_CASE_FIXTURE(succession_fixture, "strongest_entry_that_is_heard_places")
@@ -85,7 +85,7 @@
     CHECK(this->own.dispatcher(this->now) == 40);
     this->hear(70, strong);
     CHECK(this->own.dispatcher(this->now) == 70);
-    this->own.heard(this->from(30, strong, "yard"), this->now);
+    this->own.on_message(this->from(30, strong, "yard"), this->now);
     CHECK(this->own.dispatcher(this->now) == 70);
 }
 
@@ -95,10 +95,10 @@
 {
     this->hear(70, strong);
     this->name({71, 100ms, hall, strong});
-    CHECK_FALSE(contains(this->own.to_try(this->now), 71));
+    CHECK_FALSE(contains(this->own.probe_targets(this->now), 71));
     this->now += 400ms;
     CHECK_FALSE(this->own.dispatcher(this->now));
-    CHECK(contains(this->own.to_try(this->now), 71));
+    CHECK(contains(this->own.probe_targets(this->now), 71));
     this->hear(71, strong);
     CHECK(this->own.dispatcher(this->now) == 71);
 }
@@ -107,9 +107,9 @@
 {
     message told = this->from(70, strong, "hall");
     told.delegating = true;
-    this->own.heard(told, this->now);
+    this->own.on_message(told, this->now);
     CHECK_FALSE(this->own.dispatcher(this->now));
-    CHECK(contains(this->own.to_try(this->now), 70));
+    CHECK(contains(this->own.probe_targets(this->now), 70));
 }
 
 TEST_CASE_FIXTURE(succession_fixture, "dispatcher_that_stops_is_left_at_once")
@@ -117,7 +117,7 @@
     this->hear(70, strong);
     message told = this->from(70, strong, "hall");
     told.stopping = true;
-    this->own.heard(told, this->now);
+    this->own.on_message(told, this->now);
     CHECK_FALSE(this->own.dispatcher(this->now));
 }
 
@@ -127,22 +127,22 @@
 {
     this->name({70, 100ms, hall, strong});
     for (int count = 0; count < 6; ++count) {
-        this->own.told(70, this->now);
+        this->own.on_probe_sent(70, this->now);
         this->now += 100ms;
     }
-    CHECK_FALSE(contains(this->own.to_try(this->now), 70));
+    CHECK_FALSE(contains(this->own.probe_targets(this->now), 70));
     this->now += 2500ms;
-    CHECK(contains(this->own.to_try(this->now), 70));
+    CHECK(contains(this->own.probe_targets(this->now), 70));
 }
 
 TEST_CASE_FIXTURE(succession_fixture,
                   "weaker_entries_are_not_asked_by_the_strongest")
 {
     dispatcher_election best(1, hall, strong, base::instant());
-    best.heard(this->from(60, weak, "hall"), this->now);
+    best.on_message(this->from(60, weak, "hall"), this->now);
     this->now += 1s;
-    CHECK(best.to_try(this->now).empty());
-    CHECK(contains(best.silent_nearby(this->now), 60));
+    CHECK(best.probe_targets(this->now).empty());
+    CHECK(contains(best.silent_in_data_centre(this->now), 60));
 }
 
 TEST_CASE_FIXTURE(succession_fixture, "other_data_centres_are_told_by_rank")
@@ -150,14 +150,14 @@
     this->name({10, 100ms, yard, weak});
     this->name({11, 100ms, yard, strong});
     this->name({12, 100ms, yard, weak});
-    const auto first = this->own.far_dispatchers(this->now);
+    const auto first = this->own.remote_dispatcher_candidates(this->now);
     CHECK(contains(first, 11));
     CHECK(contains(first, 10));
-    CHECK(this->own.unheard_data_centres(this->now) == 1);
-    this->own.heard(this->from(11, strong, "yard"), this->now);
-    CHECK(this->own.far_dispatchers(this->now) ==
+    CHECK(this->own.never_heard_data_centre_count(this->now) == 1);
+    this->own.on_message(this->from(11, strong, "yard"), this->now);
+    CHECK(this->own.remote_dispatcher_candidates(this->now) ==
           std::vector<ipv4_address>{11});
-    CHECK(this->own.unheard_data_centres(this->now) == 0);
+    CHECK(this->own.never_heard_data_centre_count(this->now) == 0);
 }
 
 // The strongest of another data centre leave a weaker one in place, which
@@ -167,13 +167,14 @@
 {
     for (const ipv4_address address : {10U, 11U, 12U, 13U})
         this->name({address, 100ms, yard, address < 12 ? strong : weak});
-    CHECK_FALSE(contains(this->own.far_dispatchers(this->now), 12));
+    CHECK_FALSE(
+        contains(this->own.remote_dispatcher_candidates(this->now), 12));
     for (const ipv4_address address : {10U, 11U}) {
         message declining = this->from(address, strong, "yard");
         declining.delegating = true;
-        this->own.heard(declining, this->now);
+        this->own.on_message(declining, this->now);
     }
-    const auto next = this->own.far_dispatchers(this->now);
+    const auto next = this->own.remote_dispatcher_candidates(this->now);
     CHECK(contains(next, 12));
     CHECK(contains(next, 13));
     CHECK_FALSE(contains(next, 10));
@@ -186,19 +187,19 @@
     message told = this->from(200, weak, "yard");
     for (ipv4_address address = 10; address < 50; ++address)
         told.known_entries.push_back({address, 100ms, hall, strong});
-    this->own.heard(told, this->now);
+    this->own.on_message(told, this->now);
     std::set<ipv4_address> asked;
     for (const base::instant until = this->now + 500ms; this->now < until;
          this->now += 100ms) {
-        for (const ipv4_address address : this->own.to_try(this->now)) {
-            this->own.told(address, this->now);
+        for (const ipv4_address address : this->own.probe_targets(this->now)) {
+            this->own.on_probe_sent(address, this->now);
             asked.insert(address);
         }
     }
     CHECK(asked.size() == 40);
     // Not for ever: those behind a long cut are asked a few at a time.
     this->now += 5s;
-    CHECK(this->own.to_try(this->now).size() <= 3);
+    CHECK(this->own.probe_targets(this->now).size() <= 3);
 }
 
 // A dispatcher elsewhere falls silent and another one of its data centre
@@ -206,11 +207,11 @@
 TEST_CASE_FIXTURE(succession_fixture,
                   "silent_dispatcher_with_a_successor_is_replaced")
 {
-    this->own.heard(this->from(11, strong, "yard"), this->now);
+    this->own.on_message(this->from(11, strong, "yard"), this->now);
     CHECK_FALSE(this->own.is_replaced(11, this->now));
     this->now += 1s;
     CHECK_FALSE(this->own.is_replaced(11, this->now));
-    this->own.heard(this->from(12, weak, "yard"), this->now);
+    this->own.on_message(this->from(12, weak, "yard"), this->now);
     CHECK(this->own.is_replaced(11, this->now));
 }
 
@@ -220,11 +221,11 @@
 {
     message stopping = this->from(11, strong, "yard");
     stopping.stopping = true;
-    this->own.heard(stopping, this->now);
-    this->own.heard(this->from(12, weak, "yard"), this->now);
+    this->own.on_message(stopping, this->now);
+    this->own.on_message(this->from(12, weak, "yard"), this->now);
     CHECK_FALSE(this->own.is_replaced(11, this->now));
     this->now += 1s;
-    this->own.heard(this->from(12, weak, "yard"), this->now);
+    this->own.on_message(this->from(12, weak, "yard"), this->now);
     CHECK(this->own.is_replaced(11, this->now));
 }
 
@@ -238,12 +239,12 @@
     placing.uptime = 1min;
     placing.dispatching = true;
     for (int second = 0; second < 9; ++second) {
-        best.heard(placing, this->now);
+        best.on_message(placing, this->now);
         CHECK(best.dispatcher(this->now) == 70);
         this->now += 1s;
     }
     this->now += 1s;
-    best.heard(placing, this->now);
+    best.on_message(placing, this->now);
     CHECK_FALSE(best.dispatcher(this->now));
 }
 
@@ -254,13 +255,13 @@
     message placing = this->from(70, weak, "hall");
     placing.uptime = 1min;
     placing.dispatching = true;
-    next.heard(placing, this->now);
+    next.on_message(placing, this->now);
     CHECK(next.dispatcher(this->now) == 70);
     this->now += 1min;
-    next.heard(placing, this->now);
+    next.on_message(placing, this->now);
     CHECK(next.dispatcher(this->now) == 70);
     placing.stopping = true;
-    next.heard(placing, this->now);
+    next.on_message(placing, this->now);
     CHECK_FALSE(next.dispatcher(this->now));
 }
 
@@ -275,7 +276,7 @@
     this->now += 10s;
     message told = this->from(70, strong, "hall");
     told.uptime = 10s;
-    this->own.heard(told, this->now);
+    this->own.on_message(told, this->now);
     CHECK(this->own.dispatcher(this->now) == 70);
 }
 
@@ -284,12 +285,12 @@
     message placing = this->from(40, weak, "hall");
     placing.uptime = 1min;
     placing.dispatching = true;
-    this->own.heard(placing, this->now);
+    this->own.on_message(placing, this->now);
     CHECK(this->own.dispatcher(this->now) == 40);
     this->hear(70, strong);
     CHECK(this->own.dispatcher(this->now) == 40);
     placing.stopping = true;
-    this->own.heard(placing, this->now);
+    this->own.on_message(placing, this->now);
     CHECK(this->own.dispatcher(this->now) == 70);
 }
 
@@ -299,7 +300,7 @@
     dispatcher_election best(1, hall, strong, this->now);
     message placing = this->from(70, weak, "hall");
     placing.uptime = 500ms;
-    best.heard(placing, this->now);
+    best.on_message(placing, this->now);
     CHECK_FALSE(best.dispatcher(this->now));
 }
 
@@ -310,14 +311,14 @@
     this->hear(40, weak);
     message told = this->from(70, strong, "hall");
     told.delegating = true;
-    this->own.heard(told, this->now);
-    CHECK_FALSE(contains(this->own.to_try(this->now), 70));
+    this->own.on_message(told, this->now);
+    CHECK_FALSE(contains(this->own.probe_targets(this->now), 70));
     this->now += 300ms;
     this->hear(40, weak);
-    CHECK_FALSE(contains(this->own.to_try(this->now), 70));
+    CHECK_FALSE(contains(this->own.probe_targets(this->now), 70));
     this->now += 2s;
     this->hear(40, weak);
-    CHECK(contains(this->own.to_try(this->now), 70));
+    CHECK(contains(this->own.probe_targets(this->now), 70));
 }
 
 // A strong entry said that it stops, and is back: others have heard it since.
@@ -325,20 +326,21 @@
 {
     message told = this->from(70, strong, "hall");
     told.stopping = true;
-    this->own.heard(told, this->now);
+    this->own.on_message(told, this->now);
     this->now += 3s;
     this->name({70, 3s, hall, strong});
-    CHECK_FALSE(contains(this->own.to_try(this->now), 70));
+    CHECK_FALSE(contains(this->own.probe_targets(this->now), 70));
     this->name({70, 200ms, hall, strong});
-    CHECK(contains(this->own.to_try(this->now), 70));
+    CHECK(contains(this->own.probe_targets(this->now), 70));
 }
 
 TEST_CASE_FIXTURE(succession_fixture, "entry_that_stops_is_not_named")
 {
     message told = this->from(70, strong, "hall");
     told.stopping = true;
-    this->own.heard(told, this->now);
-    for (const known_entry& one : this->own.to_name(hall, this->now))
+    this->own.on_message(told, this->now);
+    for (const known_entry& one :
+         this->own.select_known_entries(hall, this->now))
         CHECK(one.address != 70);
 }
 
@@ -353,8 +355,8 @@
     this->hear(63, strong);
     message stopping = this->from(64, strong, "hall");
     stopping.stopping = true;
-    this->own.heard(stopping, this->now);
-    CHECK(this->own.next_in_line(this->now) ==
+    this->own.on_message(stopping, this->now);
+    CHECK(this->own.standby_entries(this->now) ==
           std::vector<ipv4_address>{63, 49});
 }
 
@@ -366,7 +368,7 @@
         this->hear(one);
     this->name({11, 100ms, yard, strong});
     for (int count = 0; count < 40; ++count) {
-        const auto named = this->own.to_name(yard, this->now);
+        const auto named = this->own.select_known_entries(yard, this->now);
         CHECK(named.size() <= 10);
         CHECK(named.at(0).address == 11);
     }
