--- a/src/greengagedrum/gossip/peer_table.cpp
+++ b/src/greengagedrum/gossip/peer_table.cpp
@@ -36,7 +36,7 @@
 
 void peer_table::add_seed(ipv4_address address)
 {
-    if (address != this->own)
+    if (address != this->own_address)
         this->peers[address].seed = true;
 }
 
@@ -44,14 +44,14 @@
 {
     // An address may be another process of ours at this very place, before a
     // restart: its messages are not to be taken for a peer's.
-    if (told.address == this->own)
+    if (told.address == this->own_address)
         return peer_update::outdated;
     peer& one = this->peers[told.address];
     const bool known = one.heard_at.has_value();
     const bool same_life = known && one.incarnation == told.incarnation;
     if (same_life && told.sequence <= one.sequence)
         return peer_update::outdated;
-    const bool was_alive = one.alive_told;
+    const bool was_alive = one.reported_live;
     one.instance = told.instance;
     one.in_own_data_centre = told.data_centre == this->data_centre;
     one.data_centre = base::data_centre_id(told.data_centre);
@@ -59,14 +59,14 @@
     one.incarnation = told.incarnation;
     one.sequence = told.sequence;
     one.heard_at = now;
-    one.alive_told = true;
+    one.reported_live = true;
     one.stopping = told.stopping;
     one.configuration_revision = told.configuration_revision;
     one.change_revision = told.change_revision;
     one.store_revision = told.store_revision;
     for (const known_entry& named : told.known_entries) {
-        if (named.address != this->own && named.age < forgotten_after)
-            this->peers[named.address].named_at = now;
+        if (named.address != this->own_address && named.age < forgotten_after)
+            this->peers[named.address].learned_at = now;
     }
     if (known && !same_life)
         return peer_update::restarted;
@@ -83,15 +83,15 @@
         if ((alive && one.in_own_data_centre) != near)
             continue;
         if (!alive) {
-            if (now - one.tried_at < retry_period)
+            if (now - one.probed_at < retry_period)
                 continue;
-            one.tried_at = now;
+            one.probed_at = now;
         }
         out.push_back(address);
     }
     std::erase_if(this->peers, [&](const auto& entry) {
         const peer& one = entry.second;
-        const base::instant last = one.heard_at.value_or(one.named_at);
+        const base::instant last = one.heard_at.value_or(one.learned_at);
         return !one.seed && now - last > forgotten_after;
     });
     return out;
@@ -112,12 +112,12 @@
 {
     std::vector<known_entry> out;
     base::instant& named_at = who == recipient_group::own_data_centre
-                                  ? this->named_near_at
-                                  : this->named_far_at;
+                                  ? this->shared_with_own_data_centre_at
+                                  : this->shared_with_others_at;
     if (now - named_at < naming_gap)
         return out;
     named_at = now;
-    auto next = this->peers.lower_bound(this->next_named);
+    auto next = this->peers.lower_bound(this->next_address_to_share);
     for (std::size_t seen = 0; seen < this->peers.size(); ++seen) {
         if (next == this->peers.end())
             next = this->peers.begin();
@@ -130,7 +130,7 @@
         if (out.size() == named_at_once)
             break;
     }
-    this->next_named = next == this->peers.end() ? 0 : next->first;
+    this->next_address_to_share = next == this->peers.end() ? 0 : next->first;
     return out;
 }
 
@@ -138,9 +138,9 @@
 {
     std::vector<std::string> out;
     for (auto& [address, one] : this->peers) {
-        if (!one.alive_told || is_alive(one, now))
+        if (!one.reported_live || is_alive(one, now))
             continue;
-        one.alive_told = false;
+        one.reported_live = false;
         out.push_back(one.instance);
     }
     return out;
@@ -196,7 +196,7 @@
             now - *one.heard_at > lately)
             continue;
         out.entry_count += 1;
-        out.lower_count += address < this->own ? 1 : 0;
+        out.lower_count += address < this->own_address ? 1 : 0;
     }
     return out;
 }
@@ -237,7 +237,7 @@
     return std::any_of(
         this->peers.begin(), this->peers.end(), [&](const auto& entry) {
             const peer& one = entry.second;
-            return entry.first < this->own && one.in_own_data_centre &&
+            return entry.first < this->own_address && one.in_own_data_centre &&
                    !one.stopping && is_alive(one, now);
         });
 }
--- a/src/greengagedrum/gossip/peer_table.hpp
+++ b/src/greengagedrum/gossip/peer_table.hpp
@@ -35,7 +35,8 @@
     peer_table(ipv4_address own,
                std::string data_centre,
                base::incarnation life)
-        : own(own), data_centre(std::move(data_centre)), incarnation(life)
+        : own_address(own), data_centre(std::move(data_centre)),
+          incarnation(life)
     {
     }
 
@@ -100,10 +101,10 @@
         base::incarnation incarnation;
         std::uint64_t sequence = 0;
         std::optional<base::instant> heard_at; // empty: only named by others
-        base::instant named_at;
-        base::instant tried_at;
+        base::instant learned_at;
+        base::instant probed_at;
         bool seed = false;
-        bool alive_told = false;
+        bool reported_live = false;
         bool stopping = false;
         std::uint64_t configuration_revision = 0;
         std::uint64_t change_revision = 0;
@@ -112,14 +113,14 @@
 
     static bool is_alive(const peer& one, base::instant now);
 
-    ipv4_address own;
+    ipv4_address own_address;
     std::string data_centre;
     base::incarnation incarnation;
     std::map<ipv4_address, peer> peers;
-    ipv4_address next_named = 0;
+    ipv4_address next_address_to_share = 0;
     // When others were named last, to each audience.
-    base::instant named_near_at;
-    base::instant named_far_at;
+    base::instant shared_with_own_data_centre_at;
+    base::instant shared_with_others_at;
 };
 
 } // namespace greengagedrum::gossip
