--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-bool dispatcher_book::is_members(base::request_id id)
+bool member_request_table::is_member_request(base::request_id id)
 {
     return (id.value & members_bit) != 0;
 }
@@ -46,15 +46,15 @@
 // ---- Reports --------------------------------------------------------------
 
 request_changes
-dispatcher_book::report(base::slot_id member,
-                        base::incarnation life,
-                        const member_report& told,
-                        std::span<const traffic::upstream_use> uses)
+member_request_table::on_report(base::slot_id member,
+                                base::incarnation life,
+                                const member_report& told,
+                                std::span<const traffic::upstream_use> uses)
 {
     request_changes out;
     member_state& state = this->of[member];
     if (state.life != life) {
-        out = this->lost(member);
+        out = this->remove_member(member);
         this->of[member].life = life;
     }
     member_state& own = this->of[member];
@@ -89,9 +89,9 @@
     return out;
 }
 
-void dispatcher_book::take_news(member_state& member,
-                                const send_news& news,
-                                request_changes& out)
+void member_request_table::take_news(member_state& member,
+                                     const send_news& news,
+                                     request_changes& out)
 {
     if (news.number <= member.news_taken)
         return;
@@ -108,10 +108,10 @@
     this->sends.erase(id.value);
 }
 
-void dispatcher_book::take_wanted(base::slot_id id,
-                                  member_state& member,
-                                  const slot_request& wanted,
-                                  request_changes& out)
+void member_request_table::take_wanted(base::slot_id id,
+                                       member_state& member,
+                                       const slot_request& wanted,
+                                       request_changes& out)
 {
     const auto [found, fresh] = member.sends.try_emplace(wanted.name);
     if (fresh) {
@@ -134,7 +134,8 @@
 // A send that a whole report does not name has ended: its caller left, it was
 // given up on, or its end was told in news that a dispatcher before this one
 // took.
-void dispatcher_book::drop_unnamed(member_state& member, request_changes& out)
+void member_request_table::drop_unnamed(member_state& member,
+                                        request_changes& out)
 {
     std::vector<base::request_id> gone;
     for (const auto& [name, id] : member.sends) {
@@ -145,7 +146,7 @@
         this->drop(id, out);
 }
 
-void dispatcher_book::drop(base::request_id id, request_changes& out)
+void member_request_table::drop(base::request_id id, request_changes& out)
 {
     const auto found = this->sends.find(id.value);
     const send_state& send = found->second;
@@ -157,7 +158,7 @@
     this->sends.erase(found);
 }
 
-request_changes dispatcher_book::lost(base::slot_id member)
+request_changes member_request_table::remove_member(base::slot_id member)
 {
     request_changes out;
     const auto found = this->of.find(member);
@@ -172,7 +173,7 @@
     return out;
 }
 
-request_changes dispatcher_book::lost_all()
+request_changes member_request_table::remove_all_members()
 {
     request_changes out;
     std::vector<base::request_id> all;
@@ -187,7 +188,7 @@
 // ---- Decisions ------------------------------------------------------------
 
 std::optional<counted_cost>
-dispatcher_book::granted(const traffic::send_request& order)
+member_request_table::on_granted(const traffic::send_request& order)
 {
     const auto found = this->sends.find(order.request.value);
     if (found == this->sends.end())
@@ -204,8 +205,8 @@
     return send.cost;
 }
 
-std::optional<counted_cost> dispatcher_book::declined(base::request_id id,
-                                                      const base::verdict& why)
+std::optional<counted_cost>
+member_request_table::on_declined(base::request_id id, const base::verdict& why)
 {
     const auto found = this->sends.find(id.value);
     if (found == this->sends.end() || found->second.granted)
@@ -219,7 +220,8 @@
     return send.cost;
 }
 
-std::optional<counted_cost> dispatcher_book::forget(base::request_id id)
+std::optional<counted_cost>
+member_request_table::forget_send(base::request_id id)
 {
     const auto found = this->sends.find(id.value);
     if (found == this->sends.end())
@@ -234,7 +236,7 @@
 
 // ---- Replies --------------------------------------------------------------
 
-bool dispatcher_book::has_untaken(const member_state& member) const
+bool member_request_table::has_untaken(const member_state& member) const
 {
     return std::any_of(
         member.sends.begin(), member.sends.end(), [&](const auto& entry) {
@@ -243,7 +245,8 @@
         });
 }
 
-std::vector<base::slot_id> dispatcher_book::unanswered(base::instant now) const
+std::vector<base::slot_id>
+member_request_table::members_to_answer(base::instant now) const
 {
     std::vector<base::slot_id> out;
     for (const auto& [member, state] : this->of) {
@@ -254,7 +257,8 @@
     return out;
 }
 
-dispatcher_reply dispatcher_book::reply(base::slot_id member, base::instant now)
+dispatcher_reply member_request_table::build_reply(base::slot_id member,
+                                                   base::instant now)
 {
     dispatcher_reply out;
     const auto found = this->of.find(member);
--- a/src/greengagedrum/dispatch/dispatcher_book.hpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.hpp
@@ -36,42 +36,42 @@
     std::vector<traffic::upstream_use> others; // placed by nobody here
 };
 
-class dispatcher_book
+class member_request_table
 {
 public:
     // Ids given by the book differ from those of own requests.
-    static bool is_members(base::request_id id);
+    static bool is_member_request(base::request_id id);
 
-    request_changes report(base::slot_id member,
-                           base::incarnation life,
-                           const member_report& told,
-                           std::span<const traffic::upstream_use> uses);
+    request_changes on_report(base::slot_id member,
+                              base::incarnation life,
+                              const member_report& told,
+                              std::span<const traffic::upstream_use> uses);
 
     // The member has died or was cut off: what it wanted is nobody's.
-    request_changes lost(base::slot_id member);
+    request_changes remove_member(base::slot_id member);
     // Another entry places from now on.
-    request_changes lost_all();
+    request_changes remove_all_members();
 
     // The send got a place. What is to be counted against its limit; empty when
     // it was counted before, or is no longer wanted.
-    std::optional<counted_cost> granted(const traffic::send_request& order);
+    std::optional<counted_cost> on_granted(const traffic::send_request& order);
 
     // The send got none. What the limit is to give back; empty when it had a
     // place, or is no longer wanted.
-    std::optional<counted_cost> declined(base::request_id id,
-                                         const base::verdict& why);
+    std::optional<counted_cost> on_declined(base::request_id id,
+                                            const base::verdict& why);
 
     // The send was to have a place and has none: asked for again, it is a new
     // one. What the limit is to give back, as above.
-    std::optional<counted_cost> forget(base::request_id id);
+    std::optional<counted_cost> forget_send(base::request_id id);
 
     // Members that have not been told what was decided, or have not shown that
     // they were.
-    std::vector<base::slot_id> unanswered(base::instant now) const;
+    std::vector<base::slot_id> members_to_answer(base::instant now) const;
     // For that member now; all of it that the member has not shown to have.
-    dispatcher_reply reply(base::slot_id member, base::instant now);
+    dispatcher_reply build_reply(base::slot_id member, base::instant now);
 
-    std::size_t members() const { return this->of.size(); }
+    std::size_t member_count() const { return this->of.size(); }
 
 private:
     struct send_state {
--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -59,7 +59,7 @@
     this->term += 1;
     this->dispatcher =
         make_scheduler(this->given, 1000 + this->term, this->now);
-    this->book = std::make_unique<dispatcher_book>();
+    this->book = std::make_unique<member_request_table>();
 }
 
 void dispatch_run::at(base::instant when, std::function<void()> what)
@@ -269,7 +269,7 @@
     if (!this->dispatcher || to != this->term)
         return;
     const request_changes news =
-        this->book->report(slot_of(from), base::incarnation{1}, told, {});
+        this->book->on_report(slot_of(from), base::incarnation{1}, told, {});
     this->dispatcher->peer_told(slot_of(from), news.others, {}, this->now);
     for (const traffic::event& one : news.events)
         this->dispatcher_step(one);
@@ -290,17 +290,17 @@
 {
     for (const traffic::action& order : orders) {
         if (const auto* send = std::get_if<traffic::send_request>(&order))
-            this->book->granted(*send);
+            this->book->on_granted(*send);
         if (const auto* end = std::get_if<traffic::end_request>(&order))
-            this->book->declined(end->request, end->verdict);
+            this->book->on_declined(end->request, end->verdict);
     }
 }
 
 void dispatch_run::answer_members()
 {
-    for (const base::slot_id slot : this->book->unanswered(this->now)) {
+    for (const base::slot_id slot : this->book->members_to_answer(this->now)) {
         const std::size_t one = this->numbers.at(slot);
-        const dispatcher_reply reply = this->book->reply(slot, this->now);
+        const dispatcher_reply reply = this->book->build_reply(slot, this->now);
         if (!this->is_lost())
             this->at(this->now + this->given.way,
                      [this, one, reply] { this->replied(one, reply); });
--- a/src/greengagedrum/dispatch/test/dispatch_run.hpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.hpp
@@ -92,7 +92,7 @@
     std::vector<member> members;
     std::unordered_map<base::slot_id, std::size_t> numbers; // of members
     std::unique_ptr<traffic::scheduler> dispatcher; // none: it was killed
-    std::unique_ptr<dispatcher_book> book;
+    std::unique_ptr<member_request_table> book;
     std::uint64_t term = 0; // grows with each dispatcher
     std::uint64_t next_request = 1;
     std::map<base::upstream_id, std::uint32_t> running;
--- a/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
+++ b/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
@@ -16,7 +16,7 @@
 const base::workspace_id planning("planning");
 
 struct desk_fixture {
-    dispatcher_book book;
+    member_request_table book;
     member_report told; // what the member says at present
     base::instant now{std::chrono::hours(1)};
 
@@ -32,7 +32,7 @@
 
     request_changes report(std::uint64_t life = 1)
     {
-        return this->book.report(
+        return this->book.on_report(
             member, base::incarnation{life}, this->told, {});
     }
 
@@ -41,7 +41,7 @@
         this->told.wanted.push_back(wanted(request));
         const request_changes news = this->report();
         REQUIRE(news.arrived.size() == 1);
-        this->book.reply(member, this->now);
+        this->book.build_reply(member, this->now);
         return news.arrived.front().first;
     }
 
@@ -51,7 +51,7 @@
         order.request = id;
         order.send = 1;
         order.upstream = engine;
-        return this->book.granted(order);
+        return this->book.on_granted(order);
     }
 
     // The member has sent what it was granted.
@@ -68,9 +68,9 @@
 TEST_CASE_FIXTURE(desk_fixture, "slot_request_told_again_arrives_once")
 {
     const base::request_id id = this->arrive(7);
-    CHECK(dispatcher_book::is_members(id));
+    CHECK(member_request_table::is_member_request(id));
     CHECK(this->report().arrived.empty());
-    CHECK(this->book.unanswered(this->now).empty());
+    CHECK(this->book.members_to_answer(this->now).empty());
 }
 
 // The datagram with a granted place is lost. The member goes on to ask, and is
@@ -81,16 +81,17 @@
     const auto cost = this->grant(id);
     REQUIRE(cost);
     CHECK(cost->amount == 100);
-    CHECK(this->book.unanswered(this->now).size() == 1);
-    CHECK(this->book.reply(member, this->now).granted.size() == 1);
-    CHECK(this->book.unanswered(this->now).empty());
+    CHECK(this->book.members_to_answer(this->now).size() == 1);
+    CHECK(this->book.build_reply(member, this->now).granted.size() == 1);
+    CHECK(this->book.members_to_answer(this->now).empty());
     this->report();
-    CHECK(this->book.unanswered(this->now).size() == 1);
-    CHECK(this->book.reply(member, this->now).granted.at(0).upstream == engine);
+    CHECK(this->book.members_to_answer(this->now).size() == 1);
+    CHECK(this->book.build_reply(member, this->now).granted.at(0).upstream ==
+          engine);
     this->run_all();
     CHECK(this->report().events.empty());
-    CHECK(this->book.unanswered(this->now).empty());
-    CHECK(this->book.reply(member, this->now).granted.empty());
+    CHECK(this->book.members_to_answer(this->now).empty());
+    CHECK(this->book.build_reply(member, this->now).granted.empty());
 }
 
 // A caller leaves while its request waits, or after the place was granted. The
@@ -114,11 +115,11 @@
 TEST_CASE_FIXTURE(desk_fixture, "reply_that_nobody_shows_is_told_again")
 {
     this->grant(this->arrive(7));
-    this->book.reply(member, this->now);
-    CHECK(this->book.unanswered(this->now).empty());
+    this->book.build_reply(member, this->now);
+    CHECK(this->book.members_to_answer(this->now).empty());
     this->now += repeat_gap;
-    CHECK(this->book.unanswered(this->now).size() == 1);
-    CHECK(this->book.reply(member, this->now).granted.size() == 1);
+    CHECK(this->book.members_to_answer(this->now).size() == 1);
+    CHECK(this->book.build_reply(member, this->now).granted.size() == 1);
 }
 
 // A member repeats its report until it knows that it was taken.
@@ -127,10 +128,10 @@
     this->told.number = 5;
     this->told.wanted = {wanted(1)};
     this->report();
-    CHECK(this->book.unanswered(this->now).size() == 1);
-    CHECK(this->book.reply(member, this->now).report_taken == 5);
+    CHECK(this->book.members_to_answer(this->now).size() == 1);
+    CHECK(this->book.build_reply(member, this->now).report_taken == 5);
     this->report();
-    CHECK(this->book.unanswered(this->now).empty());
+    CHECK(this->book.members_to_answer(this->now).empty());
 }
 
 TEST_CASE_FIXTURE(desk_fixture, "news_told_twice_counts_once")
@@ -146,7 +147,7 @@
     REQUIRE(news.events.size() == 2);
     CHECK(std::get<traffic::answered>(news.events[1]).request == id);
     CHECK(this->report().events.empty());
-    CHECK(this->book.reply(member, this->now).news_taken == 2);
+    CHECK(this->book.build_reply(member, this->now).news_taken == 2);
 }
 
 // A dispatcher takes over from one that died: its members run requests that it
@@ -165,8 +166,8 @@
 {
     const traffic::upstream_use seen{
         engine, 3, 0, std::chrono::milliseconds(40)};
-    const request_changes news =
-        this->book.report(member, base::incarnation{1}, this->told, {&seen, 1});
+    const request_changes news = this->book.on_report(
+        member, base::incarnation{1}, this->told, {&seen, 1});
     REQUIRE(news.others.size() == 1);
     CHECK(news.others[0].requests == 0);
     CHECK(news.others[0].event_gap == std::chrono::milliseconds(40));
@@ -179,17 +180,17 @@
     const request_changes news = this->report(2);
     CHECK(news.events.size() == 1);
     CHECK(news.arrived.size() == 1);
-    CHECK(this->book.lost(member).events.size() == 1);
-    CHECK(this->book.lost(other_member).events.empty());
+    CHECK(this->book.remove_member(member).events.size() == 1);
+    CHECK(this->book.remove_member(other_member).events.empty());
 }
 
 TEST_CASE_FIXTURE(desk_fixture, "declined_place_is_told_with_its_time")
 {
     const base::request_id id = this->arrive(7);
-    const auto cost = this->book.declined(
+    const auto cost = this->book.on_declined(
         id, base::not_run(base::reason::overloaded, std::chrono::seconds(2)));
     CHECK(cost);
-    const dispatcher_reply reply = this->book.reply(member, this->now);
+    const dispatcher_reply reply = this->book.build_reply(member, this->now);
     REQUIRE(reply.declined.size() == 1);
     CHECK(reply.declined[0].retry_after == std::chrono::seconds(2));
     // The member has ended it: nothing else follows.
--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -109,7 +109,7 @@
 
 void front::carry_out_one(const traffic::send_request& order)
 {
-    if (dispatch::dispatcher_book::is_members(order.request))
+    if (dispatch::member_request_table::is_member_request(order.request))
         return this->grant(order);
     accepted& request = this->requests.at(order.request);
     const base::instant now = this->state.clock();
@@ -167,7 +167,7 @@
 
 void front::carry_out_one(const traffic::end_request& order)
 {
-    if (dispatch::dispatcher_book::is_members(order.request))
+    if (dispatch::member_request_table::is_member_request(order.request))
         return this->decline(order);
     const auto found = this->requests.find(order.request);
     if (found == this->requests.end())
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -160,10 +160,10 @@
         this->callers->member_lost(member);
     };
     out.members_unanswered = [this] {
-        return this->callers->book().unanswered(this->state.clock());
+        return this->callers->book().members_to_answer(this->state.clock());
     };
     out.reply = [this](base::slot_id member) {
-        return this->callers->book().reply(member, this->state.clock());
+        return this->callers->book().build_reply(member, this->state.clock());
     };
     return out;
 }
--- a/src/greengagedrum/entry/fleet_test/cold_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/cold_fleet.cpp
@@ -71,17 +71,17 @@
     out.replied = [](const dispatch::dispatcher_reply&) {};
     out.member_reported = [this, &of](base::slot_id member,
                                       const gossip::message& told) {
-        this->books[of.number].report(
+        this->books[of.number].on_report(
             member, told.incarnation, told.report, told.upstream_uses);
     };
     out.member_lost = [this, &of](base::slot_id member) {
-        this->books[of.number].lost(member);
+        this->books[of.number].remove_member(member);
     };
     out.members_unanswered = [this, &of] {
-        return this->books[of.number].unanswered(this->fleet.time());
+        return this->books[of.number].members_to_answer(this->fleet.time());
     };
     out.reply = [this, &of](base::slot_id member) {
-        return this->books[of.number].reply(member, this->fleet.time());
+        return this->books[of.number].build_reply(member, this->fleet.time());
     };
     return out;
 }
--- a/src/greengagedrum/entry/fleet_test/cold_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/cold_fleet.hpp
@@ -38,7 +38,7 @@
     routing::published_upstream published(std::size_t data_centre) const;
 
     cold_plan plan;
-    std::vector<dispatch::dispatcher_book> books;       // by entry
+    std::vector<dispatch::member_request_table> books;  // by entry
     std::vector<std::deque<base::instant>> sent_lately; // by data centre
     virtual_fleet fleet;
     std::uint64_t next_request = 1;
--- a/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/crashing_fleet.cpp
@@ -96,17 +96,19 @@
     out.replied = [](const dispatch::dispatcher_reply&) {};
     out.member_reported = [this, &of](base::slot_id member,
                                       const gossip::message& told) {
-        this->works[of.number].book.report(
+        this->works[of.number].book.on_report(
             member, told.incarnation, told.report, told.upstream_uses);
     };
     out.member_lost = [this, &of](base::slot_id member) {
-        this->works[of.number].book.lost(member);
+        this->works[of.number].book.remove_member(member);
     };
     out.members_unanswered = [this, &of] {
-        return this->works[of.number].book.unanswered(this->fleet.time());
+        return this->works[of.number].book.members_to_answer(
+            this->fleet.time());
     };
     out.reply = [this, &of](base::slot_id member) {
-        return this->works[of.number].book.reply(member, this->fleet.time());
+        return this->works[of.number].book.build_reply(member,
+                                                       this->fleet.time());
     };
     return out;
 }
--- a/src/greengagedrum/entry/fleet_test/crashing_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/crashing_fleet.hpp
@@ -71,7 +71,7 @@
     struct work {
         std::uint64_t process = 0;
         base::instant began;
-        dispatch::dispatcher_book book;
+        dispatch::member_request_table book;
         // Requests under way that crash upstreams, and all others.
         std::map<base::request_id, std::size_t> deadly;
         std::set<base::request_id> innocent;
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -103,7 +103,8 @@
     out.items = [](const gossip::item_transfer&) {};
     out.delegate = [this, &of] {
         of.state.delegating = true;
-        const dispatch::request_changes news = this->of(of).book.lost_all();
+        const dispatch::request_changes news =
+            this->of(of).book.remove_all_members();
         for (const dispatch::counted_cost& cost : news.withdrawn)
             of.state.limiter.withdrawn(
                 cost.workspace, cost.amount, this->fleet.time());
@@ -122,15 +123,15 @@
     };
     out.member_lost = [this, &of](base::slot_id member) {
         for (const dispatch::counted_cost& cost :
-             this->of(of).book.lost(member).withdrawn)
+             this->of(of).book.remove_member(member).withdrawn)
             of.state.limiter.withdrawn(
                 cost.workspace, cost.amount, this->fleet.time());
     };
     out.members_unanswered = [this, &of] {
-        return this->of(of).book.unanswered(this->fleet.time());
+        return this->of(of).book.members_to_answer(this->fleet.time());
     };
     out.reply = [this, &of](base::slot_id member) {
-        return this->of(of).book.reply(member, this->fleet.time());
+        return this->of(of).book.build_reply(member, this->fleet.time());
     };
     return out;
 }
@@ -203,24 +204,24 @@
                              const gossip::message& told)
 {
     quota::usage_limiter& limiter = dispatcher.state.limiter;
-    dispatch::dispatcher_book& book = this->of(dispatcher).book;
-    const dispatch::request_changes news =
-        book.report(member, told.incarnation, told.report, told.upstream_uses);
+    dispatch::member_request_table& book = this->of(dispatcher).book;
+    const dispatch::request_changes news = book.on_report(
+        member, told.incarnation, told.report, told.upstream_uses);
     for (const dispatch::counted_cost& cost : news.withdrawn)
         limiter.withdrawn(cost.workspace, cost.amount, this->fleet.time());
     for (const auto& [id, wanted] : news.arrived) {
         const auto over =
             limiter.take(busy, wanted.cost, 0, this->fleet.time());
         if (over) {
-            book.declined(id,
-                          base::not_run(base::reason::limit_reached, *over));
+            book.on_declined(id,
+                             base::not_run(base::reason::limit_reached, *over));
             continue;
         }
         traffic::send_request order;
         order.request = id;
         order.send = 1;
         order.upstream = base::upstream_id("any");
-        book.granted(order);
+        book.on_granted(order);
         limiter.sent(busy, wanted.cost, this->fleet.time());
     }
 }
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
@@ -55,7 +55,7 @@
 
     // What one process has to do.
     struct work {
-        dispatch::dispatcher_book book;
+        dispatch::member_request_table book;
         std::map<std::uint64_t, waiting_request> requests;
         bool was_delegating = false;
     };
--- a/src/greengagedrum/entry/front.hpp
+++ b/src/greengagedrum/entry/front.hpp
@@ -91,7 +91,7 @@
                          const dispatch::member_report& told,
                          std::span<const traffic::upstream_use> uses);
     void member_lost(base::slot_id member);
-    dispatch::dispatcher_book& book() { return this->members; }
+    dispatch::member_request_table& book() { return this->members; }
 
 private:
     struct accepted {
@@ -181,7 +181,7 @@
     std::unordered_map<relay::caller_connection*, base::request_id> by_caller;
     std::unordered_map<base::request_id, base::upstream_id> sent_to;
     std::unordered_set<base::upstream_id> checked; // just now
-    dispatch::dispatcher_book members;
+    dispatch::member_request_table members;
     dispatch::send_journal journal;
     std::uint64_t next_request = 1;
     std::mt19937_64 dice;
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -28,7 +28,7 @@
     }
     for (const traffic::sent_request& one :
          this->state.scheduler.sent_requests()) {
-        if (dispatch::dispatcher_book::is_members(one.request))
+        if (dispatch::member_request_table::is_member_request(one.request))
             continue;
         out.running.push_back(
             {{one.request, one.send}, one.upstream, one.unread_tokens});
@@ -58,7 +58,7 @@
 {
     this->state.delegating = true;
     this->state.scheduler.delegate(true);
-    this->take(this->members.lost_all());
+    this->take(this->members.remove_all_members());
 }
 
 // Whoever counted for this entry may be gone, and what it told last of limits
@@ -90,7 +90,7 @@
                             std::span<const traffic::upstream_use> uses)
 {
     const dispatch::request_changes news =
-        this->members.report(member, life, told, uses);
+        this->members.on_report(member, life, told, uses);
     this->state.scheduler.peer_told(
         member, news.others, {}, this->state.clock());
     this->take(news);
@@ -98,7 +98,7 @@
 
 void front::member_lost(base::slot_id member)
 {
-    this->take(this->members.lost(member));
+    this->take(this->members.remove_member(member));
 }
 
 void front::take(const dispatch::request_changes& news)
@@ -125,7 +125,7 @@
         this->note_over_limit(
             wanted.facts.workspace, wanted.cost, wanted.facts.priority, *over);
         // The limit has nothing of it to give back.
-        this->members.declined(
+        this->members.on_declined(
             id, base::not_run(base::reason::limit_reached, over));
         return;
     }
@@ -151,17 +151,17 @@
     const base::instant now = this->state.clock();
     if (this->state.known.upstreams().find(order.upstream) == nullptr) {
         // It left within this very turn.
-        if (const auto cost = this->members.forget(order.request))
+        if (const auto cost = this->members.forget_send(order.request))
             this->state.limiter.withdrawn(cost->workspace, cost->amount, now);
         return this->told(traffic::caller_left{order.request});
     }
-    if (const auto cost = this->members.granted(order))
+    if (const auto cost = this->members.on_granted(order))
         this->state.limiter.sent(cost->workspace, cost->amount, now);
 }
 
 void front::decline(const traffic::end_request& order)
 {
-    const auto cost = this->members.declined(order.request, order.verdict);
+    const auto cost = this->members.on_declined(order.request, order.verdict);
     if (cost)
         this->state.limiter.withdrawn(
             cost->workspace, cost->amount, this->state.clock());
