--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.cpp
@@ -85,7 +85,7 @@
         this->take_wanted(member, own, one, out);
     this->drop_unnamed(own, out);
     for (const auto& [id, use] : others)
-        out.others.push_back(use);
+        out.uses_placed_elsewhere.push_back(use);
     return out;
 }
 
@@ -119,10 +119,10 @@
         send_state& send = this->sends[found->second.value];
         send.member = id;
         send.name = wanted.name;
-        send.cost = {wanted.facts.workspace, wanted.cost};
-        send.counted = wanted.counted;
+        send.charge = {wanted.facts.workspace, wanted.cost};
+        send.charged = wanted.charged;
         member.unanswered = true;
-        out.arrived.emplace_back(found->second, wanted);
+        out.new_requests.emplace_back(found->second, wanted);
     }
     send_state& send = this->sends.at(found->second.value);
     send.shown_in = member.reports;
@@ -152,8 +152,8 @@
     const send_state& send = found->second;
     if (!send.declined)
         out.events.emplace_back(traffic::caller_left{id});
-    if (!send.declined && !send.granted && !send.counted)
-        out.withdrawn.push_back(send.cost);
+    if (!send.declined && !send.granted && !send.charged)
+        out.released_charges.push_back(send.charge);
     this->of.at(send.member).sends.erase(send.name);
     this->sends.erase(found);
 }
@@ -187,7 +187,7 @@
 
 // ---- Decisions ------------------------------------------------------------
 
-std::optional<counted_cost>
+std::optional<limit_charge>
 member_request_table::on_granted(const traffic::send_request& order)
 {
     const auto found = this->sends.find(order.request.value);
@@ -200,12 +200,12 @@
                                  order.why.own + order.why.others,
                                  order.why.places};
     this->of.at(send.member).unanswered = true;
-    if (send.counted)
+    if (send.charged)
         return std::nullopt;
-    return send.cost;
+    return send.charge;
 }
 
-std::optional<counted_cost>
+std::optional<limit_charge>
 member_request_table::on_declined(base::request_id id, const base::verdict& why)
 {
     const auto found = this->sends.find(id.value);
@@ -215,12 +215,12 @@
     send.declined = declined_place{
         send.name, why.why, why.retry_after.value_or(base::duration(0))};
     this->of.at(send.member).unanswered = true;
-    if (send.counted)
+    if (send.charged)
         return std::nullopt;
-    return send.cost;
+    return send.charge;
 }
 
-std::optional<counted_cost>
+std::optional<limit_charge>
 member_request_table::forget_send(base::request_id id)
 {
     const auto found = this->sends.find(id.value);
@@ -229,9 +229,9 @@
     const send_state gone = found->second;
     this->of.at(gone.member).sends.erase(gone.name);
     this->sends.erase(found);
-    if (gone.counted)
+    if (gone.charged)
         return std::nullopt;
-    return gone.cost;
+    return gone.charge;
 }
 
 // ---- Replies --------------------------------------------------------------
--- a/src/greengagedrum/dispatch/dispatcher_book.hpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.hpp
@@ -21,7 +21,7 @@
 {
 
 // A cost that a limit holds, or held, for a member's request.
-struct counted_cost {
+struct limit_charge {
     base::workspace_id workspace;
     double amount = 0;
 };
@@ -31,9 +31,10 @@
     std::vector<traffic::event> events; // in order, of known sends
     // Sends that are new: to be let through by the limit, and then told as
     // arrived.
-    std::vector<std::pair<base::request_id, slot_request>> arrived;
-    std::vector<counted_cost> withdrawn;       // of sends that got no place
-    std::vector<traffic::upstream_use> others; // placed by nobody here
+    std::vector<std::pair<base::request_id, slot_request>> new_requests;
+    std::vector<limit_charge> released_charges; // of sends that got no place
+    std::vector<traffic::upstream_use>
+        uses_placed_elsewhere; // placed by nobody here
 };
 
 class member_request_table
@@ -54,16 +55,16 @@
 
     // The send got a place. What is to be counted against its limit; empty when
     // it was counted before, or is no longer wanted.
-    std::optional<counted_cost> on_granted(const traffic::send_request& order);
+    std::optional<limit_charge> on_granted(const traffic::send_request& order);
 
     // The send got none. What the limit is to give back; empty when it had a
     // place, or is no longer wanted.
-    std::optional<counted_cost> on_declined(base::request_id id,
+    std::optional<limit_charge> on_declined(base::request_id id,
                                             const base::verdict& why);
 
     // The send was to have a place and has none: asked for again, it is a new
     // one. What the limit is to give back, as above.
-    std::optional<counted_cost> forget_send(base::request_id id);
+    std::optional<limit_charge> forget_send(base::request_id id);
 
     // Members that have not been told what was decided, or have not shown that
     // they were.
@@ -77,8 +78,8 @@
     struct send_state {
         base::slot_id member;
         send_name name;
-        counted_cost cost;
-        bool counted = false;
+        limit_charge charge;
+        bool charged = false;
         std::optional<granted_place> granted;
         std::optional<declined_place> declined;
         bool running = false;       // the member shows that it was sent
--- a/src/greengagedrum/dispatch/messages.hpp
+++ b/src/greengagedrum/dispatch/messages.hpp
@@ -38,7 +38,7 @@
     traffic::request_facts facts; // times from now on
     std::vector<base::upstream_id> tried;
     double cost = 0;      // against its workspace's limit
-    bool counted = false; // the limit holds it already
+    bool charged = false; // the limit holds it already
 };
 
 struct running_send {
--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -270,10 +270,11 @@
         return;
     const request_changes news =
         this->book->on_report(slot_of(from), base::incarnation{1}, told, {});
-    this->dispatcher->peer_told(slot_of(from), news.others, {}, this->now);
+    this->dispatcher->peer_told(
+        slot_of(from), news.uses_placed_elsewhere, {}, this->now);
     for (const traffic::event& one : news.events)
         this->dispatcher_step(one);
-    for (const auto& [id, wanted] : news.arrived)
+    for (const auto& [id, wanted] : news.new_requests)
         this->dispatcher_step(
             traffic::request_arrived{id, wanted.facts, wanted.tried});
     this->answer_members();
--- a/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
+++ b/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
@@ -40,12 +40,12 @@
     {
         this->told.wanted.push_back(wanted(request));
         const request_changes news = this->report();
-        REQUIRE(news.arrived.size() == 1);
+        REQUIRE(news.new_requests.size() == 1);
         this->book.build_reply(member, this->now);
-        return news.arrived.front().first;
+        return news.new_requests.front().first;
     }
 
-    std::optional<counted_cost> grant(base::request_id id)
+    std::optional<limit_charge> grant(base::request_id id)
     {
         traffic::send_request order;
         order.request = id;
@@ -69,7 +69,7 @@
 {
     const base::request_id id = this->arrive(7);
     CHECK(member_request_table::is_member_request(id));
-    CHECK(this->report().arrived.empty());
+    CHECK(this->report().new_requests.empty());
     CHECK(this->book.members_to_answer(this->now).empty());
 }
 
@@ -102,13 +102,13 @@
     this->told.wanted.clear();
     const request_changes waited = this->report();
     CHECK(waited.events.size() == 1);
-    CHECK(waited.withdrawn.size() == 1);
+    CHECK(waited.released_charges.size() == 1);
     this->grant(this->arrive(8));
     this->told.wanted.clear();
     const request_changes granted = this->report();
     REQUIRE(granted.events.size() == 1);
     CHECK(std::holds_alternative<traffic::caller_left>(granted.events[0]));
-    CHECK(granted.withdrawn.empty());
+    CHECK(granted.released_charges.empty());
 }
 
 // The reply is lost, and the member has no reason to say anything.
@@ -157,9 +157,9 @@
     this->told.running = {{{base::request_id{3}, 1}, engine, 500},
                           {{base::request_id{4}, 2}, engine, 0}};
     const request_changes news = this->report();
-    REQUIRE(news.others.size() == 1);
-    CHECK(news.others[0].requests == 2);
-    CHECK(news.others[0].prompt_tokens == 500);
+    REQUIRE(news.uses_placed_elsewhere.size() == 1);
+    CHECK(news.uses_placed_elsewhere[0].requests == 2);
+    CHECK(news.uses_placed_elsewhere[0].prompt_tokens == 500);
 }
 
 TEST_CASE_FIXTURE(desk_fixture, "speed_that_a_member_sees_counts_without_load")
@@ -168,9 +168,10 @@
         engine, 3, 0, std::chrono::milliseconds(40)};
     const request_changes news = this->book.on_report(
         member, base::incarnation{1}, this->told, {&seen, 1});
-    REQUIRE(news.others.size() == 1);
-    CHECK(news.others[0].requests == 0);
-    CHECK(news.others[0].event_gap == std::chrono::milliseconds(40));
+    REQUIRE(news.uses_placed_elsewhere.size() == 1);
+    CHECK(news.uses_placed_elsewhere[0].requests == 0);
+    CHECK(news.uses_placed_elsewhere[0].event_gap ==
+          std::chrono::milliseconds(40));
 }
 
 TEST_CASE_FIXTURE(desk_fixture, "member_that_started_anew_wants_nothing_old")
@@ -179,7 +180,7 @@
     this->told.wanted = {wanted(1)};
     const request_changes news = this->report(2);
     CHECK(news.events.size() == 1);
-    CHECK(news.arrived.size() == 1);
+    CHECK(news.new_requests.size() == 1);
     CHECK(this->book.remove_member(member).events.size() == 1);
     CHECK(this->book.remove_member(other_member).events.empty());
 }
@@ -197,7 +198,7 @@
     this->told.wanted.clear();
     const request_changes news = this->report();
     CHECK(news.events.empty());
-    CHECK(news.withdrawn.empty());
+    CHECK(news.released_charges.empty());
 }
 
 TEST_CASE("journal_tells_first_event_once_and_forgets_what_was_taken")
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -105,7 +105,7 @@
         of.state.delegating = true;
         const dispatch::request_changes news =
             this->of(of).book.remove_all_members();
-        for (const dispatch::counted_cost& cost : news.withdrawn)
+        for (const dispatch::limit_charge& cost : news.released_charges)
             of.state.limiter.withdrawn(
                 cost.workspace, cost.amount, this->fleet.time());
     };
@@ -122,8 +122,8 @@
         this->reported(of, member, told);
     };
     out.member_lost = [this, &of](base::slot_id member) {
-        for (const dispatch::counted_cost& cost :
-             this->of(of).book.remove_member(member).withdrawn)
+        for (const dispatch::limit_charge& cost :
+             this->of(of).book.remove_member(member).released_charges)
             of.state.limiter.withdrawn(
                 cost.workspace, cost.amount, this->fleet.time());
     };
@@ -207,9 +207,9 @@
     dispatch::member_request_table& book = this->of(dispatcher).book;
     const dispatch::request_changes news = book.on_report(
         member, told.incarnation, told.report, told.upstream_uses);
-    for (const dispatch::counted_cost& cost : news.withdrawn)
+    for (const dispatch::limit_charge& cost : news.released_charges)
         limiter.withdrawn(cost.workspace, cost.amount, this->fleet.time());
-    for (const auto& [id, wanted] : news.arrived) {
+    for (const auto& [id, wanted] : news.new_requests) {
         const auto over =
             limiter.take(busy, wanted.cost, 0, this->fleet.time());
         if (over) {
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -92,7 +92,7 @@
     const dispatch::request_changes news =
         this->members.on_report(member, life, told, uses);
     this->state.scheduler.peer_told(
-        member, news.others, {}, this->state.clock());
+        member, news.uses_placed_elsewhere, {}, this->state.clock());
     this->take(news);
 }
 
@@ -104,18 +104,18 @@
 void front::take(const dispatch::request_changes& news)
 {
     const base::instant now = this->state.clock();
-    for (const dispatch::counted_cost& cost : news.withdrawn)
+    for (const dispatch::limit_charge& cost : news.released_charges)
         this->state.limiter.withdrawn(cost.workspace, cost.amount, now);
     for (const traffic::event& one : news.events)
         this->told(one);
-    for (const auto& [id, wanted] : news.arrived)
+    for (const auto& [id, wanted] : news.new_requests)
         this->arrived_at_member(id, wanted);
 }
 
 void front::arrived_at_member(base::request_id id,
                               const dispatch::slot_request& wanted)
 {
-    const auto over = wanted.counted
+    const auto over = wanted.charged
                           ? std::nullopt
                           : this->state.limiter.take(wanted.facts.workspace,
                                                      wanted.cost,
--- a/src/greengagedrum/entry/test/dispatch_test.cpp
+++ b/src/greengagedrum/entry/test/dispatch_test.cpp
@@ -147,7 +147,7 @@
     std::atomic<int> uncounted{0};
     this->begin_and_wait([&uncounted](const dispatch::slot_request& wanted,
                                       dispatch::dispatcher_reply& into) {
-        uncounted += wanted.counted ? 0 : 1;
+        uncounted += wanted.charged ? 0 : 1;
         grant(wanted, into);
     });
     auto asked = this->client();
--- a/src/greengagedrum/gossip/dispatch_codec.cpp
+++ b/src/greengagedrum/gossip/dispatch_codec.cpp
@@ -73,7 +73,7 @@
                               facts.patience.count(),
                               facts.sends_before,
                               one.cost,
-                              one.counted,
+                              one.charged,
                               builder.CreateVector(tried));
 }
 
@@ -98,7 +98,7 @@
     facts.sends_before = from.sends_before();
     facts.delegated = true;
     out.cost = from.cost();
-    out.counted = from.counted();
+    out.charged = from.counted();
     if (const auto* list = from.tried()) {
         for (const std::uint64_t id : *list)
             out.tried.emplace_back(id);
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -114,7 +114,7 @@
     wanted.facts.sends_before = 1;
     wanted.tried = {base::upstream_id("i-1")};
     wanted.cost = 1080;
-    wanted.counted = true;
+    wanted.charged = true;
     told.report.wanted = {wanted};
     told.report.running = {
         {{base::request_id{5}, 1}, base::upstream_id("i-2"), 77}};
@@ -147,7 +147,7 @@
     CHECK(got.facts.delegated);
     CHECK(got.tried == wanted.tried);
     CHECK(got.cost == 1080);
-    CHECK(got.counted);
+    CHECK(got.charged);
     CHECK(read->report.running.at(0).upstream == base::upstream_id("i-2"));
     CHECK(read->report.running.at(0).unread_tokens == 77);
     CHECK(read->report.news.at(0).number == 12);
