--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.cpp
@@ -14,23 +14,23 @@
 // The scheduler here sends each of them once: what comes after is a new send.
 constexpr std::uint32_t only_send = 1;
 
-traffic::event event_of(base::request_id id, send_change what)
+traffic::event event_of(base::request_id id, send_status what)
 {
     switch (what) {
-    case send_change::first_event:
+    case send_status::first_event:
         return traffic::progressed{id, only_send, 1};
-    case send_change::good:
+    case send_status::completed:
         return traffic::answered{id, only_send, true};
-    case send_change::failing:
+    case send_status::error_answer:
         return traffic::answered{id, only_send, false};
-    case send_change::not_sent:
+    case send_status::not_sent:
         return traffic::not_sent{id, only_send};
-    case send_change::full:
+    case send_status::rejected_full:
         return traffic::turned_away{id, only_send, traffic::turn_away::full};
-    case send_change::misdirected:
+    case send_status::misdirected:
         return traffic::turned_away{
             id, only_send, traffic::turn_away::misdirected};
-    case send_change::broken:
+    case send_status::connection_broken:
         break;
     }
     return traffic::broken{id, only_send};
@@ -59,15 +59,15 @@
     }
     member_state& own = this->of[member];
     own.reports += 1;
-    own.report_taken = told.number;
-    for (const send_news& one : told.news)
+    own.report_taken = told.sequence;
+    for (const send_status_update& one : told.status_updates)
         this->take_news(own, one, out);
     std::unordered_map<base::upstream_id, traffic::upstream_use> others;
     // What it sees of upstreams' speed counts, whoever placed the request.
     for (const traffic::upstream_use& use : uses)
         others[use.upstream] = {use.upstream, 0, 0, use.event_gap};
     for (const running_send& one : told.running) {
-        const auto found = own.sends.find(one.name);
+        const auto found = own.sends.find(one.id);
         if (found != own.sends.end()) {
             send_state& send = this->sends.at(found->second.value);
             send.running = true;
@@ -79,9 +79,9 @@
         traffic::upstream_use& use = others[one.upstream];
         use.upstream = one.upstream;
         use.requests += 1;
-        use.prompt_tokens += one.unread_tokens;
+        use.prompt_tokens += one.unprocessed_prompt_tokens;
     }
-    for (const slot_request& one : told.wanted)
+    for (const slot_request& one : told.slot_requests)
         this->take_wanted(member, own, one, out);
     this->drop_unnamed(own, out);
     for (const auto& [id, use] : others)
@@ -90,19 +90,19 @@
 }
 
 void member_request_table::take_news(member_state& member,
-                                     const send_news& news,
+                                     const send_status_update& news,
                                      request_changes& out)
 {
-    if (news.number <= member.news_taken)
+    if (news.sequence <= member.news_taken)
         return;
-    member.news_taken = news.number;
+    member.news_taken = news.sequence;
     member.unanswered = true;
-    const auto found = member.sends.find(news.name);
+    const auto found = member.sends.find(news.id);
     if (found == member.sends.end())
         return;
     const base::request_id id = found->second;
-    out.events.push_back(event_of(id, news.what));
-    if (news.what == send_change::first_event)
+    out.events.push_back(event_of(id, news.status));
+    if (news.status == send_status::first_event)
         return;
     member.sends.erase(found);
     this->sends.erase(id.value);
@@ -113,12 +113,12 @@
                                        const slot_request& wanted,
                                        request_changes& out)
 {
-    const auto [found, fresh] = member.sends.try_emplace(wanted.name);
+    const auto [found, fresh] = member.sends.try_emplace(wanted.id);
     if (fresh) {
         found->second = base::request_id{members_bit | this->next++};
         send_state& send = this->sends[found->second.value];
         send.member = id;
-        send.name = wanted.name;
+        send.id = wanted.id;
         send.charge = {wanted.facts.workspace, wanted.cost};
         send.charged = wanted.charged;
         member.unanswered = true;
@@ -154,7 +154,7 @@
         out.events.emplace_back(traffic::caller_left{id});
     if (!send.declined && !send.granted && !send.charged)
         out.released_charges.push_back(send.charge);
-    this->of.at(send.member).sends.erase(send.name);
+    this->of.at(send.member).sends.erase(send.id);
     this->sends.erase(found);
 }
 
@@ -194,7 +194,7 @@
     if (found == this->sends.end())
         return std::nullopt;
     send_state& send = found->second;
-    send.granted = granted_place{send.name,
+    send.granted = granted_place{send.id,
                                  order.upstream,
                                  order.why.first_event,
                                  order.why.own + order.why.others,
@@ -213,7 +213,7 @@
         return std::nullopt;
     send_state& send = found->second;
     send.declined = declined_place{
-        send.name, why.why, why.retry_after.value_or(base::duration(0))};
+        send.id, why.why, why.retry_after.value_or(base::duration(0))};
     this->of.at(send.member).unanswered = true;
     if (send.charged)
         return std::nullopt;
@@ -227,7 +227,7 @@
     if (found == this->sends.end())
         return std::nullopt;
     const send_state gone = found->second;
-    this->of.at(gone.member).sends.erase(gone.name);
+    this->of.at(gone.member).sends.erase(gone.id);
     this->sends.erase(found);
     if (gone.charged)
         return std::nullopt;
--- a/src/greengagedrum/dispatch/dispatcher_book.hpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.hpp
@@ -77,7 +77,7 @@
 private:
     struct send_state {
         base::slot_id member;
-        send_name name;
+        send_id id;
         limit_charge charge;
         bool charged = false;
         std::optional<granted_place> granted;
@@ -93,11 +93,11 @@
         std::uint64_t news_taken = 0;
         bool unanswered = false;
         base::instant replied_at;
-        std::map<send_name, base::request_id> sends;
+        std::map<send_id, base::request_id> sends;
     };
 
     void take_news(member_state& member,
-                   const send_news& news,
+                   const send_status_update& news,
                    request_changes& out);
     void take_wanted(base::slot_id id,
                      member_state& member,
--- a/src/greengagedrum/dispatch/messages.hpp
+++ b/src/greengagedrum/dispatch/messages.hpp
@@ -26,52 +26,53 @@
 inline constexpr base::duration repeat_gap = std::chrono::milliseconds(25);
 
 // One send of a request, by the member's own numbers.
-struct send_name {
+struct send_id {
     base::request_id request;
     std::uint32_t send = 0;
-    auto operator<=>(const send_name&) const = default;
+    auto operator<=>(const send_id&) const = default;
 };
 
 // A request that waits for a place.
 struct slot_request {
-    send_name name;
+    send_id id;
     traffic::request_facts facts; // times from now on
-    std::vector<base::upstream_id> tried;
+    std::vector<base::upstream_id> tried_upstreams;
     double cost = 0;      // against its workspace's limit
     bool charged = false; // the limit holds it already
 };
 
 struct running_send {
-    send_name name;
+    send_id id;
     base::upstream_id upstream;
-    std::uint32_t unread_tokens = 0; // of its prompt
+    std::uint32_t unprocessed_prompt_tokens = 0; // of its prompt
 };
 
-enum class send_change : std::uint8_t {
+enum class send_status : std::uint8_t {
     first_event,
-    good,        // the whole answer has come
-    failing,     // an answer, but no good one
-    not_sent,    // no connection
-    full,        // the upstream did not run it
-    misdirected, // another upstream answers there
-    broken,
+    completed,     // the whole answer has come
+    error_answer,  // an answer, but no good one
+    not_sent,      // no connection
+    rejected_full, // the upstream did not run it
+    misdirected,   // another upstream answers there
+    connection_broken,
 };
 
-struct send_news {
-    std::uint64_t number = 0; // grows by one with each news of a life
-    send_name name;
-    send_change what = send_change::first_event;
+struct send_status_update {
+    std::uint64_t sequence = 0; // grows by one with each news of a life
+    send_id id;
+    send_status status = send_status::first_event;
 };
 
 struct member_report {
-    std::uint64_t number = 0; // grows with each report of a life
-    std::vector<slot_request> wanted;
+    std::uint64_t sequence = 0; // grows with each report of a life
+    std::vector<slot_request> slot_requests;
     std::vector<running_send> running;
-    std::vector<send_news> news; // that the dispatcher may not have
+    std::vector<send_status_update>
+        status_updates; // that the dispatcher may not have
 };
 
 struct granted_place {
-    send_name name;
+    send_id id;
     base::upstream_id upstream;
     base::duration expected{0}; // to its first event
     std::uint32_t taken = 0;    // places there, by others
@@ -79,7 +80,7 @@
 };
 
 struct declined_place {
-    send_name name;
+    send_id id;
     base::reason why = base::reason::overloaded;
     base::duration retry_after{0};
 };
--- a/src/greengagedrum/dispatch/send_journal.cpp
+++ b/src/greengagedrum/dispatch/send_journal.cpp
@@ -14,36 +14,36 @@
 constexpr std::size_t news_most = 64;
 
 struct change_reader {
-    send_change operator()(const traffic::not_sent&) const
+    send_status operator()(const traffic::not_sent&) const
     {
-        return send_change::not_sent;
+        return send_status::not_sent;
     }
-    send_change operator()(const traffic::turned_away& what) const
+    send_status operator()(const traffic::turned_away& what) const
     {
         return what.why == traffic::turn_away::misdirected
-                   ? send_change::misdirected
-                   : send_change::full;
+                   ? send_status::misdirected
+                   : send_status::rejected_full;
     }
-    send_change operator()(const traffic::progressed&) const
+    send_status operator()(const traffic::progressed&) const
     {
-        return send_change::first_event;
+        return send_status::first_event;
     }
-    send_change operator()(const traffic::answered& what) const
+    send_status operator()(const traffic::answered& what) const
     {
-        return what.good ? send_change::good : send_change::failing;
+        return what.good ? send_status::completed : send_status::error_answer;
     }
-    send_change operator()(const traffic::broken&) const
+    send_status operator()(const traffic::broken&) const
     {
-        return send_change::broken;
+        return send_status::connection_broken;
     }
 };
 
 } // namespace
 
-void send_journal::note(const traffic::event& what)
+void send_status_log::record(const traffic::event& what)
 {
     if (const auto* left = std::get_if<traffic::caller_left>(&what)) {
-        std::erase_if(this->begun, [&](const send_name& one) {
+        std::erase_if(this->started_sends, [&](const send_id& one) {
             return one.request == left->request;
         });
         return;
@@ -52,33 +52,33 @@
         [this](const auto& one) {
             if constexpr (
                 requires { one.send; } && requires { change_reader{}(one); })
-                this->note({one.request, one.send}, change_reader{}(one));
+                this->record({one.request, one.send}, change_reader{}(one));
         },
         what);
 }
 
-void send_journal::note(const send_name& name, send_change what)
+void send_status_log::record(const send_id& name, send_status what)
 {
-    if (what == send_change::first_event) {
-        if (!this->begun.insert(name).second)
+    if (what == send_status::first_event) {
+        if (!this->started_sends.insert(name).second)
             return;
     } else {
-        this->begun.erase(name);
+        this->started_sends.erase(name);
     }
-    this->news.push_back({++this->last, name, what});
-    if (this->news.size() > news_most)
-        this->news.pop_front();
+    this->updates.push_back({++this->last_sequence, name, what});
+    if (this->updates.size() > news_most)
+        this->updates.pop_front();
 }
 
-void send_journal::taken(std::uint64_t number)
+void send_status_log::acknowledge(std::uint64_t number)
 {
-    while (!this->news.empty() && this->news.front().number <= number)
-        this->news.pop_front();
+    while (!this->updates.empty() && this->updates.front().sequence <= number)
+        this->updates.pop_front();
 }
 
-std::vector<send_news> send_journal::untold() const
+std::vector<send_status_update> send_status_log::unacknowledged() const
 {
-    return {this->news.begin(), this->news.end()};
+    return {this->updates.begin(), this->updates.end()};
 }
 
 } // namespace greengagedrum::dispatch
--- a/src/greengagedrum/dispatch/send_journal.hpp
+++ b/src/greengagedrum/dispatch/send_journal.hpp
@@ -12,22 +12,22 @@
 namespace greengagedrum::dispatch
 {
 
-class send_journal
+class send_status_log
 {
 public:
-    void note(const traffic::event& what);
+    void record(const traffic::event& what);
 
     // The dispatcher has all up to that number.
-    void taken(std::uint64_t number);
+    void acknowledge(std::uint64_t number);
 
-    std::vector<send_news> untold() const;
+    std::vector<send_status_update> unacknowledged() const;
 
 private:
-    void note(const send_name& name, send_change what);
+    void record(const send_id& name, send_status what);
 
-    std::deque<send_news> news;
-    std::set<send_name> begun; // whose first event was noted
-    std::uint64_t last = 0;
+    std::deque<send_status_update> updates;
+    std::set<send_id> started_sends; // whose first event was noted
+    std::uint64_t last_sequence = 0;
 };
 
 } // namespace greengagedrum::dispatch
--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -142,7 +142,7 @@
 void dispatch_run::member_step(std::size_t number, const traffic::event& what)
 {
     member& one = this->members.at(number);
-    one.journal.note(what);
+    one.journal.record(what);
     traffic::actions orders;
     one.decisions->step(what, this->now, orders);
     this->member_orders(number, orders);
@@ -217,19 +217,19 @@
         own.told_at = this->now;
         own.messages += 1;
         member_report told;
-        told.number = ++own.reports;
-        own.unanswered = told.number;
+        told.sequence = ++own.reports;
+        own.unanswered = told.sequence;
         for (traffic::waiting_send& wait :
              own.decisions->waiting_sends(this->now))
-            told.wanted.push_back({{wait.request, wait.send},
-                                   wait.facts,
-                                   std::move(wait.tried),
-                                   0,
-                                   true});
+            told.slot_requests.push_back({{wait.request, wait.send},
+                                          wait.facts,
+                                          std::move(wait.tried),
+                                          0,
+                                          true});
         for (const traffic::sent_request& run : own.decisions->sent_requests())
             told.running.push_back(
                 {{run.request, run.send}, run.upstream, run.unread_tokens});
-        told.news = own.journal.untold();
+        told.status_updates = own.journal.unacknowledged();
         if (this->is_lost())
             return;
         this->at(this->now + this->given.way,
@@ -242,21 +242,21 @@
 void dispatch_run::replied(std::size_t to, const dispatcher_reply& what)
 {
     member& one_member = this->members.at(to);
-    one_member.journal.taken(what.news_taken);
+    one_member.journal.acknowledge(what.news_taken);
     if (one_member.unanswered <= what.report_taken)
         one_member.unanswered = 0;
     for (const granted_place& one : what.granted) {
         traffic::place_granted event;
-        event.request = one.name.request;
-        event.send = one.name.send;
+        event.request = one.id.request;
+        event.send = one.id.send;
         event.upstream = one.upstream;
         this->member_step(to, event);
     }
     for (const declined_place& one : what.declined)
         this->member_step(
             to,
-            traffic::place_declined{one.name.request,
-                                    one.name.send,
+            traffic::place_declined{one.id.request,
+                                    one.id.send,
                                     base::not_run(one.why, one.retry_after)});
 }
 
@@ -276,7 +276,7 @@
         this->dispatcher_step(one);
     for (const auto& [id, wanted] : news.new_requests)
         this->dispatcher_step(
-            traffic::request_arrived{id, wanted.facts, wanted.tried});
+            traffic::request_arrived{id, wanted.facts, wanted.tried_upstreams});
     this->answer_members();
 }
 
--- a/src/greengagedrum/dispatch/test/dispatch_run.hpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.hpp
@@ -55,7 +55,7 @@
 private:
     struct member {
         std::unique_ptr<traffic::scheduler> decisions;
-        send_journal journal;
+        send_status_log journal;
         base::instant told_at;
         bool changed = false;
         std::uint64_t reports = 0;
--- a/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
+++ b/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
@@ -23,7 +23,7 @@
     static slot_request wanted(std::uint64_t request, std::uint32_t send = 1)
     {
         slot_request out;
-        out.name = {base::request_id{request}, send};
+        out.id = {base::request_id{request}, send};
         out.facts.workspace = planning;
         out.facts.delegated = true;
         out.cost = 100;
@@ -38,7 +38,7 @@
 
     base::request_id arrive(std::uint64_t request)
     {
-        this->told.wanted.push_back(wanted(request));
+        this->told.slot_requests.push_back(wanted(request));
         const request_changes news = this->report();
         REQUIRE(news.new_requests.size() == 1);
         this->book.build_reply(member, this->now);
@@ -57,9 +57,9 @@
     // The member has sent what it was granted.
     void run_all()
     {
-        for (const slot_request& one : this->told.wanted)
-            this->told.running.push_back({one.name, engine, 0});
-        this->told.wanted.clear();
+        for (const slot_request& one : this->told.slot_requests)
+            this->told.running.push_back({one.id, engine, 0});
+        this->told.slot_requests.clear();
     }
 };
 
@@ -99,12 +99,12 @@
 TEST_CASE_FIXTURE(desk_fixture, "send_that_is_not_named_any_more_has_ended")
 {
     this->arrive(7);
-    this->told.wanted.clear();
+    this->told.slot_requests.clear();
     const request_changes waited = this->report();
     CHECK(waited.events.size() == 1);
     CHECK(waited.released_charges.size() == 1);
     this->grant(this->arrive(8));
-    this->told.wanted.clear();
+    this->told.slot_requests.clear();
     const request_changes granted = this->report();
     REQUIRE(granted.events.size() == 1);
     CHECK(std::holds_alternative<traffic::caller_left>(granted.events[0]));
@@ -125,8 +125,8 @@
 // A member repeats its report until it knows that it was taken.
 TEST_CASE_FIXTURE(desk_fixture, "report_with_something_new_is_answered_at_once")
 {
-    this->told.number = 5;
-    this->told.wanted = {wanted(1)};
+    this->told.sequence = 5;
+    this->told.slot_requests = {wanted(1)};
     this->report();
     CHECK(this->book.members_to_answer(this->now).size() == 1);
     CHECK(this->book.build_reply(member, this->now).report_taken == 5);
@@ -139,9 +139,9 @@
     const base::request_id id = this->arrive(7);
     this->grant(id);
     this->run_all();
-    const send_name name = this->told.running.at(0).name;
-    this->told.news = {{1, name, send_change::first_event},
-                       {2, name, send_change::good}};
+    const send_id name = this->told.running.at(0).id;
+    this->told.status_updates = {{1, name, send_status::first_event},
+                                 {2, name, send_status::completed}};
     this->told.running.clear();
     const request_changes news = this->report();
     REQUIRE(news.events.size() == 2);
@@ -177,7 +177,7 @@
 TEST_CASE_FIXTURE(desk_fixture, "member_that_started_anew_wants_nothing_old")
 {
     this->arrive(7);
-    this->told.wanted = {wanted(1)};
+    this->told.slot_requests = {wanted(1)};
     const request_changes news = this->report(2);
     CHECK(news.events.size() == 1);
     CHECK(news.new_requests.size() == 1);
@@ -195,7 +195,7 @@
     REQUIRE(reply.declined.size() == 1);
     CHECK(reply.declined[0].retry_after == std::chrono::seconds(2));
     // The member has ended it: nothing else follows.
-    this->told.wanted.clear();
+    this->told.slot_requests.clear();
     const request_changes news = this->report();
     CHECK(news.events.empty());
     CHECK(news.released_charges.empty());
@@ -203,25 +203,25 @@
 
 TEST_CASE("journal_tells_first_event_once_and_forgets_what_was_taken")
 {
-    send_journal journal;
+    send_status_log journal;
     const base::request_id id{5};
-    journal.note(traffic::progressed{id, 1, 1});
-    journal.note(traffic::progressed{id, 1, 9});
-    journal.note(traffic::answered{id, 1, true});
-    REQUIRE(journal.untold().size() == 2);
-    CHECK(journal.untold()[0].what == send_change::first_event);
-    journal.taken(1);
-    REQUIRE(journal.untold().size() == 1);
-    CHECK(journal.untold()[0].what == send_change::good);
+    journal.record(traffic::progressed{id, 1, 1});
+    journal.record(traffic::progressed{id, 1, 9});
+    journal.record(traffic::answered{id, 1, true});
+    REQUIRE(journal.unacknowledged().size() == 2);
+    CHECK(journal.unacknowledged()[0].status == send_status::first_event);
+    journal.acknowledge(1);
+    REQUIRE(journal.unacknowledged().size() == 1);
+    CHECK(journal.unacknowledged()[0].status == send_status::completed);
 }
 
 TEST_CASE("journal_of_a_member_without_dispatcher_is_bounded")
 {
-    send_journal journal;
+    send_status_log journal;
     for (std::uint64_t one = 1; one <= 1000; ++one)
-        journal.note(traffic::broken{base::request_id{one}, 1});
-    CHECK(journal.untold().size() == 64);
-    CHECK(journal.untold().back().number == 1000);
+        journal.record(traffic::broken{base::request_id{one}, 1});
+    CHECK(journal.unacknowledged().size() == 64);
+    CHECK(journal.unacknowledged().back().sequence == 1000);
 }
 
 } // namespace greengagedrum::dispatch
--- a/src/greengagedrum/entry/decisions.cpp
+++ b/src/greengagedrum/entry/decisions.cpp
@@ -39,7 +39,7 @@
         this->note_progress(next);
         this->note_misdirection(next);
         if (this->state.delegating)
-            this->journal.note(next);
+            this->journal.record(next);
         traffic::actions orders;
         this->state.scheduler.step(next, this->state.clock(), orders);
         this->carry_out(orders);
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -189,12 +189,12 @@
     dispatch::member_report out;
     for (const auto& [id, request] : this->of(member).requests) {
         dispatch::slot_request wanted;
-        wanted.name = {base::request_id{id}, 1};
+        wanted.id = {base::request_id{id}, 1};
         wanted.facts.workspace = busy;
         wanted.facts.time_left = 10s;
         wanted.facts.patience = 2s;
         wanted.cost = request.cost;
-        out.wanted.push_back(wanted);
+        out.slot_requests.push_back(wanted);
     }
     return out;
 }
@@ -230,15 +230,14 @@
                             const dispatch::dispatcher_reply& what)
 {
     for (const dispatch::granted_place& one : what.granted) {
-        const auto found =
-            this->of(member).requests.find(one.name.request.value);
+        const auto found = this->of(member).requests.find(one.id.request.value);
         if (found == this->of(member).requests.end())
             continue;
         this->let_through(found->second.cost);
         this->of(member).requests.erase(found);
     }
     for (const dispatch::declined_place& one : what.declined) {
-        if (this->of(member).requests.erase(one.name.request.value) > 0)
+        if (this->of(member).requests.erase(one.id.request.value) > 0)
             this->result.refused += 1;
     }
 }
--- a/src/greengagedrum/entry/front.hpp
+++ b/src/greengagedrum/entry/front.hpp
@@ -182,7 +182,7 @@
     std::unordered_map<base::request_id, base::upstream_id> sent_to;
     std::unordered_set<base::upstream_id> checked; // just now
     dispatch::member_request_table members;
-    dispatch::send_journal journal;
+    dispatch::send_status_log journal;
     std::uint64_t next_request = 1;
     std::mt19937_64 dice;
     bool working = false; // events told meanwhile wait in `backlog`
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -20,11 +20,11 @@
         const accepted& request = found->second;
         // A request that was sent before is counted somewhere already.
         const bool counted = request.counted || request.sent_at;
-        out.wanted.push_back({{one.request, one.send},
-                              one.facts,
-                              std::move(one.tried),
-                              request.cost,
-                              counted});
+        out.slot_requests.push_back({{one.request, one.send},
+                                     one.facts,
+                                     std::move(one.tried),
+                                     request.cost,
+                                     counted});
     }
     for (const traffic::sent_request& one :
          this->state.scheduler.sent_requests()) {
@@ -33,24 +33,24 @@
         out.running.push_back(
             {{one.request, one.send}, one.upstream, one.unread_tokens});
     }
-    out.news = this->journal.untold();
+    out.status_updates = this->journal.unacknowledged();
     return out;
 }
 
 void front::replied(const dispatch::dispatcher_reply& what)
 {
-    this->journal.taken(what.news_taken);
+    this->journal.acknowledge(what.news_taken);
     for (const dispatch::granted_place& one : what.granted)
-        this->told(traffic::place_granted{one.name.request,
-                                          one.name.send,
+        this->told(traffic::place_granted{one.id.request,
+                                          one.id.send,
                                           one.upstream,
                                           one.expected,
                                           one.taken,
                                           one.places});
     for (const dispatch::declined_place& one : what.declined)
         this->told(
-            traffic::place_declined{one.name.request,
-                                    one.name.send,
+            traffic::place_declined{one.id.request,
+                                    one.id.send,
                                     base::not_run(one.why, one.retry_after)});
 }
 
@@ -131,7 +131,7 @@
     }
     traffic::request_facts facts = wanted.facts;
     facts.homes = this->homes_of(facts);
-    this->told(traffic::request_arrived{id, facts, wanted.tried});
+    this->told(traffic::request_arrived{id, facts, wanted.tried_upstreams});
 }
 
 // As the configuration in force here says: members ask by route and workspace.
--- a/src/greengagedrum/entry/test/dispatch_test.cpp
+++ b/src/greengagedrum/entry/test/dispatch_test.cpp
@@ -94,8 +94,8 @@
                 continue;
             this->reports += 1;
             into = {};
-            into.report_taken = told->report.number;
-            for (const dispatch::slot_request& one : told->report.wanted)
+            into.report_taken = told->report.sequence;
+            for (const dispatch::slot_request& one : told->report.slot_requests)
                 this->decide(one, into);
         }
     }
@@ -135,7 +135,7 @@
            dispatch::dispatcher_reply& into)
 {
     into.granted.push_back(
-        {wanted.name, routing::life_id("i-1", std::nullopt), 50ms, 0, 5});
+        {wanted.id, routing::life_id("i-1", std::nullopt), 50ms, 0, 5});
 }
 
 } // namespace
@@ -164,7 +164,7 @@
 {
     this->begin_and_wait([](const dispatch::slot_request& wanted,
                             dispatch::dispatcher_reply& into) {
-        into.declined.push_back({wanted.name, base::reason::limit_reached, 3s});
+        into.declined.push_back({wanted.id, base::reason::limit_reached, 3s});
     });
     auto asked = this->client();
     const auto got = asked.Get("/again/", headers());
@@ -203,7 +203,7 @@
     std::atomic<int> seen{0};
     this->begin_and_wait([&seen](const dispatch::slot_request& wanted,
                                  dispatch::dispatcher_reply&) {
-        seen = std::max<int>(seen, static_cast<int>(wanted.name.request.value));
+        seen = std::max<int>(seen, static_cast<int>(wanted.id.request.value));
     });
     std::atomic<int> answered{0};
     std::atomic<int> limited{0};
--- a/src/greengagedrum/gossip/dispatch_codec.cpp
+++ b/src/greengagedrum/gossip/dispatch_codec.cpp
@@ -9,15 +9,15 @@
 namespace
 {
 
-using dispatch::send_change;
+using dispatch::send_status;
 
-constexpr std::array send_changes = {send_change::first_event,
-                                     send_change::good,
-                                     send_change::failing,
-                                     send_change::not_sent,
-                                     send_change::full,
-                                     send_change::misdirected,
-                                     send_change::broken};
+constexpr std::array send_statuses = {send_status::first_event,
+                                      send_status::completed,
+                                      send_status::error_answer,
+                                      send_status::not_sent,
+                                      send_status::rejected_full,
+                                      send_status::misdirected,
+                                      send_status::connection_broken};
 
 // Reasons for which a place is declined; any other is told as the last.
 constexpr std::array decline_reasons = {base::reason::limit_reached,
@@ -52,13 +52,13 @@
              const dispatch::slot_request& one)
 {
     std::vector<std::uint64_t> tried;
-    for (const base::upstream_id id : one.tried)
+    for (const base::upstream_id id : one.tried_upstreams)
         tried.push_back(id.value);
     const traffic::request_facts& facts = one.facts;
     const bool at_most_once = facts.rule == routing::repeat_rule::at_most_once;
     return wire::CreateWanted(builder,
-                              one.name.request.value,
-                              one.name.send,
+                              one.id.request.value,
+                              one.id.send,
                               facts.service.value,
                               facts.workspace.value,
                               facts.kind.value,
@@ -80,7 +80,7 @@
 dispatch::slot_request read_wanted(const wire::Wanted& from)
 {
     dispatch::slot_request out;
-    out.name = {base::request_id{from.request()}, from.send()};
+    out.id = {base::request_id{from.request()}, from.send()};
     traffic::request_facts& facts = out.facts;
     facts.service.value = from.service();
     facts.workspace.value = from.workspace();
@@ -101,7 +101,7 @@
     out.charged = from.counted();
     if (const auto* list = from.tried()) {
         for (const std::uint64_t id : *list)
-            out.tried.emplace_back(id);
+            out.tried_upstreams.emplace_back(id);
     }
     return out;
 }
@@ -113,20 +113,20 @@
              const dispatch::member_report& told)
 {
     std::vector<flatbuffers::Offset<wire::Wanted>> wanted;
-    for (const dispatch::slot_request& one : told.wanted)
+    for (const dispatch::slot_request& one : told.slot_requests)
         wanted.push_back(write_wanted(builder, one));
     std::vector<wire::Running> running;
     for (const dispatch::running_send& one : told.running)
-        running.emplace_back(one.name.request.value,
+        running.emplace_back(one.id.request.value,
                              one.upstream.value,
-                             one.name.send,
-                             one.unread_tokens);
+                             one.id.send,
+                             one.unprocessed_prompt_tokens);
     std::vector<wire::SendNews> news;
-    for (const dispatch::send_news& one : told.news)
-        news.emplace_back(one.number,
-                          one.name.request.value,
-                          one.name.send,
-                          index_in(send_changes, one.what));
+    for (const dispatch::send_status_update& one : told.status_updates)
+        news.emplace_back(one.sequence,
+                          one.id.request.value,
+                          one.id.send,
+                          index_in(send_statuses, one.status));
     return wire::CreateReport(builder,
                               builder.CreateVector(wanted),
                               builder.CreateVectorOfStructs(running),
@@ -139,9 +139,9 @@
 {
     std::vector<wire::Granted> granted;
     for (const dispatch::granted_place& one : told.granted)
-        granted.emplace_back(one.name.request.value,
+        granted.emplace_back(one.id.request.value,
                              one.upstream.value,
-                             one.name.send,
+                             one.id.send,
                              unsigned_count(one.expected.count()),
                              one.taken,
                              one.places);
@@ -149,8 +149,8 @@
     for (const dispatch::declined_place& one : told.declined) {
         const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(
             one.retry_after);
-        declined.emplace_back(one.name.request.value,
-                              one.name.send,
+        declined.emplace_back(one.id.request.value,
+                              one.id.send,
                               index_in(decline_reasons, one.why),
                               unsigned_count(wait.count()));
     }
@@ -166,7 +166,7 @@
     dispatch::member_report out;
     if (const auto* list = from.wanted()) {
         for (const wire::Wanted* one : *list)
-            out.wanted.push_back(read_wanted(*one));
+            out.slot_requests.push_back(read_wanted(*one));
     }
     if (const auto* list = from.running()) {
         for (const wire::Running* one : *list)
@@ -177,9 +177,10 @@
     }
     if (const auto* list = from.news()) {
         for (const wire::SendNews* one : *list)
-            out.news.push_back({one->number(),
-                                {base::request_id{one->request()}, one->send()},
-                                value_at(send_changes, one->what())});
+            out.status_updates.push_back(
+                {one->number(),
+                 {base::request_id{one->request()}, one->send()},
+                 value_at(send_statuses, one->what())});
     }
     return out;
 }
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -258,7 +258,7 @@
     if (const auto* report = root->report())
         out.report = read_report(*report);
     out.suspects = read_suspects(*root);
-    out.report.number = out.sequence;
+    out.report.sequence = out.sequence;
     if (const auto* reply = root->reply())
         out.reply = read_reply(*reply);
     return out;
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -98,7 +98,7 @@
     told.delegating = true;
     told.known_entries = {{other, 250ms, base::data_centre_id("yard"), 120}};
     dispatch::slot_request wanted;
-    wanted.name = {base::request_id{4}, 2};
+    wanted.id = {base::request_id{4}, 2};
     wanted.facts.service = base::class_id("models");
     wanted.facts.workspace = base::workspace_id("gate");
     wanted.facts.kind = base::kind_id("dossier");
@@ -112,14 +112,15 @@
     wanted.facts.time_left = 9s;
     wanted.facts.patience = 2s;
     wanted.facts.sends_before = 1;
-    wanted.tried = {base::upstream_id("i-1")};
+    wanted.tried_upstreams = {base::upstream_id("i-1")};
     wanted.cost = 1080;
     wanted.charged = true;
-    told.report.wanted = {wanted};
+    told.report.slot_requests = {wanted};
     told.report.running = {
         {{base::request_id{5}, 1}, base::upstream_id("i-2"), 77}};
-    told.report.news = {
-        {12, {base::request_id{6}, 3}, dispatch::send_change::broken}};
+    told.report.status_updates = {{12,
+                                   {base::request_id{6}, 3},
+                                   dispatch::send_status::connection_broken}};
     const auto read = decode_message(encode(told));
     REQUIRE(read);
     CHECK(read->kind == message_kind::report);
@@ -128,9 +129,9 @@
     CHECK(read->known_entries.at(0).data_centre ==
           base::data_centre_id("yard"));
     CHECK(read->known_entries.at(0).cpu_millicores == 120);
-    REQUIRE(read->report.wanted.size() == 1);
-    const dispatch::slot_request& got = read->report.wanted[0];
-    CHECK(got.name == wanted.name);
+    REQUIRE(read->report.slot_requests.size() == 1);
+    const dispatch::slot_request& got = read->report.slot_requests[0];
+    CHECK(got.id == wanted.id);
     CHECK(got.facts.service == wanted.facts.service);
     CHECK(got.facts.workspace == wanted.facts.workspace);
     CHECK(got.facts.kind == wanted.facts.kind);
@@ -145,22 +146,23 @@
     CHECK(got.facts.patience == 2s);
     CHECK(got.facts.sends_before == 1);
     CHECK(got.facts.delegated);
-    CHECK(got.tried == wanted.tried);
+    CHECK(got.tried_upstreams == wanted.tried_upstreams);
     CHECK(got.cost == 1080);
     CHECK(got.charged);
     CHECK(read->report.running.at(0).upstream == base::upstream_id("i-2"));
-    CHECK(read->report.running.at(0).unread_tokens == 77);
-    CHECK(read->report.news.at(0).number == 12);
-    CHECK(read->report.news.at(0).what == dispatch::send_change::broken);
+    CHECK(read->report.running.at(0).unprocessed_prompt_tokens == 77);
+    CHECK(read->report.status_updates.at(0).sequence == 12);
+    CHECK(read->report.status_updates.at(0).status ==
+          dispatch::send_status::connection_broken);
 
     told.kind = message_kind::reply;
     told.reply.news_taken = 12;
-    told.reply.granted = {{wanted.name, base::upstream_id("i-3"), 90ms, 2, 5}};
+    told.reply.granted = {{wanted.id, base::upstream_id("i-3"), 90ms, 2, 5}};
     told.reply.declined = {
         {{base::request_id{8}, 1}, base::reason::limit_reached, 1500ms}};
     const auto reply = decode_message(encode(told));
     REQUIRE(reply);
-    CHECK(reply->report.wanted.empty());
+    CHECK(reply->report.slot_requests.empty());
     CHECK(reply->reply.news_taken == 12);
     CHECK(reply->reply.granted.at(0).upstream == base::upstream_id("i-3"));
     CHECK(reply->reply.granted.at(0).expected == 90ms);
