--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.cpp
@@ -194,11 +194,11 @@
     if (found == this->sends.end())
         return std::nullopt;
     send_state& send = found->second;
-    send.granted = granted_place{send.id,
-                                 order.upstream,
-                                 order.why.first_event,
-                                 order.why.own + order.why.others,
-                                 order.why.places};
+    send.granted = slot_grant{send.id,
+                              order.upstream,
+                              order.why.first_event,
+                              order.why.own + order.why.others,
+                              order.why.places};
     this->of.at(send.member).unanswered = true;
     if (send.charged)
         return std::nullopt;
@@ -212,7 +212,7 @@
     if (found == this->sends.end() || found->second.granted)
         return std::nullopt;
     send_state& send = found->second;
-    send.declined = declined_place{
+    send.declined = slot_denial{
         send.id, why.why, why.retry_after.value_or(base::duration(0))};
     this->of.at(send.member).unanswered = true;
     if (send.charged)
@@ -250,7 +250,7 @@
 {
     std::vector<base::slot_id> out;
     for (const auto& [member, state] : this->of) {
-        const bool due = now - state.replied_at >= repeat_gap;
+        const bool due = now - state.replied_at >= resend_interval;
         if (state.unanswered || (due && this->has_untaken(state)))
             out.push_back(member);
     }
@@ -266,14 +266,14 @@
         return out;
     found->second.unanswered = false;
     found->second.replied_at = now;
-    out.report_taken = found->second.report_taken;
-    out.news_taken = found->second.news_taken;
+    out.acked_report = found->second.report_taken;
+    out.acked_status = found->second.news_taken;
     for (const auto& [name, id] : found->second.sends) {
         const send_state& send = this->sends.at(id.value);
         if (send.declined)
-            out.declined.push_back(*send.declined);
+            out.denials.push_back(*send.declined);
         else if (send.granted && !send.running)
-            out.granted.push_back(*send.granted);
+            out.grants.push_back(*send.granted);
     }
     return out;
 }
--- a/src/greengagedrum/dispatch/dispatcher_book.hpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.hpp
@@ -80,8 +80,8 @@
         send_id id;
         limit_charge charge;
         bool charged = false;
-        std::optional<granted_place> granted;
-        std::optional<declined_place> declined;
+        std::optional<slot_grant> granted;
+        std::optional<slot_denial> declined;
         bool running = false;       // the member shows that it was sent
         std::uint64_t shown_in = 0; // the report that named it last
     };
--- a/src/greengagedrum/dispatch/messages.hpp
+++ b/src/greengagedrum/dispatch/messages.hpp
@@ -23,7 +23,7 @@
 // What is not answered, or not shown to have arrived, is told again after this:
 // some round trips, and less than the work of the shortest requests, for which
 // a place would stand idle.
-inline constexpr base::duration repeat_gap = std::chrono::milliseconds(25);
+inline constexpr base::duration resend_interval = std::chrono::milliseconds(25);
 
 // One send of a request, by the member's own numbers.
 struct send_id {
@@ -71,30 +71,27 @@
         status_updates; // that the dispatcher may not have
 };
 
-struct granted_place {
+struct slot_grant {
     send_id id;
     base::upstream_id upstream;
-    base::duration expected{0}; // to its first event
-    std::uint32_t taken = 0;    // places there, by others
-    std::uint32_t places = 0;
+    base::duration expected_first_event{0}; // to its first event
+    std::uint32_t slots_taken = 0;          // places there, by others
+    std::uint32_t slots = 0;
 };
 
-struct declined_place {
+struct slot_denial {
     send_id id;
-    base::reason why = base::reason::overloaded;
+    base::reason reason = base::reason::overloaded;
     base::duration retry_after{0};
 };
 
 struct dispatcher_reply {
-    std::uint64_t report_taken = 0; // the newest one
-    std::uint64_t news_taken = 0;   // up to this number
-    std::vector<granted_place> granted;
-    std::vector<declined_place> declined;
+    std::uint64_t acked_report = 0; // the newest one
+    std::uint64_t acked_status = 0; // up to this number
+    std::vector<slot_grant> grants;
+    std::vector<slot_denial> denials;
 
-    bool empty() const
-    {
-        return this->granted.empty() && this->declined.empty();
-    }
+    bool empty() const { return this->grants.empty() && this->denials.empty(); }
 };
 
 } // namespace greengagedrum::dispatch
--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -242,22 +242,22 @@
 void dispatch_run::replied(std::size_t to, const dispatcher_reply& what)
 {
     member& one_member = this->members.at(to);
-    one_member.journal.acknowledge(what.news_taken);
-    if (one_member.unanswered <= what.report_taken)
+    one_member.journal.acknowledge(what.acked_status);
+    if (one_member.unanswered <= what.acked_report)
         one_member.unanswered = 0;
-    for (const granted_place& one : what.granted) {
+    for (const slot_grant& one : what.grants) {
         traffic::place_granted event;
         event.request = one.id.request;
         event.send = one.id.send;
         event.upstream = one.upstream;
         this->member_step(to, event);
     }
-    for (const declined_place& one : what.declined)
-        this->member_step(
-            to,
-            traffic::place_declined{one.id.request,
-                                    one.id.send,
-                                    base::not_run(one.why, one.retry_after)});
+    for (const slot_denial& one : what.denials)
+        this->member_step(to,
+                          traffic::place_declined{
+                              one.id.request,
+                              one.id.send,
+                              base::not_run(one.reason, one.retry_after)});
 }
 
 // ---- Their dispatcher -----------------------------------------------------
@@ -317,7 +317,7 @@
             own.decisions->tick(this->now, orders);
         this->member_orders(one, orders);
         const base::duration silent = this->now - own.told_at;
-        if (silent >= (own.unanswered > 0 ? repeat_gap : beat))
+        if (silent >= (own.unanswered > 0 ? resend_interval : beat))
             this->report(one);
     }
     if (this->dispatcher) {
--- a/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
+++ b/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
@@ -82,16 +82,16 @@
     REQUIRE(cost);
     CHECK(cost->amount == 100);
     CHECK(this->book.members_to_answer(this->now).size() == 1);
-    CHECK(this->book.build_reply(member, this->now).granted.size() == 1);
+    CHECK(this->book.build_reply(member, this->now).grants.size() == 1);
     CHECK(this->book.members_to_answer(this->now).empty());
     this->report();
     CHECK(this->book.members_to_answer(this->now).size() == 1);
-    CHECK(this->book.build_reply(member, this->now).granted.at(0).upstream ==
+    CHECK(this->book.build_reply(member, this->now).grants.at(0).upstream ==
           engine);
     this->run_all();
     CHECK(this->report().events.empty());
     CHECK(this->book.members_to_answer(this->now).empty());
-    CHECK(this->book.build_reply(member, this->now).granted.empty());
+    CHECK(this->book.build_reply(member, this->now).grants.empty());
 }
 
 // A caller leaves while its request waits, or after the place was granted. The
@@ -117,9 +117,9 @@
     this->grant(this->arrive(7));
     this->book.build_reply(member, this->now);
     CHECK(this->book.members_to_answer(this->now).empty());
-    this->now += repeat_gap;
+    this->now += resend_interval;
     CHECK(this->book.members_to_answer(this->now).size() == 1);
-    CHECK(this->book.build_reply(member, this->now).granted.size() == 1);
+    CHECK(this->book.build_reply(member, this->now).grants.size() == 1);
 }
 
 // A member repeats its report until it knows that it was taken.
@@ -129,7 +129,7 @@
     this->told.slot_requests = {wanted(1)};
     this->report();
     CHECK(this->book.members_to_answer(this->now).size() == 1);
-    CHECK(this->book.build_reply(member, this->now).report_taken == 5);
+    CHECK(this->book.build_reply(member, this->now).acked_report == 5);
     this->report();
     CHECK(this->book.members_to_answer(this->now).empty());
 }
@@ -147,7 +147,7 @@
     REQUIRE(news.events.size() == 2);
     CHECK(std::get<traffic::answered>(news.events[1]).request == id);
     CHECK(this->report().events.empty());
-    CHECK(this->book.build_reply(member, this->now).news_taken == 2);
+    CHECK(this->book.build_reply(member, this->now).acked_status == 2);
 }
 
 // A dispatcher takes over from one that died: its members run requests that it
@@ -192,8 +192,8 @@
         id, base::not_run(base::reason::overloaded, std::chrono::seconds(2)));
     CHECK(cost);
     const dispatcher_reply reply = this->book.build_reply(member, this->now);
-    REQUIRE(reply.declined.size() == 1);
-    CHECK(reply.declined[0].retry_after == std::chrono::seconds(2));
+    REQUIRE(reply.denials.size() == 1);
+    CHECK(reply.denials[0].retry_after == std::chrono::seconds(2));
     // The member has ended it: nothing else follows.
     this->told.slot_requests.clear();
     const request_changes news = this->report();
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -229,14 +229,14 @@
 void limited_fleet::replied(node& member,
                             const dispatch::dispatcher_reply& what)
 {
-    for (const dispatch::granted_place& one : what.granted) {
+    for (const dispatch::slot_grant& one : what.grants) {
         const auto found = this->of(member).requests.find(one.id.request.value);
         if (found == this->of(member).requests.end())
             continue;
         this->let_through(found->second.cost);
         this->of(member).requests.erase(found);
     }
-    for (const dispatch::declined_place& one : what.declined) {
+    for (const dispatch::slot_denial& one : what.denials) {
         if (this->of(member).requests.erase(one.id.request.value) > 0)
             this->result.refused += 1;
     }
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -39,19 +39,19 @@
 
 void front::replied(const dispatch::dispatcher_reply& what)
 {
-    this->journal.acknowledge(what.news_taken);
-    for (const dispatch::granted_place& one : what.granted)
+    this->journal.acknowledge(what.acked_status);
+    for (const dispatch::slot_grant& one : what.grants)
         this->told(traffic::place_granted{one.id.request,
                                           one.id.send,
                                           one.upstream,
-                                          one.expected,
-                                          one.taken,
-                                          one.places});
-    for (const dispatch::declined_place& one : what.declined)
-        this->told(
-            traffic::place_declined{one.id.request,
-                                    one.id.send,
-                                    base::not_run(one.why, one.retry_after)});
+                                          one.expected_first_event,
+                                          one.slots_taken,
+                                          one.slots});
+    for (const dispatch::slot_denial& one : what.denials)
+        this->told(traffic::place_declined{
+            one.id.request,
+            one.id.send,
+            base::not_run(one.reason, one.retry_after)});
 }
 
 void front::delegate()
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -111,7 +111,7 @@
     this->update_role(now);
     if (this->dispatcher != told.address)
         return;
-    if (this->unanswered_report <= told.reply.report_taken)
+    if (this->unanswered_report <= told.reply.acked_report)
         this->unanswered_report = 0;
     this->events.replied(told.reply);
 }
--- a/src/greengagedrum/entry/peer_telling.cpp
+++ b/src/greengagedrum/entry/peer_telling.cpp
@@ -94,7 +94,7 @@
 bool peer_link::is_report_overdue(base::instant now) const
 {
     return this->unanswered_report > 0 &&
-           now - this->reported_at >= dispatch::repeat_gap;
+           now - this->reported_at >= dispatch::resend_interval;
 }
 
 void peer_link::tell_dispatcher(base::instant now)
--- a/src/greengagedrum/entry/test/dispatch_test.cpp
+++ b/src/greengagedrum/entry/test/dispatch_test.cpp
@@ -94,7 +94,7 @@
                 continue;
             this->reports += 1;
             into = {};
-            into.report_taken = told->report.sequence;
+            into.acked_report = told->report.sequence;
             for (const dispatch::slot_request& one : told->report.slot_requests)
                 this->decide(one, into);
         }
@@ -134,7 +134,7 @@
 void grant(const dispatch::slot_request& wanted,
            dispatch::dispatcher_reply& into)
 {
-    into.granted.push_back(
+    into.grants.push_back(
         {wanted.id, routing::life_id("i-1", std::nullopt), 50ms, 0, 5});
 }
 
@@ -164,7 +164,7 @@
 {
     this->begin_and_wait([](const dispatch::slot_request& wanted,
                             dispatch::dispatcher_reply& into) {
-        into.declined.push_back({wanted.id, base::reason::limit_reached, 3s});
+        into.denials.push_back({wanted.id, base::reason::limit_reached, 3s});
     });
     auto asked = this->client();
     const auto got = asked.Get("/again/", headers());
--- a/src/greengagedrum/gossip/dispatch_codec.cpp
+++ b/src/greengagedrum/gossip/dispatch_codec.cpp
@@ -138,27 +138,27 @@
             const dispatch::dispatcher_reply& told)
 {
     std::vector<wire::Granted> granted;
-    for (const dispatch::granted_place& one : told.granted)
+    for (const dispatch::slot_grant& one : told.grants)
         granted.emplace_back(one.id.request.value,
                              one.upstream.value,
                              one.id.send,
-                             unsigned_count(one.expected.count()),
-                             one.taken,
-                             one.places);
+                             unsigned_count(one.expected_first_event.count()),
+                             one.slots_taken,
+                             one.slots);
     std::vector<wire::Declined> declined;
-    for (const dispatch::declined_place& one : told.declined) {
+    for (const dispatch::slot_denial& one : told.denials) {
         const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(
             one.retry_after);
         declined.emplace_back(one.id.request.value,
                               one.id.send,
-                              index_in(decline_reasons, one.why),
+                              index_in(decline_reasons, one.reason),
                               unsigned_count(wait.count()));
     }
     return wire::CreateReply(builder,
-                             told.news_taken,
+                             told.acked_status,
                              builder.CreateVectorOfStructs(granted),
                              builder.CreateVectorOfStructs(declined),
-                             told.report_taken);
+                             told.acked_report);
 }
 
 dispatch::member_report read_report(const wire::Report& from)
@@ -188,11 +188,11 @@
 dispatch::dispatcher_reply read_reply(const wire::Reply& from)
 {
     dispatch::dispatcher_reply out;
-    out.news_taken = from.news_taken();
-    out.report_taken = from.report_taken();
+    out.acked_status = from.news_taken();
+    out.acked_report = from.report_taken();
     if (const auto* list = from.granted()) {
         for (const wire::Granted* one : *list)
-            out.granted.push_back(
+            out.grants.push_back(
                 {{base::request_id{one->request()}, one->send()},
                  base::upstream_id(one->upstream()),
                  std::chrono::microseconds(one->expected_us()),
@@ -201,7 +201,7 @@
     }
     if (const auto* list = from.declined()) {
         for (const wire::Declined* one : *list)
-            out.declined.push_back(
+            out.denials.push_back(
                 {{base::request_id{one->request()}, one->send()},
                  value_at(decline_reasons, one->why()),
                  std::chrono::milliseconds(one->retry_after_ms())});
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -156,19 +156,19 @@
           dispatch::send_status::connection_broken);
 
     told.kind = message_kind::reply;
-    told.reply.news_taken = 12;
-    told.reply.granted = {{wanted.id, base::upstream_id("i-3"), 90ms, 2, 5}};
-    told.reply.declined = {
+    told.reply.acked_status = 12;
+    told.reply.grants = {{wanted.id, base::upstream_id("i-3"), 90ms, 2, 5}};
+    told.reply.denials = {
         {{base::request_id{8}, 1}, base::reason::limit_reached, 1500ms}};
     const auto reply = decode_message(encode(told));
     REQUIRE(reply);
     CHECK(reply->report.slot_requests.empty());
-    CHECK(reply->reply.news_taken == 12);
-    CHECK(reply->reply.granted.at(0).upstream == base::upstream_id("i-3"));
-    CHECK(reply->reply.granted.at(0).expected == 90ms);
-    CHECK(reply->reply.granted.at(0).places == 5);
-    CHECK(reply->reply.declined.at(0).why == base::reason::limit_reached);
-    CHECK(reply->reply.declined.at(0).retry_after == 1500ms);
+    CHECK(reply->reply.acked_status == 12);
+    CHECK(reply->reply.grants.at(0).upstream == base::upstream_id("i-3"));
+    CHECK(reply->reply.grants.at(0).expected_first_event == 90ms);
+    CHECK(reply->reply.grants.at(0).slots == 5);
+    CHECK(reply->reply.denials.at(0).reason == base::reason::limit_reached);
+    CHECK(reply->reply.denials.at(0).retry_after == 1500ms);
 }
 
 TEST_CASE("items_encoded_and_decoded_are_the_same")
