--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.cpp
@@ -52,16 +52,16 @@
                                 std::span<const traffic::upstream_use> uses)
 {
     request_changes out;
-    member_state& state = this->of[member];
-    if (state.life != life) {
+    member_state& state = this->members_by_id[member];
+    if (state.incarnation != life) {
         out = this->remove_member(member);
-        this->of[member].life = life;
+        this->members_by_id[member].incarnation = life;
     }
-    member_state& own = this->of[member];
-    own.reports += 1;
-    own.report_taken = told.sequence;
+    member_state& own = this->members_by_id[member];
+    own.report_count += 1;
+    own.acked_report = told.sequence;
     for (const send_status_update& one : told.status_updates)
-        this->take_news(own, one, out);
+        this->apply_status(own, one, out);
     std::unordered_map<base::upstream_id, traffic::upstream_use> others;
     // What it sees of upstreams' speed counts, whoever placed the request.
     for (const traffic::upstream_use& use : uses)
@@ -71,8 +71,8 @@
         if (found != own.sends.end()) {
             send_state& send = this->sends.at(found->second.value);
             send.running = true;
-            send.shown_in = own.reports;
-            if (send.granted)
+            send.last_report = own.report_count;
+            if (send.grant)
                 continue;
         }
         // Sent by the member itself, or placed by a dispatcher before this one.
@@ -82,21 +82,21 @@
         use.prompt_tokens += one.unprocessed_prompt_tokens;
     }
     for (const slot_request& one : told.slot_requests)
-        this->take_wanted(member, own, one, out);
-    this->drop_unnamed(own, out);
+        this->apply_slot_request(member, own, one, out);
+    this->end_unlisted_sends(own, out);
     for (const auto& [id, use] : others)
         out.uses_placed_elsewhere.push_back(use);
     return out;
 }
 
-void member_request_table::take_news(member_state& member,
-                                     const send_status_update& news,
-                                     request_changes& out)
+void member_request_table::apply_status(member_state& member,
+                                        const send_status_update& news,
+                                        request_changes& out)
 {
-    if (news.sequence <= member.news_taken)
+    if (news.sequence <= member.acked_status)
         return;
-    member.news_taken = news.sequence;
-    member.unanswered = true;
+    member.acked_status = news.sequence;
+    member.reply_due = true;
     const auto found = member.sends.find(news.id);
     if (found == member.sends.end())
         return;
@@ -108,68 +108,69 @@
     this->sends.erase(id.value);
 }
 
-void member_request_table::take_wanted(base::slot_id id,
-                                       member_state& member,
-                                       const slot_request& wanted,
-                                       request_changes& out)
+void member_request_table::apply_slot_request(base::slot_id id,
+                                              member_state& member,
+                                              const slot_request& wanted,
+                                              request_changes& out)
 {
     const auto [found, fresh] = member.sends.try_emplace(wanted.id);
     if (fresh) {
-        found->second = base::request_id{members_bit | this->next++};
+        found->second =
+            base::request_id{members_bit | this->next_request_number++};
         send_state& send = this->sends[found->second.value];
         send.member = id;
         send.id = wanted.id;
         send.charge = {wanted.facts.workspace, wanted.cost};
         send.charged = wanted.charged;
-        member.unanswered = true;
+        member.reply_due = true;
         out.new_requests.emplace_back(found->second, wanted);
     }
     send_state& send = this->sends.at(found->second.value);
-    send.shown_in = member.reports;
+    send.last_report = member.report_count;
     // The reply to it was lost, or crossed this report.
-    if (send.granted || send.declined)
-        member.unanswered = true;
+    if (send.grant || send.denial)
+        member.reply_due = true;
 }
 
 // A send that a whole report does not name has ended: its caller left, it was
 // given up on, or its end was told in news that a dispatcher before this one
 // took.
-void member_request_table::drop_unnamed(member_state& member,
-                                        request_changes& out)
+void member_request_table::end_unlisted_sends(member_state& member,
+                                              request_changes& out)
 {
     std::vector<base::request_id> gone;
     for (const auto& [name, id] : member.sends) {
-        if (this->sends.at(id.value).shown_in != member.reports)
+        if (this->sends.at(id.value).last_report != member.report_count)
             gone.push_back(id);
     }
     for (const base::request_id id : gone)
-        this->drop(id, out);
+        this->end_send(id, out);
 }
 
-void member_request_table::drop(base::request_id id, request_changes& out)
+void member_request_table::end_send(base::request_id id, request_changes& out)
 {
     const auto found = this->sends.find(id.value);
     const send_state& send = found->second;
-    if (!send.declined)
+    if (!send.denial)
         out.events.emplace_back(traffic::caller_left{id});
-    if (!send.declined && !send.granted && !send.charged)
+    if (!send.denial && !send.grant && !send.charged)
         out.released_charges.push_back(send.charge);
-    this->of.at(send.member).sends.erase(send.id);
+    this->members_by_id.at(send.member).sends.erase(send.id);
     this->sends.erase(found);
 }
 
 request_changes member_request_table::remove_member(base::slot_id member)
 {
     request_changes out;
-    const auto found = this->of.find(member);
-    if (found == this->of.end())
+    const auto found = this->members_by_id.find(member);
+    if (found == this->members_by_id.end())
         return out;
     std::vector<base::request_id> all;
     for (const auto& [name, id] : found->second.sends)
         all.push_back(id);
     for (const base::request_id id : all)
-        this->drop(id, out);
-    this->of.erase(member);
+        this->end_send(id, out);
+    this->members_by_id.erase(member);
     return out;
 }
 
@@ -180,8 +181,8 @@
     for (const auto& [id, send] : this->sends)
         all.push_back(base::request_id{id});
     for (const base::request_id id : all)
-        this->drop(id, out);
-    this->of.clear();
+        this->end_send(id, out);
+    this->members_by_id.clear();
     return out;
 }
 
@@ -194,12 +195,12 @@
     if (found == this->sends.end())
         return std::nullopt;
     send_state& send = found->second;
-    send.granted = slot_grant{send.id,
-                              order.upstream,
-                              order.why.first_event,
-                              order.why.own + order.why.others,
-                              order.why.places};
-    this->of.at(send.member).unanswered = true;
+    send.grant = slot_grant{send.id,
+                            order.upstream,
+                            order.why.first_event,
+                            order.why.own + order.why.others,
+                            order.why.places};
+    this->members_by_id.at(send.member).reply_due = true;
     if (send.charged)
         return std::nullopt;
     return send.charge;
@@ -209,12 +210,12 @@
 member_request_table::on_declined(base::request_id id, const base::verdict& why)
 {
     const auto found = this->sends.find(id.value);
-    if (found == this->sends.end() || found->second.granted)
+    if (found == this->sends.end() || found->second.grant)
         return std::nullopt;
     send_state& send = found->second;
-    send.declined = slot_denial{
+    send.denial = slot_denial{
         send.id, why.why, why.retry_after.value_or(base::duration(0))};
-    this->of.at(send.member).unanswered = true;
+    this->members_by_id.at(send.member).reply_due = true;
     if (send.charged)
         return std::nullopt;
     return send.charge;
@@ -227,7 +228,7 @@
     if (found == this->sends.end())
         return std::nullopt;
     const send_state gone = found->second;
-    this->of.at(gone.member).sends.erase(gone.id);
+    this->members_by_id.at(gone.member).sends.erase(gone.id);
     this->sends.erase(found);
     if (gone.charged)
         return std::nullopt;
@@ -236,12 +237,13 @@
 
 // ---- Replies --------------------------------------------------------------
 
-bool member_request_table::has_untaken(const member_state& member) const
+bool member_request_table::has_unacknowledged_decision(
+    const member_state& member) const
 {
     return std::any_of(
         member.sends.begin(), member.sends.end(), [&](const auto& entry) {
             const send_state& send = this->sends.at(entry.second.value);
-            return send.declined || (send.granted && !send.running);
+            return send.denial || (send.grant && !send.running);
         });
 }
 
@@ -249,9 +251,10 @@
 member_request_table::members_to_answer(base::instant now) const
 {
     std::vector<base::slot_id> out;
-    for (const auto& [member, state] : this->of) {
+    for (const auto& [member, state] : this->members_by_id) {
         const bool due = now - state.replied_at >= resend_interval;
-        if (state.unanswered || (due && this->has_untaken(state)))
+        if (state.reply_due ||
+            (due && this->has_unacknowledged_decision(state)))
             out.push_back(member);
     }
     return out;
@@ -261,19 +264,19 @@
                                                    base::instant now)
 {
     dispatcher_reply out;
-    const auto found = this->of.find(member);
-    if (found == this->of.end())
+    const auto found = this->members_by_id.find(member);
+    if (found == this->members_by_id.end())
         return out;
-    found->second.unanswered = false;
+    found->second.reply_due = false;
     found->second.replied_at = now;
-    out.acked_report = found->second.report_taken;
-    out.acked_status = found->second.news_taken;
+    out.acked_report = found->second.acked_report;
+    out.acked_status = found->second.acked_status;
     for (const auto& [name, id] : found->second.sends) {
         const send_state& send = this->sends.at(id.value);
-        if (send.declined)
-            out.denials.push_back(*send.declined);
-        else if (send.granted && !send.running)
-            out.grants.push_back(*send.granted);
+        if (send.denial)
+            out.denials.push_back(*send.denial);
+        else if (send.grant && !send.running)
+            out.grants.push_back(*send.grant);
     }
     return out;
 }
--- a/src/greengagedrum/dispatch/dispatcher_book.hpp
+++ b/src/greengagedrum/dispatch/dispatcher_book.hpp
@@ -72,7 +72,7 @@
     // For that member now; all of it that the member has not shown to have.
     dispatcher_reply build_reply(base::slot_id member, base::instant now);
 
-    std::size_t member_count() const { return this->of.size(); }
+    std::size_t member_count() const { return this->members_by_id.size(); }
 
 private:
     struct send_state {
@@ -80,36 +80,36 @@
         send_id id;
         limit_charge charge;
         bool charged = false;
-        std::optional<slot_grant> granted;
-        std::optional<slot_denial> declined;
-        bool running = false;       // the member shows that it was sent
-        std::uint64_t shown_in = 0; // the report that named it last
+        std::optional<slot_grant> grant;
+        std::optional<slot_denial> denial;
+        bool running = false;          // the member shows that it was sent
+        std::uint64_t last_report = 0; // the report that named it last
     };
 
     struct member_state {
-        base::incarnation life;
-        std::uint64_t reports = 0;
-        std::uint64_t report_taken = 0;
-        std::uint64_t news_taken = 0;
-        bool unanswered = false;
+        base::incarnation incarnation;
+        std::uint64_t report_count = 0;
+        std::uint64_t acked_report = 0;
+        std::uint64_t acked_status = 0;
+        bool reply_due = false;
         base::instant replied_at;
         std::map<send_id, base::request_id> sends;
     };
 
-    void take_news(member_state& member,
-                   const send_status_update& news,
-                   request_changes& out);
-    void take_wanted(base::slot_id id,
-                     member_state& member,
-                     const slot_request& wanted,
-                     request_changes& out);
-    bool has_untaken(const member_state& member) const;
-    void drop(base::request_id id, request_changes& out);
-    void drop_unnamed(member_state& member, request_changes& out);
-
-    std::unordered_map<base::slot_id, member_state> of;
+    void apply_status(member_state& member,
+                      const send_status_update& news,
+                      request_changes& out);
+    void apply_slot_request(base::slot_id id,
+                            member_state& member,
+                            const slot_request& wanted,
+                            request_changes& out);
+    bool has_unacknowledged_decision(const member_state& member) const;
+    void end_send(base::request_id id, request_changes& out);
+    void end_unlisted_sends(member_state& member, request_changes& out);
+
+    std::unordered_map<base::slot_id, member_state> members_by_id;
     std::unordered_map<std::uint64_t, send_state> sends;
-    std::uint64_t next = 1;
+    std::uint64_t next_request_number = 1;
 };
 
 } // namespace greengagedrum::dispatch
