--- a/src/greengagedrum/entry/peer_link.hpp
+++ b/src/greengagedrum/entry/peer_link.hpp
@@ -10,9 +10,9 @@
 #include <greengagedrum/entry/front.hpp>
 #include <greengagedrum/entry/peer_transport.hpp>
 #include <greengagedrum/entry/settings.hpp>
+#include <greengagedrum/gossip/dispatcher_election.hpp>
 #include <greengagedrum/gossip/gossip_schedule.hpp>
 #include <greengagedrum/gossip/peer_table.hpp>
-#include <greengagedrum/gossip/succession.hpp>
 
 #include <functional>
 #include <optional>
--- a/src/greengagedrum/gossip/succession.cpp
+++ b/src/greengagedrum/gossip/dispatcher_election.cpp
@@ -1,4 +1,4 @@
-#include <greengagedrum/gossip/succession.hpp>
+#include <greengagedrum/gossip/dispatcher_election.hpp>
 
 #include <algorithm>
 #include <set>
--- a/src/greengagedrum/gossip/dispatcher_search.cpp
+++ b/src/greengagedrum/gossip/dispatcher_election_probes.cpp
@@ -1,5 +1,5 @@
 // Whom an entry asks, or tells, that may place requests.
-#include <greengagedrum/gossip/succession.hpp>
+#include <greengagedrum/gossip/dispatcher_election.hpp>
 
 #include <algorithm>
 #include <set>
--- a/src/greengagedrum/gossip/test/succession_test.cpp
+++ b/src/greengagedrum/gossip/test/dispatcher_election_test.cpp
@@ -1,5 +1,5 @@
 // Which entry of each data centre places requests, as one entry sees it.
-#include <greengagedrum/gossip/succession.hpp>
+#include <greengagedrum/gossip/dispatcher_election.hpp>
 
 #include <doctest/doctest.h>
 
