--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/member_request_table.cpp
@@ -1,4 +1,4 @@
-#include <greengagedrum/dispatch/dispatcher_book.hpp>
+#include <greengagedrum/dispatch/member_request_table.hpp>
 
 #include <algorithm>
 
--- a/src/greengagedrum/dispatch/send_journal.cpp
+++ b/src/greengagedrum/dispatch/send_status_log.cpp
@@ -1,4 +1,4 @@
-#include <greengagedrum/dispatch/send_journal.hpp>
+#include <greengagedrum/dispatch/send_status_log.hpp>
 
 #include <variant>
 
--- a/src/greengagedrum/dispatch/test/dispatch_run.hpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.hpp
@@ -2,8 +2,8 @@
 // replies take their way and some are lost, callers arrive at random.
 #pragma once
 
-#include <greengagedrum/dispatch/dispatcher_book.hpp>
-#include <greengagedrum/dispatch/send_journal.hpp>
+#include <greengagedrum/dispatch/member_request_table.hpp>
+#include <greengagedrum/dispatch/send_status_log.hpp>
 #include <greengagedrum/traffic/scheduler.hpp>
 
 #include <cstdint>
--- a/src/greengagedrum/dispatch/test/dispatcher_book_test.cpp
+++ b/src/greengagedrum/dispatch/test/member_request_table_test.cpp
@@ -1,6 +1,6 @@
 // A dispatcher's book of its members' sends, message by message.
-#include <greengagedrum/dispatch/dispatcher_book.hpp>
-#include <greengagedrum/dispatch/send_journal.hpp>
+#include <greengagedrum/dispatch/member_request_table.hpp>
+#include <greengagedrum/dispatch/send_status_log.hpp>
 
 #include <doctest/doctest.h>
 
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
@@ -3,7 +3,7 @@
 // killed, frozen and started again. What the entries serve is the owner's.
 #pragma once
 
-#include <greengagedrum/dispatch/dispatcher_book.hpp>
+#include <greengagedrum/dispatch/member_request_table.hpp>
 #include <greengagedrum/entry/peer_link.hpp>
 
 #include <deque>
--- a/src/greengagedrum/entry/front.hpp
+++ b/src/greengagedrum/entry/front.hpp
@@ -1,8 +1,8 @@
 // Takes callers' requests, has them decided, and carries the decisions out.
 #pragma once
 
-#include <greengagedrum/dispatch/dispatcher_book.hpp>
-#include <greengagedrum/dispatch/send_journal.hpp>
+#include <greengagedrum/dispatch/member_request_table.hpp>
+#include <greengagedrum/dispatch/send_status_log.hpp>
 #include <greengagedrum/entry/cluster_state.hpp>
 #include <greengagedrum/entry/decision_log.hpp>
 #include <greengagedrum/entry/exchange.hpp>
