--- a/src/greengagedrum/entry/peer_telling.cpp
+++ b/src/greengagedrum/entry/peer_telling.cpp
@@ -69,13 +69,14 @@
     if (beats)
         this->beat_at = now;
     if (this->state.delegating) {
-        const bool news = this->schedule.is_due(audience::own_data_centre, now);
+        const bool news =
+            this->schedule.is_due(recipient_group::own_data_centre, now);
         if (news || this->is_report_overdue(now)) {
-            this->schedule.on_sent(audience::own_data_centre, now);
+            this->schedule.on_sent(recipient_group::own_data_centre, now);
             this->tell_dispatcher(now);
         }
     } else if (beats) {
-        this->schedule.on_sent(audience::own_data_centre, now);
+        this->schedule.on_sent(recipient_group::own_data_centre, now);
         this->tell_members(now);
     }
     if (!this->state.delegating)
@@ -83,10 +84,11 @@
     if (beats)
         this->look_for_silent(now);
     const bool to_far = !this->state.delegating || this->farewells > 0;
-    if (to_far && this->schedule.is_due(audience::other_data_centres, now))
+    if (to_far &&
+        this->schedule.is_due(recipient_group::other_data_centres, now))
         this->tell_far(now);
     else if (this->state.delegating)
-        this->schedule.on_sent(audience::other_data_centres, now);
+        this->schedule.on_sent(recipient_group::other_data_centres, now);
 }
 
 // Failure guarded against: a report is lost, and with it a request that asks,
