--- a/src/greengagedrum/dispatch/dispatcher_book.cpp
+++ b/src/greengagedrum/dispatch/member_request_table.cpp
@@ -1,4 +1,4 @@
-#include <greengagedrum/dispatch/dispatcher_book.hpp>
+#include <greengagedrum/dispatch/member_request_table.hpp>
 
 #include <algorithm>
 
@@ -14,24 +14,24 @@
 // The scheduler here sends each of them once: what comes after is a new send.
 constexpr std::uint32_t only_send = 1;
 
-traffic::event event_of(base::request_id id, send_change what)
+traffic::event event_of(base::request_id id, send_status what)
 {
     switch (what) {
-    case send_change::first_event:
+    case send_status::first_event:
         return traffic::events_received{id, only_send, 1};
-    case send_change::good:
+    case send_status::completed:
         return traffic::answer_received{id, only_send, true};
-    case send_change::failing:
+    case send_status::error_answer:
         return traffic::answer_received{id, only_send, false};
-    case send_change::not_sent:
+    case send_status::not_sent:
         return traffic::connect_failed{id, only_send};
-    case send_change::full:
+    case send_status::rejected_full:
         return traffic::send_rejected{
             id, only_send, traffic::rejection::not_run};
-    case send_change::misdirected:
+    case send_status::misdirected:
         return traffic::send_rejected{
             id, only_send, traffic::rejection::misdirected};
-    case send_change::broken:
+    case send_status::connection_broken:
         break;
     }
     return traffic::answer_interrupted{id, only_send};
@@ -39,7 +39,7 @@
 
 } // namespace
 
-bool dispatcher_book::is_members(base::request_id id)
+bool member_request_table::is_member_request(base::request_id id)
 {
     return (id.value & members_bit) != 0;
 }
@@ -47,231 +47,231 @@
 // ---- Reports --------------------------------------------------------------
 
 request_changes
-dispatcher_book::report(base::slot_id member,
+member_request_table::on_report(base::slot_id member,
                         base::incarnation life,
                         const member_report& told,
                         std::span<const traffic::upstream_load> uses)
 {
     request_changes out;
-    member_state& state = this->of[member];
-    if (state.life != life) {
-        out = this->lost(member);
-        this->of[member].life = life;
+    member_state& state = this->members_by_id[member];
+    if (state.incarnation != life) {
+        out = this->remove_member(member);
+        this->members_by_id[member].incarnation = life;
     }
-    member_state& own = this->of[member];
-    own.reports += 1;
-    own.report_taken = told.number;
-    for (const send_news& one : told.news)
-        this->take_news(own, one, out);
+    member_state& own = this->members_by_id[member];
+    own.report_count += 1;
+    own.acked_report = told.sequence;
+    for (const send_status_update& one : told.status_updates)
+        this->apply_status(own, one, out);
     std::unordered_map<base::upstream_id, traffic::upstream_load> others;
     // What it sees of upstreams' speed counts, whoever placed the request.
     for (const traffic::upstream_load& use : uses)
         others[use.upstream] = {use.upstream, 0, 0, use.event_gap};
     for (const running_send& one : told.running) {
-        const auto found = own.sends.find(one.name);
+        const auto found = own.sends.find(one.id);
         if (found != own.sends.end()) {
             send_state& send = this->sends.at(found->second.value);
             send.running = true;
-            send.shown_in = own.reports;
-            if (send.granted)
+            send.last_report = own.report_count;
+            if (send.grant)
                 continue;
         }
         // Sent by the member itself, or placed by a dispatcher before this one.
         traffic::upstream_load& use = others[one.upstream];
         use.upstream = one.upstream;
         use.requests += 1;
-        use.pending_prefill_tokens += one.unread_tokens;
+        use.pending_prefill_tokens += one.unprocessed_prompt_tokens;
     }
-    for (const slot_request& one : told.wanted)
-        this->take_wanted(member, own, one, out);
-    this->drop_unnamed(own, out);
+    for (const slot_request& one : told.slot_requests)
+        this->apply_slot_request(member, own, one, out);
+    this->end_unlisted_sends(own, out);
     for (const auto& [id, use] : others)
-        out.others.push_back(use);
+        out.uses_placed_elsewhere.push_back(use);
     return out;
 }
 
-void dispatcher_book::take_news(member_state& member,
-                                const send_news& news,
+void member_request_table::apply_status(member_state& member,
+                                const send_status_update& news,
                                 request_changes& out)
 {
-    if (news.number <= member.news_taken)
+    if (news.sequence <= member.acked_status)
         return;
-    member.news_taken = news.number;
-    member.unanswered = true;
-    const auto found = member.sends.find(news.name);
+    member.acked_status = news.sequence;
+    member.reply_due = true;
+    const auto found = member.sends.find(news.id);
     if (found == member.sends.end())
         return;
     const base::request_id id = found->second;
-    out.events.push_back(event_of(id, news.what));
-    if (news.what == send_change::first_event)
+    out.events.push_back(event_of(id, news.status));
+    if (news.status == send_status::first_event)
         return;
     member.sends.erase(found);
     this->sends.erase(id.value);
 }
 
-void dispatcher_book::take_wanted(base::slot_id id,
+void member_request_table::apply_slot_request(base::slot_id id,
                                   member_state& member,
                                   const slot_request& wanted,
                                   request_changes& out)
 {
-    const auto [found, fresh] = member.sends.try_emplace(wanted.name);
+    const auto [found, fresh] = member.sends.try_emplace(wanted.id);
     if (fresh) {
-        found->second = base::request_id{members_bit | this->next++};
+        found->second = base::request_id{members_bit | this->next_request_number++};
         send_state& send = this->sends[found->second.value];
         send.member = id;
-        send.name = wanted.name;
-        send.cost = {wanted.facts.workspace, wanted.cost};
-        send.counted = wanted.counted;
-        member.unanswered = true;
-        out.arrived.emplace_back(found->second, wanted);
+        send.id = wanted.id;
+        send.charge = {wanted.facts.workspace, wanted.cost};
+        send.charged = wanted.charged;
+        member.reply_due = true;
+        out.new_requests.emplace_back(found->second, wanted);
     }
     send_state& send = this->sends.at(found->second.value);
-    send.shown_in = member.reports;
+    send.last_report = member.report_count;
     // The reply to it was lost, or crossed this report.
-    if (send.granted || send.declined)
-        member.unanswered = true;
+    if (send.grant || send.denial)
+        member.reply_due = true;
 }
 
 // A send that a whole report does not name has ended: its caller left, it was
 // given up on, or its end was told in news that a dispatcher before this one
 // took.
-void dispatcher_book::drop_unnamed(member_state& member, request_changes& out)
+void member_request_table::end_unlisted_sends(member_state& member, request_changes& out)
 {
     std::vector<base::request_id> gone;
     for (const auto& [name, id] : member.sends) {
-        if (this->sends.at(id.value).shown_in != member.reports)
+        if (this->sends.at(id.value).last_report != member.report_count)
             gone.push_back(id);
     }
     for (const base::request_id id : gone)
-        this->drop(id, out);
+        this->end_send(id, out);
 }
 
-void dispatcher_book::drop(base::request_id id, request_changes& out)
+void member_request_table::end_send(base::request_id id, request_changes& out)
 {
     const auto found = this->sends.find(id.value);
     const send_state& send = found->second;
-    if (!send.declined)
+    if (!send.denial)
         out.events.emplace_back(traffic::caller_left{id});
-    if (!send.declined && !send.granted && !send.counted)
-        out.withdrawn.push_back(send.cost);
-    this->of.at(send.member).sends.erase(send.name);
+    if (!send.denial && !send.grant && !send.charged)
+        out.released_charges.push_back(send.charge);
+    this->members_by_id.at(send.member).sends.erase(send.id);
     this->sends.erase(found);
 }
 
-request_changes dispatcher_book::lost(base::slot_id member)
+request_changes member_request_table::remove_member(base::slot_id member)
 {
     request_changes out;
-    const auto found = this->of.find(member);
-    if (found == this->of.end())
+    const auto found = this->members_by_id.find(member);
+    if (found == this->members_by_id.end())
         return out;
     std::vector<base::request_id> all;
     for (const auto& [name, id] : found->second.sends)
         all.push_back(id);
     for (const base::request_id id : all)
-        this->drop(id, out);
-    this->of.erase(member);
+        this->end_send(id, out);
+    this->members_by_id.erase(member);
     return out;
 }
 
-request_changes dispatcher_book::lost_all()
+request_changes member_request_table::remove_all_members()
 {
     request_changes out;
     std::vector<base::request_id> all;
     for (const auto& [id, send] : this->sends)
         all.push_back(base::request_id{id});
     for (const base::request_id id : all)
-        this->drop(id, out);
-    this->of.clear();
+        this->end_send(id, out);
+    this->members_by_id.clear();
     return out;
 }
 
 // ---- Decisions ------------------------------------------------------------
 
-std::optional<counted_cost>
-dispatcher_book::granted(const traffic::send_request& order)
+std::optional<limit_charge>
+member_request_table::on_granted(const traffic::send_request& order)
 {
     const auto found = this->sends.find(order.request.value);
     if (found == this->sends.end())
         return std::nullopt;
     send_state& send = found->second;
-    send.granted =
-        granted_place{send.name,
+    send.grant =
+        slot_grant{send.id,
                       order.upstream,
                       order.choice.expected_first_event,
                       order.choice.own_requests + order.choice.peer_requests,
                       order.choice.slots};
-    this->of.at(send.member).unanswered = true;
-    if (send.counted)
+    this->members_by_id.at(send.member).reply_due = true;
+    if (send.charged)
         return std::nullopt;
-    return send.cost;
+    return send.charge;
 }
 
-std::optional<counted_cost> dispatcher_book::declined(base::request_id id,
+std::optional<limit_charge> member_request_table::on_declined(base::request_id id,
                                                       const base::verdict& why)
 {
     const auto found = this->sends.find(id.value);
-    if (found == this->sends.end() || found->second.granted)
+    if (found == this->sends.end() || found->second.grant)
         return std::nullopt;
     send_state& send = found->second;
-    send.declined = declined_place{
-        send.name, why.why, why.retry_after.value_or(base::duration(0))};
-    this->of.at(send.member).unanswered = true;
-    if (send.counted)
+    send.denial = slot_denial{
+        send.id, why.why, why.retry_after.value_or(base::duration(0))};
+    this->members_by_id.at(send.member).reply_due = true;
+    if (send.charged)
         return std::nullopt;
-    return send.cost;
+    return send.charge;
 }
 
-std::optional<counted_cost> dispatcher_book::forget(base::request_id id)
+std::optional<limit_charge> member_request_table::forget_send(base::request_id id)
 {
     const auto found = this->sends.find(id.value);
     if (found == this->sends.end())
         return std::nullopt;
     const send_state gone = found->second;
-    this->of.at(gone.member).sends.erase(gone.name);
+    this->members_by_id.at(gone.member).sends.erase(gone.id);
     this->sends.erase(found);
-    if (gone.counted)
+    if (gone.charged)
         return std::nullopt;
-    return gone.cost;
+    return gone.charge;
 }
 
 // ---- Replies --------------------------------------------------------------
 
-bool dispatcher_book::has_untaken(const member_state& member) const
+bool member_request_table::has_unacknowledged_decision(const member_state& member) const
 {
     return std::any_of(
         member.sends.begin(), member.sends.end(), [&](const auto& entry) {
             const send_state& send = this->sends.at(entry.second.value);
-            return send.declined || (send.granted && !send.running);
+            return send.denial || (send.grant && !send.running);
         });
 }
 
-std::vector<base::slot_id> dispatcher_book::unanswered(base::instant now) const
+std::vector<base::slot_id> member_request_table::members_to_answer(base::instant now) const
 {
     std::vector<base::slot_id> out;
-    for (const auto& [member, state] : this->of) {
-        const bool due = now - state.replied_at >= repeat_gap;
-        if (state.unanswered || (due && this->has_untaken(state)))
+    for (const auto& [member, state] : this->members_by_id) {
+        const bool due = now - state.replied_at >= resend_interval;
+        if (state.reply_due || (due && this->has_unacknowledged_decision(state)))
             out.push_back(member);
     }
     return out;
 }
 
-dispatcher_reply dispatcher_book::reply(base::slot_id member, base::instant now)
+dispatcher_reply member_request_table::build_reply(base::slot_id member, base::instant now)
 {
     dispatcher_reply out;
-    const auto found = this->of.find(member);
-    if (found == this->of.end())
+    const auto found = this->members_by_id.find(member);
+    if (found == this->members_by_id.end())
         return out;
-    found->second.unanswered = false;
+    found->second.reply_due = false;
     found->second.replied_at = now;
-    out.report_taken = found->second.report_taken;
-    out.news_taken = found->second.news_taken;
+    out.acked_report = found->second.acked_report;
+    out.acked_status = found->second.acked_status;
     for (const auto& [name, id] : found->second.sends) {
         const send_state& send = this->sends.at(id.value);
-        if (send.declined)
-            out.declined.push_back(*send.declined);
-        else if (send.granted && !send.running)
-            out.granted.push_back(*send.granted);
+        if (send.denial)
+            out.denials.push_back(*send.denial);
+        else if (send.grant && !send.running)
+            out.grants.push_back(*send.grant);
     }
     return out;
 }
--- a/src/greengagedrum/dispatch/dispatcher_book.hpp
+++ b/src/greengagedrum/dispatch/member_request_table.hpp
@@ -21,7 +21,7 @@
 {
 
 // A cost that a limit holds, or held, for a member's request.
-struct counted_cost {
+struct limit_charge {
     base::workspace_id workspace;
     double amount = 0;
 };
@@ -31,84 +31,84 @@
     std::vector<traffic::event> events; // in order, of known sends
     // Sends that are new: to be let through by the limit, and then told as
     // arrived.
-    std::vector<std::pair<base::request_id, slot_request>> arrived;
-    std::vector<counted_cost> withdrawn;        // of sends that got no place
-    std::vector<traffic::upstream_load> others; // placed by nobody here
+    std::vector<std::pair<base::request_id, slot_request>> new_requests;
+    std::vector<limit_charge> released_charges;        // of sends that got no place
+    std::vector<traffic::upstream_load> uses_placed_elsewhere; // placed by nobody here
 };
 
-class dispatcher_book
+class member_request_table
 {
 public:
     // Ids given by the book differ from those of own requests.
-    static bool is_members(base::request_id id);
+    static bool is_member_request(base::request_id id);
 
-    request_changes report(base::slot_id member,
+    request_changes on_report(base::slot_id member,
                            base::incarnation life,
                            const member_report& told,
                            std::span<const traffic::upstream_load> uses);
 
     // The member has died or was cut off: what it wanted is nobody's.
-    request_changes lost(base::slot_id member);
+    request_changes remove_member(base::slot_id member);
     // Another entry places from now on.
-    request_changes lost_all();
+    request_changes remove_all_members();
 
     // The send got a place. What is to be counted against its limit; empty when
     // it was counted before, or is no longer wanted.
-    std::optional<counted_cost> granted(const traffic::send_request& order);
+    std::optional<limit_charge> on_granted(const traffic::send_request& order);
 
     // The send got none. What the limit is to give back; empty when it had a
     // place, or is no longer wanted.
-    std::optional<counted_cost> declined(base::request_id id,
+    std::optional<limit_charge> on_declined(base::request_id id,
                                          const base::verdict& why);
 
     // The send was to have a place and has none: asked for again, it is a new
     // one. What the limit is to give back, as above.
-    std::optional<counted_cost> forget(base::request_id id);
+    std::optional<limit_charge> forget_send(base::request_id id);
 
     // Members that have not been told what was decided, or have not shown that
     // they were.
-    std::vector<base::slot_id> unanswered(base::instant now) const;
+    std::vector<base::slot_id> members_to_answer(base::instant now) const;
     // For that member now; all of it that the member has not shown to have.
-    dispatcher_reply reply(base::slot_id member, base::instant now);
+    dispatcher_reply build_reply(base::slot_id member, base::instant now);
 
-    std::size_t members() const { return this->of.size(); }
+    std::size_t member_count() const { return this->members_by_id.size(); }
 
 private:
     struct send_state {
         base::slot_id member;
-        send_name name;
-        counted_cost cost;
-        bool counted = false;
-        std::optional<granted_place> granted;
-        std::optional<declined_place> declined;
+        send_id id;
+        limit_charge charge;
+        bool charged = false;
+        std::optional<slot_grant> grant;
+        std::optional<slot_denial> denial;
         bool running = false;       // the member shows that it was sent
-        std::uint64_t shown_in = 0; // the report that named it last
+        std::uint64_t last_report = 0; // the report that named it last
     };
 
     struct member_state {
-        base::incarnation life;
-        std::uint64_t reports = 0;
-        std::uint64_t report_taken = 0;
-        std::uint64_t news_taken = 0;
-        bool unanswered = false;
+        base::incarnation incarnation;
+        std::uint64_t report_count = 0;
+        std::uint64_t acked_report = 0;
+        std::uint64_t acked_status = 0;
+        bool reply_due = false;
         base::instant replied_at;
-        std::map<send_name, base::request_id> sends;
+        std::map<send_id, base::request_id> sends;
     };
 
-    void take_news(member_state& member,
-                   const send_news& news,
+    void apply_status(member_state& member,
+                   const send_status_update& news,
                    request_changes& out);
-    void take_wanted(base::slot_id id,
+    void apply_slot_request(base::slot_id id,
                      member_state& member,
                      const slot_request& wanted,
                      request_changes& out);
-    bool has_untaken(const member_state& member) const;
-    void drop(base::request_id id, request_changes& out);
-    void drop_unnamed(member_state& member, request_changes& out);
+    bool has_unacknowledged_decision(const member_state& member) const;
+    void end_send(base::request_id id, request_changes& out);
+    void end_unlisted_sends(member_state& member, request_changes& out);
 
-    std::unordered_map<base::slot_id, member_state> of;
+    std::unordered_map<base::slot_id, member_state> members_by_id;
     std::unordered_map<std::uint64_t, send_state> sends;
-    std::uint64_t next = 1;
+    std::uint64_t next_request_number = 1;
 };
 
 } // namespace greengagedrum::dispatch
--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -60,7 +60,7 @@
     this->term += 1;
     this->dispatcher =
         make_scheduler(this->given, 1000 + this->term, this->now);
-    this->book = std::make_unique<dispatcher_book>();
+    this->book = std::make_unique<member_request_table>();
 }
 
 void dispatch_run::at(base::instant when, std::function<void()> what)
@@ -143,7 +143,7 @@
 void dispatch_run::member_step(std::size_t number, const traffic::event& what)
 {
     member& one = this->members.at(number);
-    one.journal.note(what);
+    one.journal.record(what);
     traffic::actions orders;
     one.decisions->step(what, this->now, orders);
     this->member_orders(number, orders);
@@ -218,11 +218,11 @@
         own.told_at = this->now;
         own.messages += 1;
         member_report told;
-        told.number = ++own.reports;
-        own.unanswered = told.number;
+        told.sequence = ++own.reports;
+        own.unanswered = told.sequence;
         for (traffic::queued_send& wait :
              own.decisions->queued_sends(this->now))
-            told.wanted.push_back({{wait.request, wait.send},
+            told.slot_requests.push_back({{wait.request, wait.send},
                                    wait.facts,
                                    std::move(wait.tried),
                                    0,
@@ -231,7 +231,7 @@
             told.running.push_back({{run.request, run.send},
                                     run.upstream,
                                     run.pending_prefill_tokens});
-        told.news = own.journal.untold();
+        told.status_updates = own.journal.unacknowledged();
         if (this->is_lost())
             return;
         this->at(this->now + this->given.way,
@@ -244,22 +244,22 @@
 void dispatch_run::replied(std::size_t to, const dispatcher_reply& what)
 {
     member& one_member = this->members.at(to);
-    one_member.journal.taken(what.news_taken);
-    if (one_member.unanswered <= what.report_taken)
+    one_member.journal.acknowledge(what.acked_status);
+    if (one_member.unanswered <= what.acked_report)
         one_member.unanswered = 0;
-    for (const granted_place& one : what.granted) {
+    for (const slot_grant& one : what.grants) {
         traffic::slot_granted event;
-        event.request = one.name.request;
-        event.send = one.name.send;
+        event.request = one.id.request;
+        event.send = one.id.send;
         event.upstream = one.upstream;
         this->member_step(to, event);
     }
-    for (const declined_place& one : what.declined)
+    for (const slot_denial& one : what.denials)
         this->member_step(
             to,
-            traffic::slot_declined{one.name.request,
-                                   one.name.send,
-                                   base::not_run(one.why, one.retry_after)});
+            traffic::slot_declined{one.id.request,
+                                   one.id.send,
+                                   base::not_run(one.reason, one.retry_after)});
 }
 
 // ---- Their dispatcher -----------------------------------------------------
@@ -271,13 +271,13 @@
     if (!this->dispatcher || to != this->term)
         return;
     const request_changes news =
-        this->book->report(slot_of(from), base::incarnation{1}, told, {});
-    this->dispatcher->on_peer_report(slot_of(from), news.others, {}, this->now);
+        this->book->on_report(slot_of(from), base::incarnation{1}, told, {});
+    this->dispatcher->on_peer_report(slot_of(from), news.uses_placed_elsewhere, {}, this->now);
     for (const traffic::event& one : news.events)
         this->dispatcher_step(one);
-    for (const auto& [id, wanted] : news.arrived)
+    for (const auto& [id, wanted] : news.new_requests)
         this->dispatcher_step(
-            traffic::request_arrived{id, wanted.facts, wanted.tried});
+            traffic::request_arrived{id, wanted.facts, wanted.tried_upstreams});
     this->answer_members();
 }
 
@@ -292,17 +292,17 @@
 {
     for (const traffic::action& order : orders) {
         if (const auto* send = std::get_if<traffic::send_request>(&order))
-            this->book->granted(*send);
+            this->book->on_granted(*send);
         if (const auto* end = std::get_if<traffic::end_request>(&order))
-            this->book->declined(end->request, end->verdict);
+            this->book->on_declined(end->request, end->verdict);
     }
 }
 
 void dispatch_run::answer_members()
 {
-    for (const base::slot_id slot : this->book->unanswered(this->now)) {
+    for (const base::slot_id slot : this->book->members_to_answer(this->now)) {
         const std::size_t one = this->numbers.at(slot);
-        const dispatcher_reply reply = this->book->reply(slot, this->now);
+        const dispatcher_reply reply = this->book->build_reply(slot, this->now);
         if (!this->is_lost())
             this->at(this->now + this->given.way,
                      [this, one, reply] { this->replied(one, reply); });
@@ -318,7 +318,7 @@
             own.decisions->tick(this->now, orders);
         this->member_orders(one, orders);
         const base::duration silent = this->now - own.told_at;
-        if (silent >= (own.unanswered > 0 ? repeat_gap : beat))
+        if (silent >= (own.unanswered > 0 ? resend_interval : beat))
             this->report(one);
     }
     if (this->dispatcher) {
--- a/src/greengagedrum/dispatch/test/dispatch_run.hpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.hpp
@@ -2,8 +2,8 @@
 // replies take their way and some are lost, callers arrive at random.
 #pragma once
 
-#include <greengagedrum/dispatch/dispatcher_book.hpp>
-#include <greengagedrum/dispatch/send_journal.hpp>
+#include <greengagedrum/dispatch/member_request_table.hpp>
+#include <greengagedrum/dispatch/send_status_log.hpp>
 #include <greengagedrum/traffic/scheduler.hpp>
 
 #include <cstdint>
@@ -55,7 +55,7 @@
 private:
     struct member {
         std::unique_ptr<traffic::scheduler> decisions;
-        send_journal journal;
+        send_status_log journal;
         base::instant told_at;
         bool changed = false;
         std::uint64_t reports = 0;
@@ -92,7 +92,7 @@
     std::vector<member> members;
     std::unordered_map<base::slot_id, std::size_t> numbers; // of members
     std::unique_ptr<traffic::scheduler> dispatcher; // none: it was killed
-    std::unique_ptr<dispatcher_book> book;
+    std::unique_ptr<member_request_table> book;
     std::uint64_t term = 0; // grows with each dispatcher
     std::uint64_t next_request = 1;
     std::map<base::upstream_id, std::uint32_t> running;
--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -83,7 +83,7 @@
                                      base::instant now)
 {
     cluster_changes out = this->apply(
-        transfer.items, transfer.store_revision, transfer.whole, now);
+        transfer.items, transfer.store_revision, transfer.complete, now);
     this->last_change = std::max(this->last_change, transfer.change_revision);
     return out;
 }
@@ -354,9 +354,9 @@
     gossip::item_transfer out;
     out.store_revision = this->revision;
     out.change_revision = this->last_change;
-    out.whole = since == 0;
+    out.complete = since == 0;
     for (const auto& [key, item] : this->items) {
-        if (item.revision > since && !(out.whole && item.removed))
+        if (item.revision > since && !(out.complete && item.removed))
             out.items.push_back(item);
     }
     return out;
@@ -370,13 +370,13 @@
     gossip::item_transfer out;
     out.store_revision = this->revision;
     out.change_revision = this->last_change;
-    out.changes = this->applied_changes;
-    out.whole = changes == 0;
+    out.change_count = this->applied_changes;
+    out.complete = changes == 0;
     for (const auto& [key, item] : this->items) {
         const auto found = this->change_numbers.find(key);
         const bool changed =
             found != this->change_numbers.end() && found->second > changes;
-        if (out.whole ? !item.removed : changed)
+        if (out.complete ? !item.removed : changed)
             out.items.push_back(item);
     }
     return out;
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -155,16 +155,16 @@
     out.report_received = [this](base::slot_id member,
                                  const gossip::message& told) {
         this->handler->on_member_report(
-            member, told.incarnation, told.report, told.uses);
+            member, told.incarnation, told.report, told.upstream_uses);
     };
     out.member_lost = [this](base::slot_id member) {
         this->handler->on_member_lost(member);
     };
     out.members_awaiting_reply = [this] {
-        return this->handler->member_requests().unanswered(this->state.clock());
+        return this->handler->member_requests().members_to_answer(this->state.clock());
     };
     out.make_reply = [this](base::slot_id member) {
-        return this->handler->member_requests().reply(member, this->state.clock());
+        return this->handler->member_requests().build_reply(member, this->state.clock());
     };
     return out;
 }
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -103,8 +103,8 @@
     out.items_received = [](const gossip::item_transfer&) {};
     out.delegation_started = [this, &of] {
         of.state.delegating = true;
-        const dispatch::request_changes news = this->of(of).book.lost_all();
-        for (const dispatch::counted_cost& cost : news.withdrawn)
+        const dispatch::request_changes news = this->of(of).book.remove_all_members();
+        for (const dispatch::limit_charge& cost : news.released_charges)
             of.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
     };
@@ -121,16 +121,16 @@
         this->reported(of, member, told);
     };
     out.member_lost = [this, &of](base::slot_id member) {
-        for (const dispatch::counted_cost& cost :
-             this->of(of).book.lost(member).withdrawn)
+        for (const dispatch::limit_charge& cost :
+             this->of(of).book.remove_member(member).released_charges)
             of.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
     };
     out.members_awaiting_reply = [this, &of] {
-        return this->of(of).book.unanswered(this->fleet.time());
+        return this->of(of).book.members_to_answer(this->fleet.time());
     };
     out.make_reply = [this, &of](base::slot_id member) {
-        return this->of(of).book.reply(member, this->fleet.time());
+        return this->of(of).book.build_reply(member, this->fleet.time());
     };
     return out;
 }
@@ -188,12 +188,12 @@
     dispatch::member_report out;
     for (const auto& [id, request] : this->of(member).requests) {
         dispatch::slot_request wanted;
-        wanted.name = {base::request_id{id}, 1};
+        wanted.id = {base::request_id{id}, 1};
         wanted.facts.workspace = busy;
         wanted.facts.time_left = 10s;
         wanted.facts.first_event_timeout = 2s;
         wanted.cost = request.cost;
-        out.wanted.push_back(wanted);
+        out.slot_requests.push_back(wanted);
     }
     return out;
 }
@@ -203,16 +203,16 @@
                              const gossip::message& told)
 {
     quota::usage_limiter& limiter = dispatcher.state.limiter;
-    dispatch::dispatcher_book& book = this->of(dispatcher).book;
+    dispatch::member_request_table& book = this->of(dispatcher).book;
     const dispatch::request_changes news =
-        book.report(member, told.incarnation, told.report, told.uses);
-    for (const dispatch::counted_cost& cost : news.withdrawn)
+        book.on_report(member, told.incarnation, told.report, told.upstream_uses);
+    for (const dispatch::limit_charge& cost : news.released_charges)
         limiter.refund_unsent(cost.workspace, cost.amount, this->fleet.time());
-    for (const auto& [id, wanted] : news.arrived) {
+    for (const auto& [id, wanted] : news.new_requests) {
         const auto over =
             limiter.try_acquire(busy, wanted.cost, 0, this->fleet.time());
         if (over) {
-            book.declined(id,
+            book.on_declined(id,
                           base::not_run(base::reason::limit_reached, *over));
             continue;
         }
@@ -220,7 +220,7 @@
         order.request = id;
         order.send = 1;
         order.upstream = base::upstream_id("any");
-        book.granted(order);
+        book.on_granted(order);
         limiter.on_sent(busy, wanted.cost, this->fleet.time());
     }
 }
@@ -228,16 +228,16 @@
 void limited_fleet::replied(node& member,
                             const dispatch::dispatcher_reply& what)
 {
-    for (const dispatch::granted_place& one : what.granted) {
+    for (const dispatch::slot_grant& one : what.grants) {
         const auto found =
-            this->of(member).requests.find(one.name.request.value);
+            this->of(member).requests.find(one.id.request.value);
         if (found == this->of(member).requests.end())
             continue;
         this->let_through(found->second.cost);
         this->of(member).requests.erase(found);
     }
-    for (const dispatch::declined_place& one : what.declined) {
-        if (this->of(member).requests.erase(one.name.request.value) > 0)
+    for (const dispatch::slot_denial& one : what.denials) {
+        if (this->of(member).requests.erase(one.id.request.value) > 0)
             this->result.refused += 1;
     }
 }
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
@@ -96,17 +96,17 @@
     out.reply_received = [](const dispatch::dispatcher_reply&) {};
     out.report_received = [this, &of](base::slot_id member,
                                       const gossip::message& told) {
-        this->processes[of.number].book.report(
-            member, told.incarnation, told.report, told.uses);
+        this->processes[of.number].book.on_report(
+            member, told.incarnation, told.report, told.upstream_uses);
     };
     out.member_lost = [this, &of](base::slot_id member) {
-        this->processes[of.number].book.lost(member);
+        this->processes[of.number].book.remove_member(member);
     };
     out.members_awaiting_reply = [this, &of] {
-        return this->processes[of.number].book.unanswered(this->fleet.time());
+        return this->processes[of.number].book.members_to_answer(this->fleet.time());
     };
     out.make_reply = [this, &of](base::slot_id member) {
-        return this->processes[of.number].book.reply(member, this->fleet.time());
+        return this->processes[of.number].book.build_reply(member, this->fleet.time());
     };
     return out;
 }
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
@@ -71,7 +71,7 @@
     struct process_state {
         std::uint64_t process = 0;
         base::instant started_at;
-        dispatch::dispatcher_book book;
+        dispatch::member_request_table book;
         // Requests under way that crash upstreams, and all others.
         std::map<base::request_id, std::size_t> poison;
         std::set<base::request_id> ordinary;
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -20,7 +20,7 @@
         const active_request& request = found->second;
         // A request that was sent before is counted somewhere already.
         const bool counted = request.counted_here || request.sent_at;
-        out.wanted.push_back({{one.request, one.send},
+        out.slot_requests.push_back({{one.request, one.send},
                               one.facts,
                               std::move(one.tried),
                               request.cost,
@@ -28,38 +28,38 @@
     }
     for (const traffic::active_send& one :
          this->state.scheduler.active_sends()) {
-        if (dispatch::dispatcher_book::is_members(one.request))
+        if (dispatch::member_request_table::is_member_request(one.request))
             continue;
         out.running.push_back(
             {{one.request, one.send}, one.upstream, one.pending_prefill_tokens});
     }
-    out.news = this->journal.untold();
+    out.status_updates = this->journal.unacknowledged();
     return out;
 }
 
 void request_handler::on_dispatcher_reply(
     const dispatch::dispatcher_reply& what)
 {
-    this->journal.taken(what.news_taken);
-    for (const dispatch::granted_place& one : what.granted)
-        this->submit_event(traffic::slot_granted{one.name.request,
-                                                  one.name.send,
+    this->journal.acknowledge(what.acked_status);
+    for (const dispatch::slot_grant& one : what.grants)
+        this->submit_event(traffic::slot_granted{one.id.request,
+                                                  one.id.send,
                                                   one.upstream,
-                                                  one.expected,
-                                                  one.taken,
-                                                  one.places});
-    for (const dispatch::declined_place& one : what.declined)
+                                                  one.expected_first_event,
+                                                  one.slots_taken,
+                                                  one.slots});
+    for (const dispatch::slot_denial& one : what.denials)
         this->submit_event(
-            traffic::slot_declined{one.name.request,
-                                    one.name.send,
-                                    base::not_run(one.why, one.retry_after)});
+            traffic::slot_declined{one.id.request,
+                                    one.id.send,
+                                    base::not_run(one.reason, one.retry_after)});
 }
 
 void request_handler::start_delegating()
 {
     this->state.delegating = true;
     this->state.scheduler.set_delegating(true);
-    this->apply_member_changes(this->members.lost_all());
+    this->apply_member_changes(this->members.remove_all_members());
 }
 
 // Whoever counted for this entry may be gone, and what it told last of limits
@@ -93,33 +93,33 @@
     std::span<const traffic::upstream_load> uses)
 {
     const dispatch::request_changes news =
-        this->members.report(member, life, told, uses);
+        this->members.on_report(member, life, told, uses);
     this->state.scheduler.on_peer_report(
-        member, news.others, {}, this->state.clock());
+        member, news.uses_placed_elsewhere, {}, this->state.clock());
     this->apply_member_changes(news);
 }
 
 void request_handler::on_member_lost(base::slot_id member)
 {
-    this->apply_member_changes(this->members.lost(member));
+    this->apply_member_changes(this->members.remove_member(member));
 }
 
 void request_handler::apply_member_changes(
     const dispatch::request_changes& news)
 {
     const base::instant now = this->state.clock();
-    for (const dispatch::counted_cost& cost : news.withdrawn)
+    for (const dispatch::limit_charge& cost : news.released_charges)
         this->state.limiter.refund_unsent(cost.workspace, cost.amount, now);
     for (const traffic::event& one : news.events)
         this->submit_event(one);
-    for (const auto& [id, wanted] : news.arrived)
+    for (const auto& [id, wanted] : news.new_requests)
         this->add_member_request(id, wanted);
 }
 
 void request_handler::add_member_request(base::request_id id,
                                          const dispatch::slot_request& wanted)
 {
-    const auto over = wanted.counted
+    const auto over = wanted.charged
                           ? std::nullopt
                           : this->state.limiter.try_acquire(wanted.facts.workspace,
                                                      wanted.cost,
@@ -129,13 +129,13 @@
         this->log_over_limit(
             wanted.facts.workspace, wanted.cost, wanted.facts.priority, *over);
         // The limit has nothing of it to give back.
-        this->members.declined(
+        this->members.on_declined(
             id, base::not_run(base::reason::limit_reached, over));
         return;
     }
     traffic::request_facts facts = wanted.facts;
     facts.homes = this->homes_of(facts);
-    this->submit_event(traffic::request_arrived{id, facts, wanted.tried});
+    this->submit_event(traffic::request_arrived{id, facts, wanted.tried_upstreams});
 }
 
 // As the configuration in force here says: members ask by route and workspace.
@@ -156,17 +156,17 @@
     const base::instant now = this->state.clock();
     if (this->state.cluster.upstreams().find_usable(order.upstream) == nullptr) {
         // It left within this very turn.
-        if (const auto cost = this->members.forget(order.request))
+        if (const auto cost = this->members.forget_send(order.request))
             this->state.limiter.refund_unsent(cost->workspace, cost->amount, now);
         return this->submit_event(traffic::caller_left{order.request});
     }
-    if (const auto cost = this->members.granted(order))
+    if (const auto cost = this->members.on_granted(order))
         this->state.limiter.on_sent(cost->workspace, cost->amount, now);
 }
 
 void request_handler::decline_slot(const traffic::end_request& order)
 {
-    const auto cost = this->members.declined(order.request, order.verdict);
+    const auto cost = this->members.on_declined(order.request, order.verdict);
     if (cost)
         this->state.limiter.refund_unsent(
             cost->workspace, cost->amount, this->state.clock());
--- a/src/greengagedrum/entry/peer_counting.cpp
+++ b/src/greengagedrum/entry/peer_counting.cpp
@@ -24,10 +24,10 @@
     if (this->large)
         return this->count_among_many(now);
     traffic::scheduler& scheduler = this->state.scheduler;
-    scheduler.set_entry_count(this->table.alive_lately(now) + 1);
+    scheduler.set_entry_count(this->table.recently_live_count(now) + 1);
     scheduler.set_gossip_interval(
-        this->schedule.gap(gossip::audience::own_data_centre));
-    this->state.limiter.set_never_heard_peer_count(this->table.unheard());
+        this->schedule.interval(gossip::recipient_group::own_data_centre));
+    this->state.limiter.set_never_heard_peer_count(this->table.never_heard_count());
     this->state.limiter.set_unreported_member_share(0, now); // it has none
 }
 
@@ -36,14 +36,14 @@
 // beside the one that the others give.
 void peer_protocol::count_among_many(base::instant now)
 {
-    const std::size_t all = this->order.size(now);
-    const std::size_t placing = this->order.dispatchers(now) + 1;
+    const std::size_t all = this->order.entry_count(now);
+    const std::size_t placing = this->order.other_dispatcher_count(now) + 1;
     traffic::scheduler& scheduler = this->state.scheduler;
     scheduler.set_entry_count(this->members.empty() ? all : placing);
     scheduler.set_retrying_entry_count(all);
     scheduler.set_gossip_interval(gossip_gap_among_many);
     const std::size_t unheard =
-        this->order.unheard_data_centres(now) + this->unheard_near(now);
+        this->order.never_heard_data_centre_count(now) + this->unheard_near(now);
     this->state.limiter.set_never_heard_peer_count(unheard);
     this->state.limiter.set_unreported_member_share(this->unreported_part(now), now);
     this->forget_replaced(now);
@@ -68,7 +68,7 @@
     const bool gathered = now - this->placing_since >= gather_time;
     if (this->members.empty())
         return gathered ? std::max(this->unheard_alone,
-                                   this->order.known_nearby(now))
+                                   this->order.known_count_in_data_centre(now))
                         : this->unheard_alone;
     if (gathered || this->members.size() >= this->unheard_alone)
         return 0;
@@ -81,10 +81,10 @@
 {
     if (this->state.delegating || this->state.stopping ||
         this->members.empty() || now - this->placing_since < gather_time ||
-        this->order.is_placed_nearby(now))
+        this->order.has_dispatcher_in_data_centre(now))
         return 0;
     const std::size_t reporting = 1 + this->members_heard(now);
-    const std::size_t all = 1 + this->order.known_nearby(now);
+    const std::size_t all = 1 + this->order.known_count_in_data_centre(now);
     return reporting >= all
                ? 0
                : 1 - static_cast<double>(reporting) / static_cast<double>(all);
--- a/src/greengagedrum/entry/peer_protocol.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -102,12 +102,12 @@
 
 std::size_t peer_protocol::live_peers() const
 {
-    return this->table.alive(this->state.clock());
+    return this->table.live_count(this->state.clock());
 }
 
 std::size_t peer_protocol::recently_live_peers() const
 {
-    return this->table.alive_lately(this->state.clock());
+    return this->table.recently_live_count(this->state.clock());
 }
 
 // ---- Hearing --------------------------------------------------------------
@@ -123,15 +123,15 @@
                               {{"from", from}, {"bytes", bytes.size()}});
         return;
     }
-    const gossip::peer_news news = this->table.heard(*message, now);
-    if (news == gossip::peer_news::outdated)
+    const gossip::peer_update news = this->table.on_message(*message, now);
+    if (news == gossip::peer_update::outdated)
         return;
-    this->order.heard(*message, now);
-    if (news != gossip::peer_news::none)
+    this->order.on_message(*message, now);
+    if (news != gossip::peer_update::none)
         this->state.log.write(
             now,
             "peers",
-            news == gossip::peer_news::found ? "peer_found" : "peer_restarted",
+            news == gossip::peer_update::found ? "peer_found" : "peer_restarted",
             {{"peer", message->instance},
              {"config_revision", message->configuration_revision},
              {"store_revision", message->store_revision}});
@@ -153,13 +153,13 @@
     case gossip::message_kind::reply:
         this->take_reply(*message, now);
         break;
-    case gossip::message_kind::greeting:
+    case gossip::message_kind::dispatcher_query:
         this->answer_greeting(*message, now);
         break;
-    case gossip::message_kind::greeting_answer:
+    case gossip::message_kind::dispatcher_query_reply:
         break;
     }
-    if (news != gossip::peer_news::none)
+    if (news != gossip::peer_update::none)
         this->update_role(now);
     if (this->large && this->dispatcher == message->address)
         return this->follow(*message, now);
@@ -189,14 +189,14 @@
         return this->dispatcher_reads(bound, now);
     return now - this->own_read_at < bound &&
            now - this->peer_read_at <= this->read_lately() &&
-           this->table.has_reader_nearby(now);
+           this->table.has_store_reader_in_data_centre(now);
 }
 
 // ---- Telling --------------------------------------------------------------
 
 void peer_protocol::schedule_gossip()
 {
-    this->schedule.changed();
+    this->schedule.on_change();
     if (this->large)
         this->answer_members();
     this->tell_due();
@@ -207,7 +207,7 @@
 // it.
 void peer_protocol::set_timer()
 {
-    const auto next = this->schedule.next();
+    const auto next = this->schedule.next_due();
     if (!next || (this->timer_due_at && *this->timer_due_at <= *next))
         return;
     this->timer_due_at = next;
@@ -227,7 +227,7 @@
     gossip::message out;
     out.kind = kind;
     out.delegating = this->state.delegating;
-    out.serving = this->is_serving();
+    out.dispatching = this->is_serving();
     out.incarnation = this->life;
     out.sequence = ++this->sequence;
     out.instance = this->own.instance;
@@ -239,23 +239,23 @@
     out.configuration_revision = this->state.cluster.configuration_revision();
     out.store_revision = this->state.cluster.store_revision();
     out.change_revision = this->state.cluster.last_change_revision();
-    out.changes = this->state.cluster.change_count();
-    out.digest = this->state.cluster.content_digest();
+    out.change_count = this->state.cluster.change_count();
+    out.state_digest = this->state.cluster.content_digest();
     out.store_age = now - this->own_read_at;
     return out;
 }
 
-gossip::message peer_protocol::own_load(gossip::audience who)
+gossip::message peer_protocol::own_load(gossip::recipient_group who)
 {
     const base::instant now = this->state.clock();
     gossip::message out =
         this->own_message(this->large ? gossip::message_kind::dispatcher_load
                                       : gossip::message_kind::load);
-    out.uses = this->state.scheduler.own_load(now);
-    out.waiting = this->state.scheduler.own_queue_reports(now);
+    out.upstream_uses = this->state.scheduler.own_load(now);
+    out.waiting_by_service = this->state.scheduler.own_queue_reports(now);
     out.workspace_uses = this->state.limiter.own_usage(now);
-    out.known = this->table.some_known(who, now);
-    out.suspects = this->suspects_for(who == gossip::audience::own_data_centre
+    out.known_entries = this->table.select_known_entries(who, now);
+    out.suspects = this->suspects_for(who == gossip::recipient_group::own_data_centre
                                           ? this->suspects_to_near
                                           : this->suspects_to_far,
                                       now);
@@ -267,19 +267,19 @@
     const base::instant now = this->state.clock();
     if (this->large)
         return this->tell_among_many(now);
-    for (const gossip::audience who :
-         {gossip::audience::own_data_centre, gossip::audience::others}) {
+    for (const gossip::recipient_group who :
+         {gossip::recipient_group::own_data_centre, gossip::recipient_group::other_data_centres}) {
         if (this->schedule.is_due(who, now))
             this->tell(who);
     }
 }
 
-void peer_protocol::tell(gossip::audience who)
+void peer_protocol::tell(gossip::recipient_group who)
 {
     const base::instant now = this->state.clock();
-    this->schedule.told(who, now);
+    this->schedule.on_sent(who, now);
     const std::vector<gossip::ipv4_address> to_tell =
-        this->table.to_tell(who, now);
+        this->table.select_recipients(who, now);
     if (to_tell.empty())
         return;
     const std::string bytes = gossip::encode(this->own_load(who));
@@ -297,7 +297,7 @@
         return;
     this->looked_at = now;
     this->update_role(now);
-    for (const std::string& peer : this->table.fallen_silent(now)) {
+    for (const std::string& peer : this->table.take_newly_silent(now)) {
         this->state.log.write(now, "peers", "peer_silent", {{"peer", peer}});
         this->state.scheduler.on_peer_lost(base::slot_id(peer));
         this->members.erase(base::slot_id(peer));
@@ -305,7 +305,7 @@
     }
     this->count_entries(now);
     this->state.limiter.update_silent_peers(now);
-    const auto newest = this->table.newest_source(now, this->turn);
+    const auto newest = this->table.newest_store_source(now, this->turn);
     const bool changed =
         newest && newest->change_revision > this->state.cluster.last_change_revision();
     if (store_fails || changed)
@@ -316,7 +316,7 @@
 {
     if (this->asking || now - this->asked_at < ask_gap)
         return;
-    const auto source = this->table.newest_source(now, ++this->turn);
+    const auto source = this->table.newest_store_source(now, ++this->turn);
     if (!source || (source->store_revision <= this->state.cluster.store_revision() &&
                     source->change_revision <= this->state.cluster.last_change_revision()))
         return;
@@ -343,7 +343,7 @@
             this->asking = false;
             if (got && got->status == relay::status_ok) {
                 if (const auto items = gossip::decode_items(got->body)) {
-                    this->passed = {items->incarnation, items->changes};
+                    this->passed = {items->incarnation, items->change_count};
                     return this->events.items_received(*items);
                 }
             }
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -80,7 +80,7 @@
         return;
     if (this->large)
         this->counting[slot] = told.address;
-    this->state.scheduler.on_peer_report(slot, told.uses, told.waiting, now);
+    this->state.scheduler.on_peer_report(slot, told.upstream_uses, told.waiting_by_service, now);
     this->state.limiter.on_peer_report(
         slot, told.incarnation, told.workspace_uses, told.stopping, now);
     if (this->state.scheduler.waiting() > 0)
@@ -110,7 +110,7 @@
     this->update_role(now);
     if (this->dispatcher != told.address)
         return;
-    if (this->unanswered_report <= told.reply.report_taken)
+    if (this->unanswered_report <= told.reply.acked_report)
         this->unanswered_report = 0;
     this->events.reply_received(told.reply);
 }
@@ -142,9 +142,9 @@
         return;
     answered = now;
     gossip::message out =
-        this->own_message(gossip::message_kind::greeting_answer);
-    out.known =
-        this->order.to_name(base::data_centre_id(told.data_centre), now);
+        this->own_message(gossip::message_kind::dispatcher_query_reply);
+    out.known_entries =
+        this->order.select_known_entries(base::data_centre_id(told.data_centre), now);
     this->transport.send(gossip::encode(out), told.address);
 }
 
@@ -154,9 +154,9 @@
 // changes.
 void peer_protocol::follow(const gossip::message& told, base::instant now)
 {
-    this->dispatcher_digest = told.digest;
-    if (told.digest == this->state.cluster.content_digest())
-        this->passed = {told.incarnation, told.changes};
+    this->dispatcher_digest = told.state_digest;
+    if (told.state_digest == this->state.cluster.content_digest())
+        this->passed = {told.incarnation, told.change_count};
     else if (!this->asking && now - this->asked_at >= follow_gap)
         this->ask_dispatcher(told, now);
 }
@@ -179,7 +179,7 @@
         this->dispatcher_digest != this->state.cluster.content_digest())
         return false;
     const base::duration age = now - this->peer_read_at;
-    const bool next_in_line = this->order.place_in_line(now) < readers_in_line;
+    const bool next_in_line = this->order.higher_ranked_count(now) < readers_in_line;
     const base::duration lately = this->read_lately();
     return age <= (next_in_line ? lately : std::max(bound, lately));
 }
@@ -194,17 +194,17 @@
 void peer_protocol::update_role(base::instant now)
 {
     const bool was_large =
-        std::exchange(this->large, this->order.is_large(now));
+        std::exchange(this->large, this->order.uses_dispatchers(now));
     if (this->large && !was_large)
         this->state.limiter.forget_peers();
     if (!this->large) {
         this->dispatcher.reset();
         this->set_role(false, now);
-        this->schedule.set_peers(this->table.alive_near(now),
+        this->schedule.set_full_mesh_intervals(this->table.live_count_in_data_centre(now),
                                  this->live_peers());
         return;
     }
-    this->order.set_serving(this->is_serving());
+    this->order.set_dispatching(this->is_serving());
     const auto next = this->order.dispatcher(now);
     const auto former = std::exchange(this->dispatcher, next);
     if (next != former) {
@@ -215,18 +215,18 @@
             {{"dispatcher",
               next ? relay::asio::ip::address_v4(*next).to_string()
                    : std::string("none")},
-             {"entries", this->order.size(now)}});
-        this->schedule.changed();
+             {"entries", this->order.entry_count(now)}});
+        this->schedule.on_change();
     }
     if (next)
         this->dispatcher_at = now;
     const bool may_come = !next &&
                           now - this->dispatcher_at < wait_for_dispatcher &&
-                          !this->order.to_try(now).empty();
+                          !this->order.probe_targets(now).empty();
     this->set_role(next.has_value() || may_come, now);
     if (this->state.delegating)
-        return this->schedule.set_member();
-    this->schedule.set_dispatcher();
+        return this->schedule.set_member_intervals();
+    this->schedule.set_dispatcher_intervals();
     // It would ask this entry again in two seconds only, and place meanwhile.
     if (former)
         this->greet({*former}, now);
@@ -246,8 +246,8 @@
     const bool handed =
         this->limits && now - this->limits->received_at <= limits_hold;
     const bool planned = handed && this->limits->sender_stopping;
-    this->unheard_alone = planned ? 0 : this->order.known_nearby(now);
-    this->events.delegation_ended(this->order.unheard_data_centres(now) +
+    this->unheard_alone = planned ? 0 : this->order.known_count_in_data_centre(now);
+    this->events.delegation_ended(this->order.never_heard_data_centre_count(now) +
                                       this->unheard_alone,
                                   handed ? &*this->limits : nullptr);
     this->limits.reset();
@@ -271,7 +271,7 @@
     if (this->state.delegating)
         return false;
     return 2 * (this->members_heard(now) + 1) >=
-           this->order.known_nearby(now) + 1;
+           this->order.known_count_in_data_centre(now) + 1;
 }
 
 std::size_t peer_protocol::members_heard(base::instant now) const
@@ -287,17 +287,17 @@
 traffic::slow_start_share peer_protocol::cold_share(base::instant now) const
 {
     const base::duration awake = now - this->awake_since;
-    const bool others_unheard = this->large ? this->table.has_unheard_seed()
-                                            : this->table.unheard() > 0;
+    const bool others_unheard = this->large ? this->table.has_never_heard_seed()
+                                            : this->table.never_heard_count() > 0;
     if (awake < (others_unheard ? unheard_awaited : peers_found_within))
         return {};
     if (this->large)
         return now - this->half_since >= last_sends_within
                    ? traffic::slow_start_share{0, 1}
                    : traffic::slow_start_share{};
-    const auto nearby = this->table.nearby_lately(now);
-    return {static_cast<std::uint32_t>(nearby.lower),
-            static_cast<std::uint32_t>(nearby.entries)};
+    const auto nearby = this->table.rank_in_data_centre(now);
+    return {static_cast<std::uint32_t>(nearby.lower_count),
+            static_cast<std::uint32_t>(nearby.entry_count)};
 }
 
 void peer_protocol::share_cold_upstreams(base::instant now)
--- a/src/greengagedrum/entry/peer_sending.cpp
+++ b/src/greengagedrum/entry/peer_sending.cpp
@@ -64,18 +64,18 @@
 
 void peer_protocol::tell_among_many(base::instant now)
 {
-    using gossip::audience;
+    using gossip::recipient_group;
     const bool beats = now - this->beat_at >= beat;
     if (beats)
         this->beat_at = now;
     if (this->state.delegating) {
-        const bool news = this->schedule.is_due(audience::own_data_centre, now);
+        const bool news = this->schedule.is_due(recipient_group::own_data_centre, now);
         if (news || this->is_report_overdue(now)) {
-            this->schedule.told(audience::own_data_centre, now);
+            this->schedule.on_sent(recipient_group::own_data_centre, now);
             this->tell_dispatcher(now);
         }
     } else if (beats) {
-        this->schedule.told(audience::own_data_centre, now);
+        this->schedule.on_sent(recipient_group::own_data_centre, now);
         this->tell_members(now);
     }
     if (!this->state.delegating)
@@ -83,10 +83,10 @@
     if (beats)
         this->look_for_silent(now);
     const bool to_far = !this->state.delegating || this->farewells > 0;
-    if (to_far && this->schedule.is_due(audience::others, now))
+    if (to_far && this->schedule.is_due(recipient_group::other_data_centres, now))
         this->tell_far(now);
     else if (this->state.delegating)
-        this->schedule.told(audience::others, now);
+        this->schedule.on_sent(recipient_group::other_data_centres, now);
 }
 
 // Failure guarded against: a report is lost, and with it a request that asks,
@@ -94,7 +94,7 @@
 bool peer_protocol::is_report_overdue(base::instant now) const
 {
     return this->unanswered_report > 0 &&
-           now - this->reported_at >= dispatch::repeat_gap;
+           now - this->reported_at >= dispatch::resend_interval;
 }
 
 void peer_protocol::tell_dispatcher(base::instant now)
@@ -102,12 +102,12 @@
     if (!this->dispatcher)
         return;
     gossip::message out = this->own_message(gossip::message_kind::report);
-    out.uses = this->state.scheduler.own_load(now);
+    out.upstream_uses = this->state.scheduler.own_load(now);
     out.report = this->events.make_report();
     out.suspects = this->suspects_for(this->suspects_to_near, now);
     this->reported_at = now;
     this->unanswered_report = out.sequence;
-    this->order.told(*this->dispatcher, now);
+    this->order.on_probe_sent(*this->dispatcher, now);
     this->transport.send(gossip::encode(out), *this->dispatcher);
 }
 
@@ -115,16 +115,16 @@
 // report, so that the first of them to answer can begin.
 void peer_protocol::look_for_silent(base::instant now)
 {
-    const std::vector<gossip::ipv4_address> to_try = this->order.to_try(now);
+    const std::vector<gossip::ipv4_address> to_try = this->order.probe_targets(now);
     if (!to_try.empty()) {
         gossip::message out = this->own_message(gossip::message_kind::report);
         if (this->state.delegating && !this->dispatcher) {
-            out.uses = this->state.scheduler.own_load(now);
+            out.upstream_uses = this->state.scheduler.own_load(now);
             out.report = this->events.make_report();
         }
         const std::string bytes = gossip::encode(out);
         for (const gossip::ipv4_address address : to_try) {
-            this->order.told(address, now);
+            this->order.on_probe_sent(address, now);
             this->transport.send(bytes, address);
         }
     }
@@ -138,7 +138,7 @@
     std::vector<gossip::ipv4_address> to_greet = this->table.silent_seeds(now);
     if (!this->state.delegating) {
         const std::vector<gossip::ipv4_address> silent =
-            this->order.silent_nearby(now);
+            this->order.silent_in_data_centre(now);
         for (std::size_t count = 0;
              count < std::min(greeted_at_once, silent.size());
              ++count)
@@ -151,9 +151,9 @@
 void peer_protocol::greet(const std::vector<gossip::ipv4_address>& to_greet,
                           base::instant now)
 {
-    gossip::message out = this->own_message(gossip::message_kind::greeting);
-    out.known =
-        this->order.to_name(base::data_centre_id(this->own.data_centre), now);
+    gossip::message out = this->own_message(gossip::message_kind::dispatcher_query);
+    out.known_entries =
+        this->order.select_known_entries(base::data_centre_id(this->own.data_centre), now);
     const std::string bytes = gossip::encode(out);
     for (const gossip::ipv4_address address : to_greet)
         this->transport.send(bytes, address);
@@ -162,14 +162,14 @@
 void peer_protocol::tell_members(base::instant now)
 {
     const std::vector<gossip::known_entry> known =
-        this->order.to_name(base::data_centre_id(this->own.data_centre), now);
-    const std::vector<gossip::ipv4_address> next = this->order.next_in_line(now);
+        this->order.select_known_entries(base::data_centre_id(this->own.data_centre), now);
+    const std::vector<gossip::ipv4_address> next = this->order.standby_entries(now);
     const auto suspects = this->suspects_for(this->suspects_to_members, now);
     for (const auto& [slot, one] : this->members) {
         if (now - one.heard_at > member_for)
             continue;
         gossip::message out = this->own_message(gossip::message_kind::reply);
-        out.known = known;
+        out.known_entries = known;
         out.suspects = suspects;
         out.reply = this->events.make_reply(slot);
         if (std::find(next.begin(), next.end(), one.address) != next.end())
@@ -193,18 +193,18 @@
 
 void peer_protocol::tell_far(base::instant now)
 {
-    this->schedule.told(gossip::audience::others, now);
+    this->schedule.on_sent(gossip::recipient_group::other_data_centres, now);
     if (this->state.delegating)
         this->farewells -= 1;
-    const std::vector<gossip::ipv4_address> far = this->order.far_dispatchers(now);
+    const std::vector<gossip::ipv4_address> far = this->order.remote_dispatcher_candidates(now);
     if (far.empty())
         return;
-    gossip::message out = this->own_load(gossip::audience::others);
-    out.known =
-        this->order.to_name(base::data_centre_id(this->own.data_centre), now);
+    gossip::message out = this->own_load(gossip::recipient_group::other_data_centres);
+    out.known_entries =
+        this->order.select_known_entries(base::data_centre_id(this->own.data_centre), now);
     const std::string bytes = gossip::encode(out);
     for (const gossip::ipv4_address address : far) {
-        this->order.told(address, now);
+        this->order.on_probe_sent(address, now);
         this->transport.send(bytes, address);
     }
 }
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -1,8 +1,8 @@
 // Takes callers' requests, has them decided, and carries the decisions out.
 #pragma once
 
-#include <greengagedrum/dispatch/dispatcher_book.hpp>
-#include <greengagedrum/dispatch/send_journal.hpp>
+#include <greengagedrum/dispatch/send_status_log.hpp>
+#include <greengagedrum/dispatch/member_request_table.hpp>
 #include <greengagedrum/entry/cluster_state.hpp>
 #include <greengagedrum/entry/rate_limited_log.hpp>
 #include <greengagedrum/entry/exchange.hpp>
@@ -91,7 +91,7 @@
                          const dispatch::member_report& told,
                          std::span<const traffic::upstream_load> uses);
     void on_member_lost(base::slot_id member);
-    dispatch::dispatcher_book& member_requests() { return this->members; }
+    dispatch::member_request_table& member_requests() { return this->members; }
 
 private:
     struct active_request {
@@ -181,8 +181,8 @@
     std::unordered_map<relay::caller_connection*, base::request_id> by_caller;
     std::unordered_map<base::request_id, base::upstream_id> sent_to;
     std::unordered_set<base::upstream_id> checked; // just now
-    dispatch::dispatcher_book members;
-    dispatch::send_journal journal;
+    dispatch::member_request_table members;
+    dispatch::send_status_log journal;
     std::uint64_t next_request = 1;
     std::mt19937_64 random_engine;
     bool processing_events = false; // events told meanwhile wait in `backlog`
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -39,7 +39,7 @@
         this->record_progress(event);
         this->handle_misdirection(event);
         if (this->state.delegating)
-            this->journal.note(event);
+            this->journal.record(event);
         traffic::actions actions;
         this->state.scheduler.step(event, this->state.clock(), actions);
         this->execute(actions);
@@ -109,7 +109,7 @@
 
 void request_handler::execute_action(const traffic::send_request& action)
 {
-    if (dispatch::dispatcher_book::is_members(action.request))
+    if (dispatch::member_request_table::is_member_request(action.request))
         return this->grant_slot(action);
     active_request& request = this->requests.at(action.request);
     const base::instant now = this->state.clock();
@@ -167,7 +167,7 @@
 
 void request_handler::execute_action(const traffic::end_request& action)
 {
-    if (dispatch::dispatcher_book::is_members(action.request))
+    if (dispatch::member_request_table::is_member_request(action.request))
         return this->decline_slot(action);
     const auto found = this->requests.find(action.request);
     if (found == this->requests.end())
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -339,15 +339,15 @@
     this->apply_changes({{"servers/i-1", "", 9, true}, upstream_item("i-2", 8)},
                         9);
     const auto some = this->cluster.items_after_revision(6);
-    CHECK_FALSE(some.whole);
+    CHECK_FALSE(some.complete);
     CHECK(some.store_revision == 9);
     CHECK(some.items.size() == 2);
     const auto all = this->cluster.items_after_revision(0);
-    CHECK(all.whole);
+    CHECK(all.complete);
     CHECK(all.items.size() == 2); // without the removed one
 
     cluster_state other;
-    other.apply(all.items, all.store_revision, all.whole, this->now);
+    other.apply(all.items, all.store_revision, all.complete, this->now);
     CHECK(other.configuration_version() == 3);
     CHECK(other.upstreams().usable_count() == 1);
 }
@@ -392,7 +392,7 @@
     CHECK(after.items[0].key == "servers/i-2");
     CHECK(this->cluster.items_after_change(this->cluster.change_count())
               .items.empty());
-    CHECK(this->cluster.items_after_change(0).whole);
+    CHECK(this->cluster.items_after_change(0).complete);
 }
 
 // Entries receive the same items in different orders and load reports at
--- a/src/greengagedrum/entry/test/dispatch_test.cpp
+++ b/src/greengagedrum/entry/test/dispatch_test.cpp
@@ -75,7 +75,7 @@
         out.cpu_millicores = 5000;
         out.store_age = 1h;
         for (gossip::ipv4_address one = 0; one < others; ++one)
-            out.known.push_back(
+            out.known_entries.push_back(
                 {first_other + one, 10ms, base::data_centre_id("hall"), 1});
         return out;
     }
@@ -94,8 +94,8 @@
                 continue;
             this->reports += 1;
             into = {};
-            into.report_taken = told->report.number;
-            for (const dispatch::slot_request& one : told->report.wanted)
+            into.acked_report = told->report.sequence;
+            for (const dispatch::slot_request& one : told->report.slot_requests)
                 this->decide(one, into);
         }
     }
@@ -134,8 +134,8 @@
 void grant(const dispatch::slot_request& wanted,
            dispatch::dispatcher_reply& into)
 {
-    into.granted.push_back(
-        {wanted.name, routing::incarnation_id("i-1", std::nullopt), 50ms, 0, 5});
+    into.grants.push_back(
+        {wanted.id, routing::incarnation_id("i-1", std::nullopt), 50ms, 0, 5});
 }
 
 } // namespace
@@ -147,7 +147,7 @@
     std::atomic<int> uncounted{0};
     this->begin_and_wait([&uncounted](const dispatch::slot_request& wanted,
                                       dispatch::dispatcher_reply& into) {
-        uncounted += wanted.counted ? 0 : 1;
+        uncounted += wanted.charged ? 0 : 1;
         grant(wanted, into);
     });
     auto asked = this->client();
@@ -164,7 +164,7 @@
 {
     this->begin_and_wait([](const dispatch::slot_request& wanted,
                             dispatch::dispatcher_reply& into) {
-        into.declined.push_back({wanted.name, base::reason::limit_reached, 3s});
+        into.denials.push_back({wanted.id, base::reason::limit_reached, 3s});
     });
     auto asked = this->client();
     const auto got = asked.Get("/again/", headers());
@@ -203,7 +203,7 @@
     std::atomic<int> seen{0};
     this->begin_and_wait([&seen](const dispatch::slot_request& wanted,
                                  dispatch::dispatcher_reply&) {
-        seen = std::max<int>(seen, static_cast<int>(wanted.name.request.value));
+        seen = std::max<int>(seen, static_cast<int>(wanted.id.request.value));
     });
     std::atomic<int> answered{0};
     std::atomic<int> limited{0};
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -35,9 +35,9 @@
 
     bool told(ipv4_address address)
     {
-        auto all = this->table.to_tell(audience::others, this->now);
+        auto all = this->table.select_recipients(recipient_group::other_data_centres, this->now);
         const auto near =
-            this->table.to_tell(audience::own_data_centre, this->now);
+            this->table.select_recipients(recipient_group::own_data_centre, this->now);
         all.insert(all.end(), near.begin(), near.end());
         return std::find(all.begin(), all.end(), address) != all.end();
     }
@@ -54,14 +54,14 @@
     told.change_revision = 11;
     told.store_age = 120ms;
     told.store_revision = 12;
-    told.uses = {{base::upstream_id("i-1"), 3, 4000, 55ms}};
-    told.waiting = {{base::upstream_class_id("models"), {1, 2, 3, 4}}};
+    told.upstream_uses = {{base::upstream_id("i-1"), 3, 4000, 55ms}};
+    told.waiting_by_service = {{base::upstream_class_id("models"), {1, 2, 3, 4}}};
     told.workspace_uses = {{base::workspace_id("gate"),
                             123456789012,
                             70,
                             5'000,
                             {9'000, 1, 2, 3}}};
-    told.known = {{other, 250ms}};
+    told.known_entries = {{other, 250ms}};
     const auto read = decode_message(encode(told));
     REQUIRE(read);
     CHECK(read->incarnation == told.incarnation);
@@ -73,18 +73,18 @@
     CHECK(read->change_revision == 11);
     CHECK(read->store_age == 120ms);
     CHECK(read->store_revision == 12);
-    REQUIRE(read->uses.size() == 1);
-    CHECK(read->uses[0].upstream == base::upstream_id("i-1"));
-    CHECK(read->uses[0].requests == 3);
-    CHECK(read->uses[0].pending_prefill_tokens == 4000);
-    CHECK(read->uses[0].event_gap == 55ms);
-    CHECK(read->waiting.at(0).lengths == traffic::queue_lengths{1, 2, 3, 4});
+    REQUIRE(read->upstream_uses.size() == 1);
+    CHECK(read->upstream_uses[0].upstream == base::upstream_id("i-1"));
+    CHECK(read->upstream_uses[0].requests == 3);
+    CHECK(read->upstream_uses[0].pending_prefill_tokens == 4000);
+    CHECK(read->upstream_uses[0].event_gap == 55ms);
+    CHECK(read->waiting_by_service.at(0).lengths == traffic::queue_lengths{1, 2, 3, 4});
     CHECK(read->workspace_uses.at(0).sent_total == 123456789012);
     CHECK(read->workspace_uses.at(0).waiting == 70);
     CHECK(read->workspace_uses.at(0).sent_in_window == 5'000);
     CHECK(read->workspace_uses.at(0).all_sent_in_window.at(0) == 9'000);
     CHECK(read->workspace_uses.at(0).all_sent_in_window.at(3) == 3);
-    CHECK(read->known.at(0).age == 250ms);
+    CHECK(read->known_entries.at(0).age == 250ms);
 }
 
 // What members and dispatchers tell each other, field by field.
@@ -94,9 +94,9 @@
     told.kind = message_kind::report;
     told.cpu_millicores = 500;
     told.delegating = true;
-    told.known = {{other, 250ms, base::data_centre_id("yard"), 120}};
+    told.known_entries = {{other, 250ms, base::data_centre_id("yard"), 120}};
     dispatch::slot_request wanted;
-    wanted.name = {base::request_id{4}, 2};
+    wanted.id = {base::request_id{4}, 2};
     wanted.facts.service = base::upstream_class_id("models");
     wanted.facts.workspace = base::workspace_id("gate");
     wanted.facts.kind = base::kind_id("dossier");
@@ -110,24 +110,24 @@
     wanted.facts.time_left = 9s;
     wanted.facts.first_event_timeout = 2s;
     wanted.facts.prior_sends = 1;
-    wanted.tried = {base::upstream_id("i-1")};
+    wanted.tried_upstreams = {base::upstream_id("i-1")};
     wanted.cost = 1080;
-    wanted.counted = true;
-    told.report.wanted = {wanted};
+    wanted.charged = true;
+    told.report.slot_requests = {wanted};
     told.report.running = {
         {{base::request_id{5}, 1}, base::upstream_id("i-2"), 77}};
-    told.report.news = {
-        {12, {base::request_id{6}, 3}, dispatch::send_change::broken}};
+    told.report.status_updates = {
+        {12, {base::request_id{6}, 3}, dispatch::send_status::connection_broken}};
     const auto read = decode_message(encode(told));
     REQUIRE(read);
     CHECK(read->kind == message_kind::report);
     CHECK(read->cpu_millicores == 500);
     CHECK(read->delegating);
-    CHECK(read->known.at(0).data_centre == base::data_centre_id("yard"));
-    CHECK(read->known.at(0).cpu_millicores == 120);
-    REQUIRE(read->report.wanted.size() == 1);
-    const dispatch::slot_request& got = read->report.wanted[0];
-    CHECK(got.name == wanted.name);
+    CHECK(read->known_entries.at(0).data_centre == base::data_centre_id("yard"));
+    CHECK(read->known_entries.at(0).cpu_millicores == 120);
+    REQUIRE(read->report.slot_requests.size() == 1);
+    const dispatch::slot_request& got = read->report.slot_requests[0];
+    CHECK(got.id == wanted.id);
     CHECK(got.facts.service == wanted.facts.service);
     CHECK(got.facts.workspace == wanted.facts.workspace);
     CHECK(got.facts.kind == wanted.facts.kind);
@@ -142,41 +142,41 @@
     CHECK(got.facts.first_event_timeout == 2s);
     CHECK(got.facts.prior_sends == 1);
     CHECK(got.facts.delegated);
-    CHECK(got.tried == wanted.tried);
+    CHECK(got.tried_upstreams == wanted.tried_upstreams);
     CHECK(got.cost == 1080);
-    CHECK(got.counted);
+    CHECK(got.charged);
     CHECK(read->report.running.at(0).upstream == base::upstream_id("i-2"));
-    CHECK(read->report.running.at(0).unread_tokens == 77);
-    CHECK(read->report.news.at(0).number == 12);
-    CHECK(read->report.news.at(0).what == dispatch::send_change::broken);
+    CHECK(read->report.running.at(0).unprocessed_prompt_tokens == 77);
+    CHECK(read->report.status_updates.at(0).sequence == 12);
+    CHECK(read->report.status_updates.at(0).status == dispatch::send_status::connection_broken);
 
     told.kind = message_kind::reply;
-    told.reply.news_taken = 12;
-    told.reply.granted = {{wanted.name, base::upstream_id("i-3"), 90ms, 2, 5}};
-    told.reply.declined = {
+    told.reply.acked_status = 12;
+    told.reply.grants = {{wanted.id, base::upstream_id("i-3"), 90ms, 2, 5}};
+    told.reply.denials = {
         {{base::request_id{8}, 1}, base::reason::limit_reached, 1500ms}};
     const auto reply = decode_message(encode(told));
     REQUIRE(reply);
-    CHECK(reply->report.wanted.empty());
-    CHECK(reply->reply.news_taken == 12);
-    CHECK(reply->reply.granted.at(0).upstream == base::upstream_id("i-3"));
-    CHECK(reply->reply.granted.at(0).expected == 90ms);
-    CHECK(reply->reply.granted.at(0).places == 5);
-    CHECK(reply->reply.declined.at(0).why == base::reason::limit_reached);
-    CHECK(reply->reply.declined.at(0).retry_after == 1500ms);
+    CHECK(reply->report.slot_requests.empty());
+    CHECK(reply->reply.acked_status == 12);
+    CHECK(reply->reply.grants.at(0).upstream == base::upstream_id("i-3"));
+    CHECK(reply->reply.grants.at(0).expected_first_event == 90ms);
+    CHECK(reply->reply.grants.at(0).slots == 5);
+    CHECK(reply->reply.denials.at(0).reason == base::reason::limit_reached);
+    CHECK(reply->reply.denials.at(0).retry_after == 1500ms);
 }
 
 TEST_CASE("items_encoded_and_decoded_are_the_same")
 {
     item_transfer passed;
     passed.store_revision = 8;
-    passed.whole = true;
+    passed.complete = true;
     passed.change_revision = 6;
     passed.items = {{"op/config", "{}", 3, false}, {"servers/i", "", 4, true}};
     const auto read = decode_items(encode(passed));
     REQUIRE(read);
     CHECK(read->store_revision == 8);
-    CHECK(read->whole);
+    CHECK(read->complete);
     CHECK(read->change_revision == 6);
     REQUIRE(read->items.size() == 2);
     CHECK(read->items[0].value == "{}");
@@ -207,14 +207,14 @@
 TEST_CASE_FIXTURE(peers_fixture, "entry_named_by_a_peer_is_told")
 {
     message told = message_from(seed, 1, 1);
-    told.known = {{other, 100ms}, {own_address, 0ms}};
-    CHECK(this->table.heard(told, this->now) == peer_news::found);
+    told.known_entries = {{other, 100ms}, {own_address, 0ms}};
+    CHECK(this->table.on_message(told, this->now) == peer_update::found);
     CHECK(this->told(seed));
     this->now += 600ms;
     CHECK(this->told(other));
     CHECK_FALSE(this->told(own_address));
     // Being named is no sign of life.
-    CHECK(this->table.alive(this->now) == 1);
+    CHECK(this->table.live_count(this->now) == 1);
 }
 
 // Entries of another data centre learn of those here by their names only. When
@@ -222,58 +222,58 @@
 // where both had heard a seed: placed blindly, a day lost 0.05 of its worth.
 TEST_CASE_FIXTURE(peers_fixture, "entries_are_named_to_both_audiences")
 {
-    this->table.heard(message_from(seed, 1, 1), this->now);
-    for (const audience who : {audience::own_data_centre, audience::others}) {
-        REQUIRE(this->table.some_known(who, this->now).size() == 1);
-        CHECK(this->table.some_known(who, this->now).empty());
+    this->table.on_message(message_from(seed, 1, 1), this->now);
+    for (const recipient_group who : {recipient_group::own_data_centre, recipient_group::other_data_centres}) {
+        REQUIRE(this->table.select_known_entries(who, this->now).size() == 1);
+        CHECK(this->table.select_known_entries(who, this->now).empty());
     }
     this->now += 200ms;
-    CHECK(this->table.some_known(audience::others, this->now).size() == 1);
+    CHECK(this->table.select_known_entries(recipient_group::other_data_centres, this->now).size() == 1);
 }
 
 TEST_CASE_FIXTURE(peers_fixture, "entries_named_and_never_heard_are_counted")
 {
     this->table.add_seed(seed);
-    CHECK(this->table.unheard() == 1);
+    CHECK(this->table.never_heard_count() == 1);
     message told = message_from(seed, 1, 1);
-    told.known = {{other, 100ms}};
-    this->table.heard(told, this->now);
-    CHECK(this->table.unheard() == 1);
-    this->table.heard(message_from(other, 1, 1), this->now);
-    CHECK(this->table.unheard() == 0);
+    told.known_entries = {{other, 100ms}};
+    this->table.on_message(told, this->now);
+    CHECK(this->table.never_heard_count() == 1);
+    this->table.on_message(message_from(other, 1, 1), this->now);
+    CHECK(this->table.never_heard_count() == 0);
 }
 
 TEST_CASE_FIXTURE(peers_fixture, "message_received_late_or_twice_is_outdated")
 {
-    CHECK(this->table.heard(message_from(seed, 1, 5), this->now) ==
-          peer_news::found);
-    CHECK(this->table.heard(message_from(seed, 1, 5), this->now) ==
-          peer_news::outdated);
-    CHECK(this->table.heard(message_from(seed, 1, 4), this->now) ==
-          peer_news::outdated);
-    CHECK(this->table.heard(message_from(seed, 1, 6), this->now) ==
-          peer_news::none);
+    CHECK(this->table.on_message(message_from(seed, 1, 5), this->now) ==
+          peer_update::found);
+    CHECK(this->table.on_message(message_from(seed, 1, 5), this->now) ==
+          peer_update::outdated);
+    CHECK(this->table.on_message(message_from(seed, 1, 4), this->now) ==
+          peer_update::outdated);
+    CHECK(this->table.on_message(message_from(seed, 1, 6), this->now) ==
+          peer_update::none);
 }
 
 // The time of day was set back by an hour while an entry was restarted: its new
 // life has a lower number than the old one, and is heard all the same.
 TEST_CASE_FIXTURE(peers_fixture, "life_with_a_lower_number_is_heard")
 {
-    this->table.heard(message_from(seed, 900, 5), this->now);
-    CHECK(this->table.heard(message_from(seed, 100, 1), this->now) ==
-          peer_news::restarted);
+    this->table.on_message(message_from(seed, 900, 5), this->now);
+    CHECK(this->table.on_message(message_from(seed, 100, 1), this->now) ==
+          peer_update::restarted);
 }
 
 TEST_CASE_FIXTURE(peers_fixture, "peer_that_falls_silent_is_reported_once")
 {
-    this->table.heard(message_from(seed, 1, 1), this->now);
+    this->table.on_message(message_from(seed, 1, 1), this->now);
     this->now += 1600ms;
-    CHECK(this->table.fallen_silent(this->now).size() == 1);
-    CHECK(this->table.fallen_silent(this->now).empty());
-    CHECK(this->table.alive(this->now) == 0);
-    CHECK(this->table.alive_lately(this->now) == 1);
-    CHECK(this->table.heard(message_from(seed, 1, 2), this->now) ==
-          peer_news::found);
+    CHECK(this->table.take_newly_silent(this->now).size() == 1);
+    CHECK(this->table.take_newly_silent(this->now).empty());
+    CHECK(this->table.live_count(this->now) == 0);
+    CHECK(this->table.recently_live_count(this->now) == 1);
+    CHECK(this->table.on_message(message_from(seed, 1, 2), this->now) ==
+          peer_update::found);
 }
 
 TEST_CASE_FIXTURE(peers_fixture, "peer_with_the_newest_configuration_is_asked")
@@ -282,36 +282,36 @@
     old_one.change_revision = 4;
     message new_one = message_from(other, 1, 1);
     new_one.change_revision = 9;
-    this->table.heard(old_one, this->now);
-    this->table.heard(new_one, this->now);
+    this->table.on_message(old_one, this->now);
+    this->table.on_message(new_one, this->now);
     for (std::uint64_t turn = 0; turn < 4; ++turn)
-        CHECK(this->table.newest_source(this->now, turn)->address == other);
+        CHECK(this->table.newest_store_source(this->now, turn)->address == other);
     this->now += 2s;
-    CHECK_FALSE(this->table.newest_source(this->now, 0));
+    CHECK_FALSE(this->table.newest_store_source(this->now, 0));
 }
 
 // One entry a data centre reads the store. It is stopped, or falls silent: the
 // next one takes over, without being told by anyone.
 TEST_CASE_FIXTURE(peers_fixture, "reader_nearby_is_the_first_live_entry")
 {
-    CHECK_FALSE(this->table.has_reader_nearby(this->now));
+    CHECK_FALSE(this->table.has_store_reader_in_data_centre(this->now));
     message first = message_from(own_address - 1, 1, 1);
     first.data_centre = "elsewhere";
-    this->table.heard(first, this->now);
-    CHECK_FALSE(this->table.has_reader_nearby(this->now));
+    this->table.on_message(first, this->now);
+    CHECK_FALSE(this->table.has_store_reader_in_data_centre(this->now));
     first.sequence = 2;
     first.data_centre = "hall";
-    this->table.heard(first, this->now);
-    CHECK(this->table.has_reader_nearby(this->now));
+    this->table.on_message(first, this->now);
+    CHECK(this->table.has_store_reader_in_data_centre(this->now));
     first.sequence = 3;
     first.stopping = true;
-    this->table.heard(first, this->now);
-    CHECK_FALSE(this->table.has_reader_nearby(this->now));
+    this->table.on_message(first, this->now);
+    CHECK_FALSE(this->table.has_store_reader_in_data_centre(this->now));
     first.sequence = 4;
     first.stopping = false;
-    this->table.heard(first, this->now);
+    this->table.on_message(first, this->now);
     this->now += 2s;
-    CHECK_FALSE(this->table.has_reader_nearby(this->now));
+    CHECK_FALSE(this->table.has_store_reader_in_data_centre(this->now));
 }
 
 } // namespace greengagedrum::gossip
