--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -12,19 +12,21 @@
 namespace
 {
 
-// Leases end after 3.6 s without a renewal. An outage this long may have ended
-// some of them; a shorter one is a lost packet.
+// Leases end 3.6 s after their last renewal. Only an outage at least this long
+// is treated as one in which leases may have expired; a shorter one is taken
+// for a lost packet.
 constexpr base::duration outage_least = std::chrono::milliseconds(1000);
 
-// Upstreams that live report anew within this time of the store's return.
+// Live upstreams report again within this time after the store is back.
 constexpr base::duration reported_anew = std::chrono::seconds(2);
 
-// A removal that only a peer tells of, while the store is out of reach here:
-// it may stand for a leaver, which is to get nothing more within two seconds.
+// Delay before a removal reported only by a peer takes effect while the store
+// is unreachable from here. It is short because the removal may be of a
+// draining upstream, which must get no new work after two seconds.
 constexpr base::duration told_by_peer = std::chrono::milliseconds(1200);
 
-// Items beyond which removed and unreadable ones, kept for peers that have not
-// heard of it, are dropped.
+// Above this number of items, the oldest removed or unreadable one is dropped.
+// They are kept for peers that have not seen the removal yet.
 constexpr std::size_t spent_most = 4096;
 
 bool is_evacuation(const routing::published_item& item)
@@ -50,7 +52,8 @@
                                      base::instant now)
 {
     cluster_changes out;
-    // Evacuations first: an upstream that is listed with them is not to join.
+    // Evacuations are applied first, so that an upstream listed together with
+    // its evacuation is not added.
     for (const routing::published_item& one : news) {
         if (is_evacuation(one))
             this->take(one, now, out);
@@ -106,14 +109,15 @@
                                         : this->take_upstream(item, now, out);
     routing::published_item& kept = this->items[item.key];
     kept = item;
-    // Whatever another writer put there is neither kept nor passed on.
+    // Values written by other programs are neither stored nor passed on to
+    // peers.
     if (!readable && !configuration)
         kept.value.clear();
     if (kept.value.empty() && this->items.size() >= spent_most)
         this->drop_oldest_spent();
 }
 
-// The oldest removed one is known to all by now.
+// All peers know of the oldest removal by now, so it can be dropped.
 void cluster_state::drop_oldest_spent()
 {
     auto oldest = this->items.end();
@@ -137,7 +141,7 @@
                                        cluster_changes& out)
 {
     if (item.removed)
-        return true; // the operator replaces it, and never takes it away
+        return true; // operators replace the configuration and never delete it
     const auto read = platform::read_configuration(item);
     if (!read) {
         out.unreadable_items.push_back(item.key + ": " + read.error());
@@ -157,7 +161,8 @@
     return true;
 }
 
-// What was evacuated may be cold, whatever it published before.
+// An upstream that was evacuated may be cold, whatever warm-up it published
+// before.
 routing::published_upstream
 cluster_state::taken_back(const routing::published_upstream& one) const
 {
@@ -189,8 +194,8 @@
     this->note_meaning(item.key, evacuated ? item.revision : 0);
 }
 
-// What can't be read as an upstream's is another writer's: whatever stood under
-// that key before no longer counts, and the others hold.
+// An unreadable value under an upstream's key was written by another program.
+// The upstream known under that key is removed; all others stay.
 bool cluster_state::take_upstream(const routing::published_item& item,
                                   base::instant now,
                                   cluster_changes& out)
@@ -199,7 +204,7 @@
     const auto before = this->directory.life_of(name);
     routing::upstream_change change = routing::upstream_change::none;
     bool readable = true;
-    std::uint64_t meaning = 0; // no upstream
+    std::uint64_t meaning = 0; // the item describes no upstream
     if (item.removed) {
         change = this->directory.removed(
             name, item.revision, this->lapse_bound(now));
@@ -220,7 +225,8 @@
     return readable;
 }
 
-// Exclusive or takes a meaning in and out again, in whatever order items come.
+// XOR adds and removes an item's hash independently of the order in which items
+// arrive.
 void cluster_state::note_meaning(const std::string& key, std::uint64_t meaning)
 {
     std::uint64_t& known = this->meanings[key];
@@ -236,7 +242,8 @@
     this->changed_as[key] = this->applied_changes;
 }
 
-// Where upstreams tell when they were born, one that doesn't is none.
+// Once upstreams publish a time of birth, an item without one is not an
+// upstream's.
 tl::expected<routing::published_upstream, std::string>
 cluster_state::read_life(const routing::published_item& item,
                          cluster_changes& out)
@@ -283,8 +290,6 @@
     out.added.push_back(*this->directory.find(*life));
 }
 
-// ---- The store's absence --------------------------------------------------
-
 std::optional<base::instant> cluster_state::lapse_bound(base::instant now) const
 {
     if (this->away_since && now - *this->away_since >= outage_least)
@@ -328,8 +333,6 @@
     return out;
 }
 
-// ---- What is known --------------------------------------------------------
-
 std::uint64_t cluster_state::configuration_revision() const
 {
     return this->table ? this->table->source().revision : 0;
@@ -354,8 +357,8 @@
     return out;
 }
 
-// A store that lost its history may tell of a change late, under a revision
-// below that of others: by their own order none is missed.
+// A store that lost its history may deliver a change late, with a revision
+// below those of other changes. Selecting by change number misses none of them.
 gossip::item_transfer
 cluster_state::items_after_change(std::uint64_t changes) const
 {
--- a/src/greengagedrum/entry/cluster_state.hpp
+++ b/src/greengagedrum/entry/cluster_state.hpp
@@ -1,8 +1,8 @@
-// What this entry knows of the published world: the configuration in force and
-// the upstreams, with the items they were read from, as peers may ask for them.
+// The configuration in force and the upstreams, together with the store items
+// they were read from, so that peers can fetch them.
 //
-// News comes from the store or from peers, in any order. An item is replaced
-// only by one of a higher revision, so nothing ever goes back.
+// Items arrive from the store or from peers, in any order. An item is replaced
+// only by one of a higher revision, so the state never goes back.
 #pragma once
 
 #include <greengagedrum/gossip/message.hpp>
@@ -19,47 +19,50 @@
 namespace greengagedrum::entry
 {
 
-// An upstream that gets nothing more, in the life that it was known in.
+// An upstream that must get no more requests, identified by the incarnation it
+// was known by.
 struct removed_upstream {
     std::string name;
     base::upstream_id id;
 };
 
-// A data centre whose upstreams get nothing more, or may again.
+// The start or end of a data centre's evacuation. While evacuated, its
+// upstreams get no requests.
 struct evacuation_change {
     std::string data_centre;
     bool evacuated = false;
-    std::uint64_t revision = 0; // of the store
+    std::uint64_t revision = 0; // revision in the store
 };
 
-// What changed by some news.
+// What changed when items were applied.
 struct cluster_changes {
     bool configuration_changed = false;
     std::vector<evacuation_change> evacuations;
-    std::vector<routing::published_upstream> added; // or moved
+    std::vector<routing::published_upstream> added; // or changed address
     std::vector<removed_upstream> removed;
-    std::vector<std::string> unreadable_items; // items that can't be read
+    std::vector<std::string> unreadable_items; // key and reason
 };
 
 class cluster_state
 {
 public:
-    // `whole`: all items that there are as of that revision; what is known and
-    // not among them was removed.
+    // `whole`: the list holds all items as of that revision, so known items
+    // missing from it have been removed.
     cluster_changes apply(const routing::item_list& items,
                           std::uint64_t as_of,
                           bool whole,
                           base::instant now);
 
-    // What a peer passed of all that changed since last_change_revision().
+    // Items received from a peer, which cover all changes since
+    // last_change_revision().
     cluster_changes apply(const gossip::item_transfer& passed,
                           base::instant now);
 
-    // The store gave an answer, or none.
+    // The outcome of a call to the store.
     void on_store_answered(base::instant now);
     void on_store_failed(base::instant now);
 
-    // Upstreams whose lapse was waited for.
+    // Removes the upstreams whose deferred removal is due.
     cluster_changes expire(base::instant now);
 
     cluster_changes mark_misdirected(base::upstream_id upstream);
@@ -72,27 +75,27 @@
     }
 
     std::uint64_t store_revision() const { return this->revision; }
-    // Of the newest item that changed anything. A store that lost its history
-    // for a while may tell of a change after revisions beyond it.
+    // The highest revision of an item that changed the state. A store that lost
+    // its history for a while may deliver a change with a lower revision later.
     std::uint64_t last_change_revision() const { return this->last_change; }
     std::uint64_t configuration_revision() const;
     std::int64_t configuration_version() const;
 
-    // How often something of it has changed.
+    // The number of changes applied so far.
     std::uint64_t change_count() const { return this->applied_changes; }
-    // Of what the items say, without the load that upstreams report.
+    // Digest of the items' content, without the load that upstreams report.
     std::uint64_t content_digest() const { return this->combined_digest; }
 
-    // For a peer that knows all up to `since`.
+    // For a peer that knows all items up to revision `since`.
     gossip::item_transfer items_after_revision(std::uint64_t since) const;
-    // For one that was passed what was believed after so many changes.
+    // For a peer that was sent the state after the first `changes` changes.
     gossip::item_transfer items_after_change(std::uint64_t changes) const;
 
 private:
     void take(const routing::published_item& item,
               base::instant now,
               cluster_changes& out);
-    // False for what can't be read.
+    // False if the item can't be read.
     bool take_configuration(const routing::published_item& item,
                             cluster_changes& out);
     bool take_upstream(const routing::published_item& item,
@@ -120,11 +123,11 @@
     std::uint64_t revision = 0;
     std::uint64_t last_change = 0;
     std::uint64_t applied_changes = 0;
-    // Of each item that changed anything: the count at that time.
+    // For each item that changed the state: its change number.
     std::unordered_map<std::string, std::uint64_t> changed_as;
     std::uint64_t combined_digest = 0;
-    std::unordered_map<std::string, std::uint64_t> meanings; // by item
-    bool lives_told = false; // an upstream told when it was born
+    std::unordered_map<std::string, std::uint64_t> meanings; // by item key
+    bool lives_told = false; // some upstream published a time of birth
     std::optional<base::instant> away_since;
     base::instant doubted_until;
 };
