--- a/src/greengagedrum/entry/rate_limited_log.cpp
+++ b/src/greengagedrum/entry/rate_limited_log.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// An entry of a small instance takes 10 to 40 requests a second, with four
+// An entry on a small instance handles 10 to 40 requests a second with four
 // lines each; a line costs about 10 microseconds of processor time.
 constexpr double lines_per_second = 300;
 constexpr double lines_at_once = 600;
--- a/src/greengagedrum/entry/rate_limited_log.hpp
+++ b/src/greengagedrum/entry/rate_limited_log.hpp
@@ -1,9 +1,9 @@
-// Log lines of decisions, bounded in rate.
+// Limits the rate of log lines by a token bucket.
 //
-// Failure guarded against: a burst of requests, or an outage that makes each of
-// them fail, turns into as many lines, and writing them takes the processor
-// that the requests need. Beyond the bound lines are counted and the count is
-// logged.
+// Without a limit, a burst of requests, or an outage that makes all of them
+// fail, produces as many lines, and writing them takes processor time away from
+// the requests. Suppressed lines are counted, and the count is logged with the
+// next line.
 #pragma once
 
 #include <greengagedrum/base/time.hpp>
@@ -29,7 +29,7 @@
 private:
     double allowance = 0;
     base::instant filled_at;
-    std::uint64_t held = 0; // since the last line
+    std::uint64_t held = 0; // suppressed since the last line
     std::uint64_t held_total = 0;
     bool begun = false;
 };
