--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -15,11 +15,12 @@
 namespace
 {
 
-// The loop's clock starts here, so that "never" lies well before every time.
+// Start value of the loop's clock, so that a default time stamp ("never") lies
+// well before every time.
 constexpr base::duration epoch = std::chrono::hours(1);
 
-// Combinations of workspace, tier and route with histograms of their own; each
-// takes about 5.5 KiB.
+// Combinations of workspace, tier and route that have their own histograms;
+// each takes about 5.5 KiB.
 constexpr std::size_t series_most = 256;
 
 base::incarnation new_incarnation()
@@ -227,8 +228,6 @@
                 : 0);
 }
 
-// ---- Questions ------------------------------------------------------------
-
 bool entry::ready() const
 {
     return !this->state.stopping && this->state.cluster.routes() != nullptr;
--- a/src/greengagedrum/entry/entry.hpp
+++ b/src/greengagedrum/entry/entry.hpp
@@ -1,8 +1,8 @@
-// One entry of the system on the users' instances: all its parts on one loop.
+// The entry process: all its parts on one event loop.
 //
-// The loop's thread does everything but write log lines: sockets and decisions
-// together take a fraction of a core, and a ring between two threads would
-// cost a wake-up for each event.
+// The loop's thread does everything but write log lines. Sockets and decisions
+// together take a fraction of a core, and a ring between two threads would cost
+// a wake-up per event.
 #pragma once
 
 #include <greengagedrum/entry/peer_link.hpp>
@@ -24,16 +24,16 @@
 class entry
 {
 public:
-    // Reads the settings anew; empty when they can't be read or have not
-    // changed. It logs its own faults.
+    // Reads the settings again. Returns nothing if they are unreadable or
+    // unchanged; logs its own errors.
     using settings_loader = std::function<std::optional<settings>()>;
 
     entry(const settings& given, settings_loader load_settings);
 
-    // Serves until it is told to stop and has done what it took on.
+    // Serves until stopped and until the accepted requests have ended.
     void run();
 
-    // Tells it to stop, as a signal does; from any thread.
+    // Requests a stop, like SIGTERM does. May be called from any thread.
     void stop();
 
     base::ip_endpoint caller_address() const
@@ -85,7 +85,7 @@
     base::instant last_timeout_check;
     base::instant last_settings_check;
     base::duration total_suspended{
-        0}; // clock of the machine over that of the loop
+        0}; // total time the machine was suspended, as of the last tick
     std::optional<base::instant> pause_detected_at;
     std::optional<base::instant> stop_started_at;
     bool accepting_connections = true;
--- a/src/greengagedrum/entry/settings.hpp
+++ b/src/greengagedrum/entry/settings.hpp
@@ -1,5 +1,5 @@
-// What an entry is told at its start: its name and place, its addresses, whom
-// to ask, and the bounds that it has to keep.
+// What an entry is given at its start: its name, location and addresses, the
+// addresses of the store and of other entries, and the bounds it must keep.
 #pragma once
 
 #include <greengagedrum/base/ip_address.hpp>
@@ -16,23 +16,24 @@
 
 struct bounds {
     base::duration stop_timeout =
-        std::chrono::seconds(8); // from SIGTERM to the kill
+        std::chrono::seconds(8); // from SIGTERM to SIGKILL
     base::duration configuration_delay =
-        std::chrono::seconds(2); // to be in force
+        std::chrono::seconds(2); // until a change is in force
     base::duration drain_delay =
-        std::chrono::seconds(2); // no new work to a leaver
-    double retry_ratio = 0.2;    // of a service's requests
+        std::chrono::seconds(2); // until a draining upstream gets no new work
+    double retry_ratio = 0.2;    // share of a service's requests
     base::duration retry_window = std::chrono::seconds(10);
-    double retry_slack = 0; // in a window, all entries
+    double retry_slack = 0; // extra retries in a window, over all entries
     base::duration usage_window = std::chrono::seconds(8);
-    double usage_overshoot = 0;  // share of a limit that lag may exceed it by
-    double usage_slack = 0;      // and in its unit, all entries
-    double warmup_overshoot = 1; // times a cold upstream's published rate
-    double warmup_slack = 0;     // and in requests of a second, all entries
-    // No new work to an evacuated data centre.
+    double usage_overshoot =
+        0; // share by which a limit may be exceeded due to delays
+    double usage_slack = 0; // extra units beyond that share, over all entries
+    double warmup_overshoot = 1; // multiple of a cold upstream's published rate
+    double warmup_slack = 0;     // extra requests a second, over all entries
+    // Until an evacuated data centre gets no new work.
     base::duration evacuation_delay = std::chrono::seconds(2);
 
-    // For whatever the store tells to be in force.
+    // The shortest delay allowed for anything that the store publishes.
     base::duration shortest_update_delay() const
     {
         return std::min({this->configuration_delay,
@@ -44,20 +45,22 @@
 struct settings {
     std::string instance;
     std::string data_centre;
-    routing::region_map regions; // of all data centres
+    routing::region_map regions; // region of each data centre
     std::string ip;
-    base::ip_endpoint caller_address;    // clients' requests
-    base::ip_endpoint readiness_address; // the balancer's question
-    base::ip_endpoint control_address;   // peers' questions
+    base::ip_endpoint caller_address; // clients' requests
+    base::ip_endpoint
+        readiness_address;             // readiness probes of the load balancer
+    base::ip_endpoint control_address; // peers' requests for store items
     base::ip_endpoint metrics_address;
-    std::uint16_t peer_port = 0;          // UDP, the same on all instances
-    std::vector<base::ip_endpoint> seeds; // control addresses of a few others
+    std::uint16_t peer_port = 0; // UDP, the same on all instances
+    std::vector<base::ip_endpoint>
+        seeds; // control addresses of a few other entries
     base::ip_endpoint store_address;
-    double processors = 1; // share of a core; the strongest entries place
+    double processors = 1; // in cores; entries with the most become dispatchers
     entry::bounds bounds;
 };
 
-// A "name = value" a line, as --print-settings shows it.
+// One "name = value" per line, as printed by --print-settings.
 std::string to_text(const settings& given);
 
 } // namespace greengagedrum::entry
