--- a/src/greengagedrum/entry/store_reader.cpp
+++ b/src/greengagedrum/entry/store_reader.cpp
@@ -9,27 +9,29 @@
 namespace
 {
 
-// Between watches, of the time in which a change is to be in force: the rest is
-// for a lost call, and for an entry that learns of it from a peer.
+// The poll interval as a fraction of the time in which a change must be in
+// force. The rest of that time is left for one lost call and for entries that
+// get the change from a peer.
 constexpr std::int64_t pause_parts = 5;
 constexpr base::duration pause_most = std::chrono::seconds(1);
 constexpr base::duration default_bound = std::chrono::seconds(2);
 
-// How soon a resting reader notices that it is to read again.
+// How often an idle reader checks whether it must read again.
 constexpr auto rest_step = std::chrono::milliseconds(100);
 
-// A watch is answered within this even when nothing changes.
+// The store answers a watch within this time even if nothing changed.
 constexpr auto watch_wait = std::chrono::milliseconds(500);
 
-// Longer, and the answer is lost: the store answers in milliseconds.
+// The store answers within milliseconds, so an answer that takes longer than
+// this counts as lost.
 constexpr auto answer_bound = std::chrono::milliseconds(1100);
 
-// After failures: soon, then less often, so that many entries together leave
-// the store room to recover.
+// The delay after a failure grows by one step per failure, so that many entries
+// together leave the store room to recover.
 constexpr auto failure_pause = std::chrono::milliseconds(100);
 constexpr std::uint32_t failure_steps = 4;
 
-// The same while another entry reads for this one.
+// Delay after a failure while another entry reads the store for this one.
 constexpr base::duration failure_pause_at_rest = std::chrono::seconds(1);
 
 } // namespace
@@ -120,8 +122,8 @@
     this->again_after(this->pause);
 }
 
-// Failure guarded against: another writer's items fill a thousand pages. The
-// configuration, on the first of them, doesn't wait for the last.
+// Other programs' items may fill a thousand pages. The configuration, which is
+// on the first one, must not wait for the last.
 void store_reader::on_part(routing::item_list& items)
 {
     if (items.empty() || items.back().key <= this->last_key)
@@ -146,8 +148,8 @@
                       });
 }
 
-// What has changed may be more than one answer can hold: listed anew, it comes
-// in pages.
+// The changes since the last call may be too large for one answer. A full
+// listing comes in pages.
 void store_reader::watch_failed(const std::string& why)
 {
     if (why == relay::too_large)
@@ -200,8 +202,8 @@
     });
 }
 
-// One that has failed goes on until it was answered: how long the store was
-// away decides what lapses mean.
+// After a failure the reader goes on until the store has answered: how long the
+// store was unreachable decides how expired leases are treated.
 bool store_reader::rests() const
 {
     return this->after > 0 && !this->failing() &&
--- a/src/greengagedrum/entry/store_reader.hpp
+++ b/src/greengagedrum/entry/store_reader.hpp
@@ -1,10 +1,9 @@
-// Reads the store: all items once, then what changes, by one watch at a time
-// with a pause after each.
+// Reads the store: first all items, then changes, by one watch at a time with a
+// pause after each.
 //
-// Every upstream reports several times in a few seconds, so a watch returns at
-// once whenever it is asked; the pause bounds what is asked of the store. A
-// watch waits for half a second at most, so that a connection which has gone
-// silent is noticed.
+// Every upstream reports several times within a few seconds, so a watch nearly
+// always returns at once; the pause bounds the load on the store. A watch waits
+// for half a second at most, so that a dead connection is noticed.
 #pragma once
 
 #include <greengagedrum/base/ip_address.hpp>
@@ -21,16 +20,16 @@
 {
 
 struct store_events {
-    // All items (`whole`) or what changed since the last call.
+    // All items (`whole`), or those changed since the last call.
     std::function<void(
         const routing::item_list& items, std::uint64_t as_of, bool whole)>
         items_received;
-    // Some of all items, before the rest of them has come: true of them, and no
-    // sign that anything else is known.
+    // A part of all items, reported before the rest is read. The items are
+    // valid, but the call does not mean that anything else is up to date.
     std::function<void(const routing::item_list& items)> page_received;
     std::function<void(const std::string& why)> call_failed;
     std::function<void()> call_answered;
-    // True while another entry reads for this one.
+    // True while another entry reads the store for this one.
     std::function<bool()> peer_reads_store;
 };
 
@@ -41,7 +40,7 @@
                  const base::ip_endpoint& store,
                  store_events events);
 
-    // Between two watches, of the time in which a change is to be in force.
+    // The pause between two watches if changes must be in force within `bound`.
     static base::duration poll_interval_for(base::duration bound);
     void set_update_bound(base::duration bound)
     {
@@ -50,13 +49,13 @@
 
     void start();
 
-    // Ask now: what is known may be old.
+    // Calls the store now, for example when the known state may be outdated.
     void poll_now();
 
-    // A peer has passed all up to that revision.
+    // All items up to this revision were received from a peer.
     void skip_to_revision(std::uint64_t as_of);
 
-    // The last call failed.
+    // True if the last call failed.
     bool failing() const { return this->failures > 0; }
 
     void stop();
@@ -77,11 +76,11 @@
     std::shared_ptr<relay::http_get> client;
     base::ip_endpoint store;
     store_events events;
-    routing::item_list pages; // of a whole reading under way
+    routing::item_list pages; // the pages of a full listing in progress
     std::string last_key;
     std::uint64_t pages_as_of = 0;
-    base::duration pause{0}; // between watches
-    std::uint64_t after = 0; // revision read up to; 0: all is to be read
+    base::duration pause{0}; // pause between watches
+    std::uint64_t after = 0; // 0: all items are to be read
     std::uint32_t failures = 0;
     bool asking = false;
     bool stopped = false;
