--- a/src/greengagedrum/entry/crash_suspect_log.hpp
+++ b/src/greengagedrum/entry/crash_suspect_log.hpp
@@ -1,4 +1,4 @@
-// The log lines of requests that crash upstreams.
+// Log lines about requests suspected of crashing upstreams.
 #pragma once
 
 #include <greengagedrum/entry/request_handler.hpp>
@@ -9,10 +9,11 @@
 namespace greengagedrum::entry
 {
 
-// Empty while it is not configured here.
+// Empty if the workspace is not in the configuration.
 std::string workspace_name(const shared_state& state, base::workspace_id id);
 
-// `source`: who saw it, this entry ("own") or a peer.
+// `source`: who observed the change: "own" for this entry, "operator", or the
+// name of a peer.
 void log_crash_suspect(shared_state& state,
                        const quarantine::standing_change& change,
                        std::string_view source);
--- a/src/greengagedrum/entry/quarantine_endpoint.hpp
+++ b/src/greengagedrum/entry/quarantine_endpoint.hpp
@@ -1,7 +1,7 @@
-// What operators see of quarantined requests, and how they release one.
+// HTTP endpoint for operators: lists quarantined requests and releases them.
 //
 //   GET  /quarantine                 all of them, as JSON
-//   POST /quarantine/release/DIGEST  DIGEST: as the log and the list show it
+//   POST /quarantine/release/DIGEST  DIGEST as in the log and the list
 #pragma once
 
 #include <greengagedrum/entry/request_handler.hpp>
--- a/src/greengagedrum/entry/suspension.hpp
+++ b/src/greengagedrum/entry/suspension.hpp
@@ -1,4 +1,4 @@
-// How long the machine has been suspended in all.
+// Total time that the machine has been suspended.
 #pragma once
 
 #include <greengagedrum/base/time.hpp>
@@ -6,8 +6,8 @@
 namespace greengagedrum::entry
 {
 
-// Counted from some fixed point; only differences mean anything. The loop's
-// clock stands still meanwhile, so it can't tell by itself.
+// Counted from an arbitrary point, so only differences are meaningful. The
+// loop's clock stops during a suspension and can't detect it.
 base::duration suspended_time();
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/to_milliseconds.hpp
+++ b/src/greengagedrum/entry/to_milliseconds.hpp
@@ -1,4 +1,4 @@
-// Times as log lines have them.
+// Durations as numbers for log lines.
 #pragma once
 
 #include <greengagedrum/base/time.hpp>
