--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -1,4 +1,4 @@
-// What an entry takes from the store and from peers, in any order.
+// Applying items from the store and from peers, in any order.
 #include <greengagedrum/entry/cluster_state.hpp>
 
 #include <doctest/doctest.h>
@@ -81,7 +81,7 @@
 
 } // namespace
 
-// An evacuated data centre's upstreams are given work.
+// Guards against sending requests to the upstreams of an evacuated data centre.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "evacuated_upstreams_leave_and_come_back")
 {
@@ -93,14 +93,14 @@
     CHECK(begun.evacuations.front().data_centre == "hall");
     CHECK(this->known.upstreams().find(id) == nullptr);
     CHECK(this->known.upstreams().find_alive(id) != nullptr);
-    // Reports of its load go on, and bring it back no sooner.
+    // Load reports go on during the evacuation and must not end it.
     CHECK(this->news({upstream_item("i-1", 8)}, 8).added.empty());
     const auto over = this->news({{"op/evacuate/hall", "", 9, true}}, 9);
     CHECK(over.added.size() == 1);
     CHECK(this->known.upstreams().find(id) != nullptr);
 }
 
-// Upstreams cool down while they are evacuated, and say so later.
+// Upstreams become cold while evacuated, but publish that only later.
 TEST_CASE_FIXTURE(cluster_state_fixture, "upstreams_taken_back_count_as_cold")
 {
     this->whole({service_item(2), upstream_item("i-1", 4), evacuation_item(5)},
@@ -110,8 +110,8 @@
     CHECK(over.added.front().warmup == 3s);
 }
 
-// Only its first report says that an upstream is cold; members ask their
-// dispatcher by digest.
+// Only the first report of an upstream says that it is cold. Members detect the
+// change by the digest that their dispatcher sends.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "upstream_that_turns_cold_or_warm_is_news")
 {
@@ -128,7 +128,8 @@
     CHECK(this->news({upstream_item("i-1", 12)}, 12).added.empty());
 }
 
-// A started entry is told of upstreams and evacuations at once, in any order.
+// An entry that has just started receives upstreams and evacuations in one
+// listing, in any order.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "upstream_listed_with_its_evacuation_is_out")
 {
@@ -138,7 +139,8 @@
     CHECK(this->known.upstreams().usable_count() == 0);
 }
 
-// A watch was lost: the next whole reading shows that the order is gone.
+// The watch that reported the end of the evacuation was lost; the next full
+// listing no longer holds the item.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "evacuation_missing_from_a_whole_reading_is_over")
 {
@@ -148,7 +150,7 @@
     CHECK(this->known.upstreams().usable_count() == 1);
 }
 
-// A peer that is behind takes an evacuation back, or orders it once more.
+// A peer that is behind must neither end an evacuation nor start one again.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "older_news_of_an_evacuation_changes_nothing")
 {
@@ -160,7 +162,8 @@
     CHECK(this->known.upstreams().usable_count() == 0);
 }
 
-// Two entries that differ in an evacuation only take each other for alike.
+// Guards against a digest that leaves out evacuations: two entries that differ
+// only in one would take themselves to be in the same state.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "evacuation_reaches_those_that_ask_a_peer")
 {
@@ -176,7 +179,8 @@
     CHECK(behind.content_digest() == this->known.content_digest());
 }
 
-// Thousands of removed items push out the order that an empty value carries.
+// An evacuation item has an empty value and must not be dropped like a removed
+// item when thousands of removed items are kept.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "evacuation_outlasts_many_removed_items")
 {
@@ -191,8 +195,8 @@
         }));
 }
 
-// An entry is fed by a peer that is behind the store: a change that was in
-// force must not be taken back.
+// An entry receives items from a peer that is behind the store. A change that
+// was in force must not be reverted.
 TEST_CASE_FIXTURE(cluster_state_fixture, "older_configuration_never_comes_back")
 {
     CHECK(this->whole({config_item(3, 10)}, 10).configuration_changed);
@@ -219,11 +223,12 @@
     this->news({upstream_item("i-3", 9)}, 9);
     const auto changes = this->whole({upstream_item("i-2", 5)}, 8);
     CHECK(changes.removed.size() == 1);
-    CHECK(this->known.upstreams().usable_count() == 2); // i-3 is newer
+    CHECK(this->known.upstreams().usable_count() ==
+          2); // i-3 is newer than the listing
 }
 
-// Another writer replaces an upstream's entry, and puts a thousand of its own
-// beside it. That one gets no more work; the others go on.
+// Another program overwrites an upstream's item and adds a thousand items of
+// its own. That upstream gets no more work; the others are unaffected.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "items_of_another_writer_name_no_upstream")
 {
@@ -240,17 +245,17 @@
     REQUIRE(changes.removed.size() == 1);
     CHECK(changes.removed.front().name == "i-1");
     CHECK(this->known.upstreams().usable_count() == 1);
-    // Nor does an entry carry them about.
+    // The foreign values are not stored.
     std::size_t bytes = 0;
     for (const auto& one : this->known.items_after_revision(0).items)
         bytes += one.value.size();
     CHECK(bytes < 1'000);
-    // Its next report brings it back.
+    // The upstream's next report adds it again.
     CHECK(this->news({upstream_item("i-1", 2'001)}, 2'001).added.size() == 1);
 }
 
-// An upstream's next life takes the place of the one before, which is told as
-// one that has left.
+// A restarted upstream replaces its previous incarnation, which is reported as
+// removed.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "upstream_that_starts_again_leaves_and_joins")
 {
@@ -259,12 +264,13 @@
     REQUIRE(changes.removed.size() == 1);
     REQUIRE(changes.added.size() == 1);
     CHECK(changes.removed.front().id != changes.added.front().id);
-    // Where upstreams tell their birth, one that doesn't is another writer's.
+    // Once upstreams publish a time of birth, an item without one is not an
+    // upstream's.
     CHECK(this->news({upstream_item("i-2", 9)}, 9).added.empty());
 }
 
-// Upstreams come and go for weeks, and another writer's keys are never the
-// same. What peers are still told of those that are gone has an end.
+// Upstreams come and go for weeks, and other programs' keys are always new. The
+// number of removed items kept for peers is bounded.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "removed_and_unreadable_items_are_bounded")
 {
@@ -284,8 +290,8 @@
     CHECK(this->known.upstreams().usable_count() == 1);
 }
 
-// The store was away for longer than the leases last. On its return it tells of
-// every upstream that it is gone; those that live report within two seconds.
+// The store was unreachable for longer than the leases last and then reports
+// every upstream as removed. Live upstreams report again within two seconds.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "upstreams_lapsed_in_an_outage_are_waited_for")
 {
@@ -322,7 +328,7 @@
     CHECK(some.items.size() == 2);
     const auto all = this->known.items_after_revision(0);
     CHECK(all.whole);
-    CHECK(all.items.size() == 2); // no removed ones
+    CHECK(all.items.size() == 2); // without the removed one
 
     cluster_state other;
     other.apply(all.items, all.store_revision, all.whole, this->now);
@@ -330,14 +336,15 @@
     CHECK(other.upstreams().usable_count() == 1);
 }
 
-// A store that lost its history tells of a configuration of revision 15 after
-// reports of revision 20. An entry that learnt from a peer "as of 20" is to get
-// it from that peer all the same.
+// A store that lost its history delivers a configuration of revision 15 after
+// reports of revision 20. A peer that has all items up to revision 20 must
+// still get the configuration.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "change_heard_of_late_reaches_a_follower")
 {
     this->whole({config_item(3, 5), upstream_item("i-1", 4)}, 6);
-    this->news({upstream_item("i-1", 20)}, 20); // a report, no change
+    this->news({upstream_item("i-1", 20)},
+               20); // a load report, which changes nothing
     CHECK(this->known.last_change_revision() == 5);
     cluster_state follower;
     follower.apply(this->known.items_after_revision(0), this->now);
@@ -345,16 +352,16 @@
 
     this->whole({config_item(4, 15), upstream_item("i-1", 24)}, 25);
     CHECK(this->known.configuration_revision() >
-          follower.configuration_revision()); // so it asks
+          follower.configuration_revision()); // so the follower asks for items
     follower.apply(
         this->known.items_after_revision(follower.configuration_revision()),
         this->now);
     CHECK(follower.configuration_version() == 4);
 }
 
-// A store that had lost its history tells of a change late, under a revision
-// below that of others. Whoever asked for what is above the newest revision
-// that it knows would never hear of it.
+// A store that lost its history delivers a change late, with a revision below
+// those of other changes. A peer that asks for items above the newest revision
+// it knows would never get it.
 TEST_CASE_FIXTURE(cluster_state_fixture, "change_told_late_is_passed_on")
 {
     this->news({upstream_item("i-1", 20)}, 20);
@@ -370,8 +377,9 @@
     CHECK(this->known.items_after_change(0).whole);
 }
 
-// Entries hear the same in another order, and of reports at other times. They
-// have to see that they believe the same, or each would go on asking.
+// Entries receive the same items in different orders and load reports at
+// different times. Their digests must be equal, or they would keep asking each
+// other for items.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "same_cluster_states_have_the_same_digest")
 {
--- a/src/greengagedrum/entry/test/containment_test.cpp
+++ b/src/greengagedrum/entry/test/containment_test.cpp
@@ -1,4 +1,4 @@
-// A request that ends each upstream that runs it, over loopback.
+// A poison request, which crashes each upstream that runs it, over loopback.
 #include <greengagedrum/entry/test/entry_fixture.hpp>
 
 #include <array>
@@ -11,8 +11,8 @@
 
 using namespace std::chrono_literals;
 
-// Upstreams that stop listening once they have begun a certain request, and
-// lose the connections of any other but one.
+// Upstreams that stop listening when they get the body "deadly", answer the
+// body "sound" and reset the connection for any other.
 class mortal_upstreams
 {
 public:
@@ -88,7 +88,7 @@
     CHECK(other->status == 200);
 }
 
-// One attempt may try two upstreams, and its caller may come back.
+// One attempt may be sent to two upstreams, and the caller may repeat it.
 TEST_CASE_FIXTURE(containment_fixture,
                   "repeatable_request_ends_two_upstreams_in_all")
 {
@@ -97,7 +97,7 @@
     CHECK(this->ended_by_request() == 2);
 }
 
-// Connections are lost while their upstreams live on.
+// Connections are reset while their upstreams stay alive, which is no crash.
 TEST_CASE_FIXTURE(containment_fixture,
                   "request_whose_connections_are_reset_sent_on")
 {
--- a/src/greengagedrum/entry/test/entry_fixture.cpp
+++ b/src/greengagedrum/entry/test/entry_fixture.cpp
@@ -85,7 +85,7 @@
 fake_http_server::fake_http_server()
 {
     this->server.set_tcp_nodelay(true);
-    // Its stop waits for kept connections.
+    // Stopping the server waits for kept-alive connections.
     this->server.set_keep_alive_timeout(1);
 }
 
--- a/src/greengagedrum/entry/test/entry_fixture.hpp
+++ b/src/greengagedrum/entry/test/entry_fixture.hpp
@@ -1,5 +1,5 @@
-// One whole entry over loopback, with stand-ins of the store and of an
-// upstream that answers as the test says.
+// A complete entry over loopback, with fake servers for the store and for an
+// upstream whose responses the test sets.
 #pragma once
 
 #include <greengagedrum/entry/entry.hpp>
@@ -18,7 +18,7 @@
 namespace greengagedrum::entry
 {
 
-// An HTTP stand-in on a port of the kernel's choice.
+// An HTTP server on a free port.
 class fake_http_server
 {
 public:
@@ -37,12 +37,13 @@
     std::thread thread;
 };
 
-// What a test may want of the entry beside the usual.
+// Settings in which a test may differ from the default.
 struct fixture_options {
-    double limit_per_second = 0; // of the workspace, in tokens; 0: none
+    double limit_per_second = 0; // limit of the workspace, in tokens; 0: none
     std::uint16_t peer_port = 0; // 0: any
     std::vector<base::ip_endpoint> seeds{};
-    std::vector<int> upstream_ports{}; // of the test's own, in place of ours
+    std::vector<int> upstream_ports{}; // servers of the test that replace the
+                                       // fixture's upstream
 };
 
 class entry_fixture
@@ -56,23 +57,24 @@
     using handler =
         std::function<void(const httplib::Request&, httplib::Response&)>;
 
-    // What the upstream does with a request; a signed answer, if not said.
+    // Sets what the upstream does with a request. The default is a signed
+    // response.
     void set_upstream_handler(handler what);
 
     static void write_signed_answer(const httplib::Request& asked,
                                     httplib::Response& given,
                                     const std::string& body);
 
-    // Headers of a proper request.
+    // Headers of a valid request.
     static httplib::Headers headers();
 
     httplib::Client client() const;
-    // Everything that the caller is sent until its connection closes.
+    // Returns everything that the caller is sent until its connection closes.
     std::string send_raw(const std::string& bytes) const;
 
     std::vector<httplib::Request> received_requests() const;
 
-    // The operator evacuates the data centre, or takes it back.
+    // Starts or ends the evacuation of the data centre.
     void set_evacuated(bool evacuated);
 
     std::unique_ptr<entry> entry_under_test;
@@ -81,14 +83,14 @@
     void publish(const fixture_options& wanted);
     void wait_until_configured() const;
 
-    // Before the stand-ins, whose threads use them. Handlers take the mutex
-    // first and last: requests come through sockets and a library that the
-    // thread sanitizer can't see, so it is what orders them after the test's
-    // own steps.
+    // Declared before the servers, whose threads use the mutex and the data.
+    // Handlers lock the mutex first and last: the thread sanitizer can't see
+    // the ordering that sockets and the HTTP library provide, so the mutex
+    // orders the handlers after the test's own steps.
     mutable std::mutex mutex;
     std::vector<httplib::Request> requests;
     int store_revision = 2;
-    std::string store_events; // that watches since the last one get, as JSON
+    std::string store_events; // as JSON, for watches behind store_revision
     handler upstream_handler = [](const httplib::Request& asked,
                                   httplib::Response& given) {
         write_signed_answer(asked, given, "answer");
--- a/src/greengagedrum/entry/test/entry_test.cpp
+++ b/src/greengagedrum/entry/test/entry_test.cpp
@@ -1,4 +1,4 @@
-// The whole path of a request over loopback, and what goes wrong on it.
+// The path of a request through an entry over loopback, with its failure cases.
 #include <greengagedrum/entry/test/entry_fixture.hpp>
 
 namespace greengagedrum::entry
@@ -9,7 +9,8 @@
 
 using namespace std::chrono_literals;
 
-// Events `first` to `last` of a stream, cut after them when `cut`.
+// Writes the events `first` to `last` of a stream. `cut`: then closes the
+// connection before the end of the stream.
 void stream_events(const httplib::Request& asked,
                    httplib::Response& given,
                    int first,
@@ -28,7 +29,8 @@
                 sink.write(text.data(), text.size());
             }
             if (cut)
-                return false; // the connection closes without the end
+                return false; // closes the connection before the end of the
+                              // stream
             sink.done();
             return true;
         });
@@ -89,8 +91,8 @@
     CHECK(asked.Get("/nowhere/", headers())->status == 404);
 }
 
-// An upstream answers a request with the bytes of another one's answer, which
-// came late on its connection. The caller must not be given them.
+// An upstream responds with the late response to another request on the same
+// connection. The caller must not get it.
 TEST_CASE_FIXTURE(entry_fixture, "answer_to_another_request_is_not_passed_on")
 {
     this->set_upstream_handler(
@@ -119,8 +121,8 @@
     CHECK(asked.Post("/once/", headers(), "", "text/plain")->status == 502);
 }
 
-// The upstream says that it did not run the request, and no other is there.
-// The caller is told so, and when to come back.
+// The only upstream reports that it did not run the request. The caller is told
+// so, and when to retry.
 TEST_CASE_FIXTURE(entry_fixture, "request_turned_away_is_refused_as_not_run")
 {
     this->set_upstream_handler(
@@ -136,9 +138,9 @@
     CHECK_FALSE(got->has_header("X-Not-Executed"));
 }
 
-// An upstream answers with another request's refusal, which says that it did
-// not run that one. What it did with this one nobody knows: the caller must not
-// be told that it may ask again.
+// An upstream responds with the refusal of another request, which says that it
+// did not run that one. Whether it ran this one is unknown, so the caller must
+// not be told that a retry is safe.
 TEST_CASE_FIXTURE(entry_fixture, "refusal_of_another_request_is_no_promise")
 {
     for (const int status : {503, 421}) {
@@ -184,8 +186,8 @@
     CHECK(got->body == whole_stream(20));
 }
 
-// A stream is cut after seven events and may be resumed, but its only upstream
-// was tried: the caller's answer must not look whole.
+// A stream is cut after seven events. It may be resumed, but its only upstream
+// was already tried. The response must not look complete to the caller.
 TEST_CASE_FIXTURE(entry_fixture,
                   "stream_cut_and_not_resumed_does_not_look_whole")
 {
@@ -223,8 +225,8 @@
     CHECK(this->received_requests().empty());
 }
 
-// The entry is told to stop while a request is under way: it is answered whole,
-// and the caller is told that the connection closes.
+// The entry is stopped during a request. The caller gets the complete response,
+// and is told that the connection closes.
 TEST_CASE_FIXTURE(entry_fixture, "request_under_way_at_a_stop_is_answered")
 {
     this->set_upstream_handler(
@@ -240,8 +242,8 @@
     CHECK(got->get_header_value("Connection") == "close");
 }
 
-// A caller leaves while its stream runs: the upstream's connection is closed,
-// which ends the work there.
+// The caller closes its connection during a stream. The connection to the
+// upstream is closed too, which ends the work there.
 TEST_CASE_FIXTURE(entry_fixture, "work_of_a_caller_that_left_is_broken_off")
 {
     const auto broken_off = std::make_shared<std::atomic<bool>>(false);
@@ -280,7 +282,8 @@
     CHECK(*broken_off);
 }
 
-// A data centre is emptied for work on it, and its upstreams are sent requests.
+// Guards against sending requests to the upstreams of a data centre that is
+// evacuated for maintenance.
 TEST_CASE_FIXTURE(entry_fixture,
                   "evacuated_upstream_gets_nothing_until_it_is_back")
 {
@@ -291,7 +294,7 @@
         return std::pair(got->status, got->has_header("Retry-After"));
     };
     const auto becomes = [&](int wanted) {
-        // Twice the time in which a change is to be in force.
+        // Waits for twice the time in which a change must be in force.
         for (int tries = 0; tries < 200; ++tries) {
             if (status().first == wanted)
                 return true;
--- a/src/greengagedrum/entry/test/quarantine_endpoint_test.cpp
+++ b/src/greengagedrum/entry/test/quarantine_endpoint_test.cpp
@@ -1,4 +1,4 @@
-// What operators see of quarantined requests.
+// The operators' list of quarantined requests, and their release.
 #include <greengagedrum/entry/quarantine_endpoint.hpp>
 
 #include <doctest/doctest.h>
--- a/src/greengagedrum/entry/test/store_reader_test.cpp
+++ b/src/greengagedrum/entry/test/store_reader_test.cpp
@@ -1,4 +1,4 @@
-// What a reader makes of a store that holds other writers' items.
+// Reading a store that holds other programs' items.
 #include <greengagedrum/entry/store_reader.hpp>
 #include <greengagedrum/entry/test/entry_fixture.hpp>
 
@@ -12,7 +12,7 @@
 
 constexpr const char* json_type = "application/json";
 
-// "e30=" is an empty object.
+// "e30=" is an empty JSON object in Base64.
 const std::string config_page =
     R"({"entries": [{"key": "op/config", "value": "e30=", "revision": 1}],)"
     R"( "hasMore": true, "at": 2})";
@@ -69,9 +69,10 @@
 
 } // namespace
 
-// A thousand pages of another writer's items follow the first one. Requests are
-// refused until the configuration is known, which is on that first page; and a
-// part of a list is no news of what has changed since a pause.
+// A thousand pages of another program's items follow the first page. Requests
+// are refused until the configuration is known, which is on that first page. A
+// part of the listing must not count as an update of the whole state after a
+// pause.
 TEST_CASE_FIXTURE(reader_fixture,
                   "configuration_does_not_wait_for_the_last_page")
 {
@@ -90,8 +91,8 @@
     CHECK(this->news == 0);
 }
 
-// The store answers every page with the same items and says that more follow.
-// Asked for the next one at once, it would be asked for ever.
+// The store returns the same items for every page and says that more follow. A
+// reader that asks for the next page at once would never stop.
 TEST_CASE_FIXTURE(reader_fixture, "pages_that_do_not_go_on_are_given_up")
 {
     this->store.server.Get(
@@ -105,9 +106,9 @@
     CHECK(this->lists < 10);
 }
 
-// Another writer put so much into the store that one answer would hold tens of
-// megabytes. It is not taken into memory, and what has changed is read in
-// pages.
+// Another program wrote so much into the store that one response would hold
+// tens of megabytes. The response is not read into memory; the changes are read
+// in pages instead.
 TEST_CASE_FIXTURE(reader_fixture, "watch_too_large_is_read_in_pages")
 {
     this->store.server.Get(
@@ -115,7 +116,8 @@
             this->lists += 1;
             given.set_content(last_page, json_type);
         });
-    // The handler's own: the store goes on answering until the fixture ends.
+    // The handler owns the text: the store responds until the fixture is
+    // destroyed.
     this->store.server.Get(
         "/kv-watch",
         [large = std::string(relay::fetched_bytes_most + (1U << 20U), ' ')](
