--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
@@ -18,8 +18,10 @@
 constexpr base::duration answer_after = 300ms;
 constexpr base::duration upstream_back_after = 4s;
 constexpr base::duration lease = 3600ms;
-constexpr base::duration stable_after = 3s; // of a process, and of a count
-constexpr double roles_found = 1;           // seconds from the start
+constexpr base::duration stable_after =
+    3s; // age from which a process or a third crash counts
+constexpr double roles_found =
+    1; // seconds from the start until roles are assigned
 constexpr std::uint64_t hot_body = 999'999;
 
 } // namespace
@@ -112,8 +114,6 @@
     return out;
 }
 
-// ---- Requests ---------------------------------------------------------------
-
 base::request_digest
 poison_request_fleet::digest_of_body(std::uint64_t number) const
 {
@@ -245,8 +245,6 @@
     this->tell(at, traffic::not_sent{order.request, order.send});
 }
 
-// ---- Upstreams --------------------------------------------------------------
-
 void poison_request_fleet::break_run(const run& one)
 {
     node* at = this->fleet.at(one.entry);
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet_test.cpp
@@ -1,4 +1,5 @@
-// Requests that crash the upstreams that run them, over whole fleets.
+// Containment of poison requests, which crash each upstream that runs them, in
+// fleets of entries.
 #include <greengagedrum/entry/fleet_test/poison_request_fleet.hpp>
 
 #include <doctest/doctest.h>
@@ -11,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-// Runs that are allowed once three upstreams have ended and all can know of it.
+// Runs allowed after the third crash, once all entries can know of it.
 constexpr std::uint32_t late_most = 3;
 
 poison_request_result played(const poison_request_plan& plan)
@@ -47,7 +48,8 @@
 
 } // namespace
 
-// One request, sent again and again to any entry, ends upstream after upstream.
+// The same request, repeated at random entries, would crash one upstream after
+// the other.
 TEST_CASE("request_that_crashes_upstreams_is_contained_over_all_entries")
 {
     for (const std::size_t entries : {9U, 86U, 295U}) {
@@ -59,7 +61,7 @@
     }
 }
 
-// Five copies come at the same moment, each at another entry.
+// Five copies arrive at the same moment at random entries.
 TEST_CASE("copies_at_once_over_all_entries_are_contained")
 {
     for (const std::size_t entries : {9U, 86U}) {
@@ -71,7 +73,7 @@
     }
 }
 
-// All entries are killed at once: what they knew of the request is lost.
+// All entries are killed at once, so their crash records are lost.
 TEST_CASE("contained_request_after_all_entries_were_killed_contained_again")
 {
     for (const std::size_t entries : {9U, 86U}) {
@@ -82,13 +84,13 @@
     }
 }
 
-// A process that starts has to learn from its peers what is not to be sent.
+// A new process must learn from its peers which requests are quarantined.
 TEST_CASE("entries_replaced_one_by_one_do_not_send_a_contained_request")
 {
     for (const std::size_t entries : {9U, 86U}) {
         poison_request_plan plan = plan_of(entries);
         plan.restart_gap = 500ms;
-        // Among few all place, and all would be killed.
+        // In a small fleet every entry is a dispatcher, so all would be killed.
         if (entries > 9) {
             plan.killed_at = {14, 20};
             plan.frozen_at = {17};
@@ -100,7 +102,8 @@
     }
 }
 
-// Entries on both sides count alone, and one datagram in twenty is lost.
+// Entries on both sides of a network partition count alone, and one datagram in
+// twenty is lost.
 TEST_CASE("request_contained_on_both_sides_of_a_cut")
 {
     for (const std::size_t entries : {9U, 86U}) {
@@ -126,7 +129,8 @@
     CHECK(got.crashed <= 2 * plan.bodies + 10);
 }
 
-// Upstreams end by themselves, and a third of all callers send the same body.
+// Upstreams exit for other reasons, and a third of all requests have the same
+// body.
 TEST_CASE("requests_that_crash_nothing_are_not_barred")
 {
     for (const std::size_t entries : {9U, 86U}) {
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
@@ -13,7 +13,7 @@
 
 const base::class_id engines("engines");
 constexpr std::uint32_t slots = 50;
-constexpr base::duration ask_gap = 50ms; // of one entry
+constexpr base::duration ask_gap = 50ms; // between requests at one entry
 constexpr base::duration window = 1s;
 
 } // namespace
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet_test.cpp
@@ -1,4 +1,4 @@
-// What all entries together send to a cold upstream.
+// How many requests all entries together send to a cold upstream.
 #include <greengagedrum/entry/fleet_test/slow_start_fleet.hpp>
 #include <greengagedrum/traffic/slow_start.hpp>
 
@@ -18,7 +18,7 @@
 
 constexpr double per_second = 7.3;
 constexpr traffic::slow_start_tolerance tolerance{1.5, 5};
-constexpr std::uint32_t bound = 15; // 7.3 x 1.5 + 5
+constexpr std::uint32_t bound = 15; // 7.3 x 1.5 + 5, rounded down
 
 slow_start_plan plan_of(std::size_t entries, std::size_t data_centres)
 {
@@ -75,13 +75,14 @@
         const slow_start_result got = slow_start_fleet(plan).simulate();
         CHECK(got.most <= 7);
         MESSAGE(entries, " entries: ", got.sends, " sends");
-        // All that they may, but for the seconds until entries know each other.
+        // Nearly all allowed sends happen, except in the seconds until the
+        // entries know each other.
         if (entries > 4)
             CHECK(got.sends > 4U * 7 * (plan.seconds - 5));
     }
 }
 
-// All entries start again at once, and each takes itself for the only one.
+// All entries restart at once, and each takes itself to be the only one.
 TEST_CASE("cold_upstreams_are_spared_by_entries_that_all_start_at_once")
 {
     slow_start_plan plan = plan_of(69, 4);
@@ -89,8 +90,9 @@
     CHECK(slow_start_fleet(plan).simulate().most <= 7);
 }
 
-// Seeds of random fleets that sent too much once: dispatchers that follow each
-// other, processes frozen or cut off in their first seconds.
+// Seeds of random fleets that exceeded the bound in earlier versions, with
+// dispatchers that follow each other and processes frozen or cut off in their
+// first seconds.
 TEST_CASE("cold_upstreams_are_spared_by_fleets_that_failed_once")
 {
     for (const std::uint64_t seed :
@@ -100,7 +102,7 @@
     }
 }
 
-// Entries that can't hear each other both send as if they were alone.
+// Entries on both sides of a network partition send as if they were alone.
 TEST_CASE("cold_upstreams_are_spared_by_random_fleets")
 {
     std::uint32_t worst = 0;
