--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -15,26 +15,26 @@
 // Leases end 3.6 s after their last renewal. Only an outage at least this long
 // is treated as one in which leases may have expired; a shorter one is taken
 // for a lost packet.
-constexpr base::duration outage_least = std::chrono::milliseconds(1000);
+constexpr base::duration min_outage = std::chrono::milliseconds(1000);
 
 // Live upstreams report again within this time after the store is back.
-constexpr base::duration reported_anew = std::chrono::seconds(2);
+constexpr base::duration report_grace_period = std::chrono::seconds(2);
 
 // Delay before a removal reported only by a peer takes effect while the store
 // is unreachable from here. It is short because the removal may be of a
 // draining upstream, which must get no new work after two seconds.
-constexpr base::duration told_by_peer = std::chrono::milliseconds(1200);
+constexpr base::duration peer_removal_delay = std::chrono::milliseconds(1200);
 
 // Above this number of items, the oldest removed or unreadable one is dropped.
 // They are kept for peers that have not seen the removal yet.
-constexpr std::size_t spent_most = 4096;
+constexpr std::size_t max_items = 4096;
 
 bool is_evacuation(const routing::published_item& item)
 {
     return !platform::evacuated_data_centre(item.key).empty();
 }
 
-std::uint64_t meaning_of(const routing::published_upstream& one)
+std::uint64_t content_hash(const routing::published_upstream& one)
 {
     std::uint64_t out = placement::mix(
         one.id.value, base::hash_name(base::to_string(one.address)));
@@ -46,7 +46,7 @@
 
 } // namespace
 
-cluster_changes cluster_state::apply(const routing::item_list& news,
+cluster_changes cluster_state::apply(const routing::item_list& listed_items,
                                      std::uint64_t as_of,
                                      bool whole,
                                      base::instant now)
@@ -54,17 +54,17 @@
     cluster_changes out;
     // Evacuations are applied first, so that an upstream listed together with
     // its evacuation is not added.
-    for (const routing::published_item& one : news) {
+    for (const routing::published_item& one : listed_items) {
         if (is_evacuation(one))
-            this->take(one, now, out);
+            this->apply_item(one, now, out);
     }
-    for (const routing::published_item& one : news) {
+    for (const routing::published_item& one : listed_items) {
         if (!is_evacuation(one))
-            this->take(one, now, out);
+            this->apply_item(one, now, out);
     }
     if (whole) {
         std::set<std::string_view> listed;
-        for (const routing::published_item& one : news)
+        for (const routing::published_item& one : listed_items)
             listed.insert(one.key);
         std::vector<std::string> missing;
         for (const auto& [key, item] : this->items) {
@@ -73,72 +73,73 @@
                 missing.push_back(key);
         }
         for (const std::string& key : missing)
-            this->take({key, {}, as_of, true}, now, out);
+            this->apply_item({key, {}, as_of, true}, now, out);
     }
     this->revision = std::max(this->revision, as_of);
     return out;
 }
 
-cluster_changes cluster_state::apply(const gossip::item_transfer& passed,
+cluster_changes cluster_state::apply(const gossip::item_transfer& transfer,
                                      base::instant now)
 {
-    cluster_changes out =
-        this->apply(passed.items, passed.store_revision, passed.whole, now);
-    this->last_change = std::max(this->last_change, passed.change_revision);
+    cluster_changes out = this->apply(
+        transfer.items, transfer.store_revision, transfer.whole, now);
+    this->last_change = std::max(this->last_change, transfer.change_revision);
     return out;
 }
 
-void cluster_state::take(const routing::published_item& item,
-                         base::instant now,
-                         cluster_changes& out)
+void cluster_state::apply_item(const routing::published_item& item,
+                               base::instant now,
+                               cluster_changes& out)
 {
     const bool configuration = item.key == platform::configuration_key;
     const bool evacuation = is_evacuation(item);
     if (!configuration && !evacuation &&
         platform::upstream_name(item.key).empty())
         return;
-    const auto known = this->items.find(item.key);
-    if (known != this->items.end() && known->second.revision >= item.revision)
+    const auto existing = this->items.find(item.key);
+    if (existing != this->items.end() &&
+        existing->second.revision >= item.revision)
         return;
     if (evacuation) {
-        this->take_evacuation(item, out);
+        this->apply_evacuation(item, out);
         this->items[item.key] = item;
         return;
     }
-    const bool readable = configuration ? this->take_configuration(item, out)
-                                        : this->take_upstream(item, now, out);
+    const bool readable = configuration ? this->apply_configuration(item, out)
+                                        : this->apply_upstream(item, now, out);
     routing::published_item& kept = this->items[item.key];
     kept = item;
     // Values written by other programs are neither stored nor passed on to
     // peers.
     if (!readable && !configuration)
         kept.value.clear();
-    if (kept.value.empty() && this->items.size() >= spent_most)
-        this->drop_oldest_spent();
+    if (kept.value.empty() && this->items.size() >= max_items)
+        this->drop_oldest_empty_item();
 }
 
 // All peers know of the oldest removal by now, so it can be dropped.
-void cluster_state::drop_oldest_spent()
+void cluster_state::drop_oldest_empty_item()
 {
     auto oldest = this->items.end();
     for (auto one = this->items.begin(); one != this->items.end(); ++one) {
         const routing::published_item& item = one->second;
-        const bool spent =
+        const bool empty =
             item.removed || (item.value.empty() && !is_evacuation(item));
-        if (spent && (oldest == this->items.end() ||
+        if (empty && (oldest == this->items.end() ||
                       one->second.revision < oldest->second.revision))
             oldest = one;
     }
     if (oldest == this->items.end())
         return;
-    this->changed_as.erase(oldest->first);
-    this->note_meaning(oldest->first, 0);
-    this->meanings.erase(oldest->first);
+    this->change_numbers.erase(oldest->first);
+    this->update_digest(oldest->first, 0);
+    this->item_hashes.erase(oldest->first);
     this->items.erase(oldest);
 }
 
-bool cluster_state::take_configuration(const routing::published_item& item,
-                                       cluster_changes& out)
+bool cluster_state::apply_configuration(const routing::published_item& item,
+                                        cluster_changes& out)
 {
     if (item.removed)
         return true; // operators replace the configuration and never delete it
@@ -156,26 +157,26 @@
         std::make_shared<const routing::configuration>(*read));
     out.configuration_changed = true;
     this->last_change = std::max(this->last_change, item.revision);
-    this->note_change(item.key);
-    this->note_meaning(item.key, item.revision);
+    this->record_change(item.key);
+    this->update_digest(item.key, item.revision);
     return true;
 }
 
 // An upstream that was evacuated may be cold, whatever warm-up it published
 // before.
 routing::published_upstream
-cluster_state::taken_back(const routing::published_upstream& one) const
+cluster_state::with_full_warmup(const routing::published_upstream& one) const
 {
     routing::published_upstream out = one;
-    const routing::service* of =
+    const routing::service* service =
         this->table ? this->table->find_service(one.service) : nullptr;
-    if (of != nullptr)
-        out.warmup = std::max(out.warmup, of->warmup);
+    if (service != nullptr)
+        out.warmup = std::max(out.warmup, service->warmup);
     return out;
 }
 
-void cluster_state::take_evacuation(const routing::published_item& item,
-                                    cluster_changes& out)
+void cluster_state::apply_evacuation(const routing::published_item& item,
+                                     cluster_changes& out)
 {
     const std::string data_centre(platform::evacuated_data_centre(item.key));
     const bool evacuated = !item.removed;
@@ -185,98 +186,99 @@
         if (evacuated)
             out.removed.push_back({one.name, one.id});
         else
-            out.added.push_back(this->taken_back(one));
+            out.added.push_back(this->with_full_warmup(one));
     }
     if (was != evacuated)
         out.evacuations.push_back({data_centre, evacuated, item.revision});
     this->last_change = std::max(this->last_change, item.revision);
-    this->note_change(item.key);
-    this->note_meaning(item.key, evacuated ? item.revision : 0);
+    this->record_change(item.key);
+    this->update_digest(item.key, evacuated ? item.revision : 0);
 }
 
 // An unreadable value under an upstream's key was written by another program.
 // The upstream known under that key is removed; all others stay.
-bool cluster_state::take_upstream(const routing::published_item& item,
-                                  base::instant now,
-                                  cluster_changes& out)
+bool cluster_state::apply_upstream(const routing::published_item& item,
+                                   base::instant now,
+                                   cluster_changes& out)
 {
     const std::string name(platform::upstream_name(item.key));
     const auto before = this->directory.life_of(name);
     routing::upstream_change change = routing::upstream_change::none;
     bool readable = true;
-    std::uint64_t meaning = 0; // the item describes no upstream
+    std::uint64_t hash = 0; // the item describes no upstream
     if (item.removed) {
         change = this->directory.removed(
-            name, item.revision, this->lapse_bound(now));
-    } else if (const auto read = this->read_life(item, out)) {
+            name, item.revision, this->removal_deadline(now));
+    } else if (const auto read = this->read_upstream(item, out)) {
         change = this->directory.learn(*read);
-        meaning = meaning_of(*read);
+        hash = content_hash(*read);
     } else {
         readable = false;
         out.unreadable_items.push_back(item.key + ": " + read.error());
         change = this->directory.removed(name, item.revision, std::nullopt);
     }
-    this->note_meaning(item.key, meaning);
+    this->update_digest(item.key, hash);
     if (item.removed || change != routing::upstream_change::none) {
         this->last_change = std::max(this->last_change, item.revision);
-        this->note_change(item.key);
+        this->record_change(item.key);
     }
-    this->note_upstream(name, change, before, out);
+    this->record_upstream_change(name, change, before, out);
     return readable;
 }
 
 // XOR adds and removes an item's hash independently of the order in which items
 // arrive.
-void cluster_state::note_meaning(const std::string& key, std::uint64_t meaning)
+void cluster_state::update_digest(const std::string& key, std::uint64_t hash)
 {
-    std::uint64_t& known = this->meanings[key];
-    const std::uint64_t fresh =
-        meaning == 0 ? 0 : placement::mix(base::hash_name(key), meaning);
-    this->combined_digest ^= known ^ fresh;
-    known = fresh;
+    std::uint64_t& stored = this->item_hashes[key];
+    const std::uint64_t updated =
+        hash == 0 ? 0 : placement::mix(base::hash_name(key), hash);
+    this->combined_digest ^= stored ^ updated;
+    stored = updated;
 }
 
-void cluster_state::note_change(const std::string& key)
+void cluster_state::record_change(const std::string& key)
 {
     this->applied_changes += 1;
-    this->changed_as[key] = this->applied_changes;
+    this->change_numbers[key] = this->applied_changes;
 }
 
 // Once upstreams publish a time of birth, an item without one is not an
 // upstream's.
 tl::expected<routing::published_upstream, std::string>
-cluster_state::read_life(const routing::published_item& item,
-                         cluster_changes& out)
+cluster_state::read_upstream(const routing::published_item& item,
+                             cluster_changes& out)
 {
     auto read = platform::read_upstream(item);
     if (!read)
         return read;
-    if (read->born && !this->lives_told)
-        this->drop_unborn(out);
-    if (this->lives_told && !read->born)
+    if (read->born && !this->births_published)
+        this->drop_upstreams_without_birth(out);
+    if (this->births_published && !read->born)
         return tl::unexpected(std::string("no time of birth"));
     return read;
 }
 
-void cluster_state::drop_unborn(cluster_changes& out)
+void cluster_state::drop_upstreams_without_birth(cluster_changes& out)
 {
-    this->lives_told = true;
-    std::vector<routing::published_upstream> unborn;
+    this->births_published = true;
+    std::vector<routing::published_upstream> without_birth;
     this->directory.for_each_usable(
         [&](const routing::published_upstream& one) {
             if (!one.born)
-                unborn.push_back(one);
+                without_birth.push_back(one);
         });
-    for (const routing::published_upstream& one : unborn) {
+    for (const routing::published_upstream& one : without_birth) {
         this->directory.removed(one.name, one.revision, std::nullopt);
         out.removed.push_back({one.name, one.id});
     }
 }
 
-void cluster_state::note_upstream(const std::string& name,
-                                  routing::upstream_change change,
-                                  std::optional<base::upstream_id> before,
-                                  cluster_changes& out)
+void cluster_state::record_upstream_change(
+    const std::string& name,
+    routing::upstream_change change,
+    std::optional<base::upstream_id> before,
+    cluster_changes& out)
 {
     using routing::upstream_change;
     if (change == upstream_change::none)
@@ -290,34 +292,37 @@
     out.added.push_back(*this->directory.find(*life));
 }
 
-std::optional<base::instant> cluster_state::lapse_bound(base::instant now) const
+std::optional<base::instant>
+cluster_state::removal_deadline(base::instant now) const
 {
-    if (this->away_since && now - *this->away_since >= outage_least)
-        return now + told_by_peer;
-    if (now < this->doubted_until)
-        return this->doubted_until;
+    if (this->store_failing_since &&
+        now - *this->store_failing_since >= min_outage)
+        return now + peer_removal_delay;
+    if (now < this->removals_deferred_until)
+        return this->removals_deferred_until;
     return std::nullopt;
 }
 
 void cluster_state::on_store_answered(base::instant now)
 {
-    if (this->away_since && now - *this->away_since >= outage_least)
-        this->doubted_until = now + reported_anew;
-    this->away_since.reset();
+    if (this->store_failing_since &&
+        now - *this->store_failing_since >= min_outage)
+        this->removals_deferred_until = now + report_grace_period;
+    this->store_failing_since.reset();
 }
 
 void cluster_state::on_store_failed(base::instant now)
 {
-    if (!this->away_since)
-        this->away_since = now;
+    if (!this->store_failing_since)
+        this->store_failing_since = now;
 }
 
 cluster_changes cluster_state::expire(base::instant now)
 {
     cluster_changes out;
-    std::vector<std::string> gone;
-    this->directory.expire(now, gone);
-    for (const std::string& name : gone)
+    std::vector<std::string> expired;
+    this->directory.expire(now, expired);
+    for (const std::string& name : expired)
         out.removed.push_back({name, *this->directory.life_of(name)});
     return out;
 }
@@ -368,9 +373,9 @@
     out.changes = this->applied_changes;
     out.whole = changes == 0;
     for (const auto& [key, item] : this->items) {
-        const auto found = this->changed_as.find(key);
+        const auto found = this->change_numbers.find(key);
         const bool changed =
-            found != this->changed_as.end() && found->second > changes;
+            found != this->change_numbers.end() && found->second > changes;
         if (out.whole ? !item.removed : changed)
             out.items.push_back(item);
     }
--- a/src/greengagedrum/entry/cluster_state.hpp
+++ b/src/greengagedrum/entry/cluster_state.hpp
@@ -55,7 +55,7 @@
 
     // Items received from a peer, which cover all changes since
     // last_change_revision().
-    cluster_changes apply(const gossip::item_transfer& passed,
+    cluster_changes apply(const gossip::item_transfer& transfer,
                           base::instant now);
 
     // The outcome of a call to the store.
@@ -92,30 +92,30 @@
     gossip::item_transfer items_after_change(std::uint64_t changes) const;
 
 private:
-    void take(const routing::published_item& item,
-              base::instant now,
-              cluster_changes& out);
+    void apply_item(const routing::published_item& item,
+                    base::instant now,
+                    cluster_changes& out);
     // False if the item can't be read.
-    bool take_configuration(const routing::published_item& item,
-                            cluster_changes& out);
-    bool take_upstream(const routing::published_item& item,
-                       base::instant now,
-                       cluster_changes& out);
-    void take_evacuation(const routing::published_item& item,
-                         cluster_changes& out);
+    bool apply_configuration(const routing::published_item& item,
+                             cluster_changes& out);
+    bool apply_upstream(const routing::published_item& item,
+                        base::instant now,
+                        cluster_changes& out);
+    void apply_evacuation(const routing::published_item& item,
+                          cluster_changes& out);
     routing::published_upstream
-    taken_back(const routing::published_upstream& one) const;
-    void note_upstream(const std::string& name,
-                       routing::upstream_change change,
-                       std::optional<base::upstream_id> before,
-                       cluster_changes& out);
+    with_full_warmup(const routing::published_upstream& one) const;
+    void record_upstream_change(const std::string& name,
+                                routing::upstream_change change,
+                                std::optional<base::upstream_id> before,
+                                cluster_changes& out);
     tl::expected<routing::published_upstream, std::string>
-    read_life(const routing::published_item& item, cluster_changes& out);
-    void drop_unborn(cluster_changes& out);
-    void note_change(const std::string& key);
-    void note_meaning(const std::string& key, std::uint64_t meaning);
-    void drop_oldest_spent();
-    std::optional<base::instant> lapse_bound(base::instant now) const;
+    read_upstream(const routing::published_item& item, cluster_changes& out);
+    void drop_upstreams_without_birth(cluster_changes& out);
+    void record_change(const std::string& key);
+    void update_digest(const std::string& key, std::uint64_t hash);
+    void drop_oldest_empty_item();
+    std::optional<base::instant> removal_deadline(base::instant now) const;
 
     std::map<std::string, routing::published_item, std::less<>> items;
     routing::route_table_ptr table;
@@ -124,12 +124,12 @@
     std::uint64_t last_change = 0;
     std::uint64_t applied_changes = 0;
     // For each item that changed the state: its change number.
-    std::unordered_map<std::string, std::uint64_t> changed_as;
+    std::unordered_map<std::string, std::uint64_t> change_numbers;
     std::uint64_t combined_digest = 0;
-    std::unordered_map<std::string, std::uint64_t> meanings; // by item key
-    bool lives_told = false; // some upstream published a time of birth
-    std::optional<base::instant> away_since;
-    base::instant doubted_until;
+    std::unordered_map<std::string, std::uint64_t> item_hashes; // by item key
+    bool births_published = false; // some upstream published a time of birth
+    std::optional<base::instant> store_failing_since;
+    base::instant removals_deferred_until;
 };
 
 } // namespace greengagedrum::entry
