--- a/src/greengagedrum/entry/rate_limited_log.hpp
+++ b/src/greengagedrum/entry/rate_limited_log.hpp
@@ -20,18 +20,18 @@
 {
 public:
     void write(base::instant now,
-               std::string_view duty,
+               std::string_view component,
                std::string_view event,
                std::initializer_list<logs::field> fields);
 
-    std::uint64_t suppressed_lines() const { return this->held_total; }
+    std::uint64_t suppressed_lines() const { return this->suppressed_total; }
 
 private:
-    double allowance = 0;
-    base::instant filled_at;
-    std::uint64_t held = 0; // suppressed since the last line
-    std::uint64_t held_total = 0;
-    bool begun = false;
+    double tokens = 0;
+    base::instant refilled_at;
+    std::uint64_t suppressed = 0; // suppressed since the last line
+    std::uint64_t suppressed_total = 0;
+    bool started = false;
 };
 
 } // namespace greengagedrum::entry
