--- a/src/greengagedrum/entry/request_handler.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -13,7 +13,7 @@
 
 // The smallest instances allow about 4,000 file descriptors, and each request
 // in progress needs a second one.
-constexpr std::size_t callers_most = 1800;
+constexpr std::size_t max_callers = 1800;
 
 // Limits used until a configuration is known, and for those that the
 // configuration leaves out.
@@ -22,10 +22,11 @@
 constexpr base::duration default_time_left = std::chrono::seconds(30);
 
 // The configuration arrives within a few store calls after the start.
-constexpr base::duration until_configured = std::chrono::milliseconds(500);
+constexpr base::duration retry_after_unconfigured =
+    std::chrono::milliseconds(500);
 
 // Without a hint, the expected output is the maximum divided by this.
-constexpr std::uint32_t output_part = 2;
+constexpr std::uint32_t output_divisor = 2;
 
 std::string_view path_of(std::string_view target)
 {
@@ -44,14 +45,14 @@
                                  const base::ip_endpoint& address,
                                  shared_state& state)
     : context(context), acceptor(relay::listen_on(context, address)),
-      state(state), dice(std::random_device{}())
+      state(state), random_engine(std::random_device{}())
 {
     this->events.request = [this](const relay::caller_ptr& from,
                                   base::duration waited) {
         this->on_request(from, waited);
     };
     this->events.left = [this](const relay::caller_ptr& from) {
-        this->on_left(from);
+        this->on_caller_left(from);
     };
     this->events.refused = [this](const relay::read_fault& fault) {
         this->state.log.write(this->state.clock(),
@@ -68,20 +69,20 @@
 
 void request_handler::accept()
 {
-    this->acceptor.async_accept(
-        [this](relay::error_code fault, relay::tcp::socket socket) {
-            if (fault == relay::asio::error::operation_aborted)
-                return;
-            if (!fault && this->callers.size() < callers_most) {
-                const auto fresh = std::make_shared<relay::caller_connection>(
-                    std::move(socket), this->events, this->bounds());
-                if (this->state.stopping)
-                    fresh->set_closing();
-                this->callers.insert(fresh);
-                fresh->start();
-            }
-            this->accept();
-        });
+    this->acceptor.async_accept([this](relay::error_code fault,
+                                       relay::tcp::socket socket) {
+        if (fault == relay::asio::error::operation_aborted)
+            return;
+        if (!fault && this->callers.size() < max_callers) {
+            const auto connection = std::make_shared<relay::caller_connection>(
+                std::move(socket), this->events, this->bounds());
+            if (this->state.stopping)
+                connection->set_closing();
+            this->callers.insert(connection);
+            connection->start();
+        }
+        this->accept();
+    });
 }
 
 relay::caller_bounds request_handler::bounds() const
@@ -109,8 +110,10 @@
     return {own.address().to_string(), own.port()};
 }
 
-std::optional<relay::own_answer> request_handler::admit(
-    const relay::request_head& head, base::duration waited, admitted& out)
+std::optional<relay::own_answer>
+request_handler::admit(const relay::request_head& head,
+                       base::duration waited,
+                       request_properties& out)
 {
     using relay::own_answer;
     if (auto fault = platform::read_request_marks(head, out.origin.marks))
@@ -119,7 +122,7 @@
         return own_answer{400, "no request id", {}};
     const routing::route_table_ptr& table = this->state.cluster.routes();
     if (!table)
-        return own_answer{503, "not_configured", until_configured};
+        return own_answer{503, "not_configured", retry_after_unconfigured};
     const auto host = relay::find_header(head.headers, "Host").value_or("");
     const routing::route* route = table->find_route(host, path_of(head.target));
     if (route == nullptr)
@@ -139,11 +142,11 @@
 void request_handler::fill_facts(const routing::route& route,
                                  const routing::workspace* owner,
                                  base::duration waited,
-                                 admitted& out)
+                                 request_properties& out)
 {
     const platform::request_marks& marks = out.origin.marks;
     const double draw =
-        std::uniform_real_distribution<double>(0.0, 1.0)(this->dice);
+        std::uniform_real_distribution<double>(0.0, 1.0)(this->random_engine);
     const routing::route_target& target =
         routing::route_table::pick_target(route, draw);
     traffic::request_facts& facts = out.facts;
@@ -158,7 +161,7 @@
     facts.gap_objective = route.gap_objective;
     facts.prompt_tokens = marks.prompt_tokens.value_or(0);
     facts.output_tokens =
-        marks.expected_tokens.value_or(marks.output_tokens / output_part);
+        marks.expected_tokens.value_or(marks.output_tokens / output_divisor);
     base::duration left = marks.time_left.value_or(default_time_left) - waited;
     if (route.timeout.count() > 0)
         left = std::min(left, route.timeout - waited);
@@ -186,7 +189,7 @@
     const base::instant now = this->state.clock();
     if (this->state.stopping)
         from->set_closing();
-    admitted request;
+    request_properties request;
     const auto refusal = this->admit(from->head(), waited, request);
     const std::string attempt = request.origin.marks.attempt;
     if (refusal)
@@ -194,9 +197,9 @@
     const relay::request_head& head = from->head();
     request.facts.digest = base::digest_of_request(
         request.origin.workspace, head.method, head.target, from->body());
-    const bool counted = !this->state.delegating;
-    const auto over =
-        counted
+    const bool counted_here = !this->state.delegating;
+    const auto retry_after =
+        counted_here
             ? this->state.limiter.take(
                   request.workspace, request.cost, request.facts.priority, now)
             : std::nullopt;
@@ -215,25 +218,29 @@
          {"cost", request.cost},
          {"limit_level",
           this->state.limiter.view(request.workspace, now).level}});
-    if (over) {
-        this->log_over_limit(
-            request.workspace, request.cost, request.facts.priority, *over);
+    if (retry_after) {
+        this->log_over_limit(request.workspace,
+                             request.cost,
+                             request.facts.priority,
+                             *retry_after);
         return this->refuse(
-            from, attempt, relay::own_answer{429, "limit_reached", over});
+            from,
+            attempt,
+            relay::own_answer{429, "limit_reached", retry_after});
     }
     const base::request_id id{this->next_request++};
     request.origin.id = id;
-    active_request& fresh = this->requests[id];
-    fresh.arrived = now - waited;
-    fresh.workspace = request.workspace;
-    fresh.cost = request.cost;
-    fresh.priority = request.facts.priority;
-    fresh.counted_here = counted;
-    fresh.series = request.series;
-    fresh.digest = request.facts.digest;
-    fresh.objective = request.facts.objective;
-    fresh.gap_objective = request.facts.gap_objective;
-    fresh.http_exchange = this->make_exchange(from, std::move(request.origin));
+    active_request& active = this->requests[id];
+    active.arrived = now - waited;
+    active.workspace = request.workspace;
+    active.cost = request.cost;
+    active.priority = request.facts.priority;
+    active.counted_here = counted_here;
+    active.series = request.series;
+    active.digest = request.facts.digest;
+    active.objective = request.facts.objective;
+    active.gap_objective = request.facts.gap_objective;
+    active.http_exchange = this->make_exchange(from, std::move(request.origin));
     this->by_caller[from.get()] = id;
     this->submit_event(traffic::request_arrived{id, request.facts});
     if (this->state.delegating)
@@ -242,19 +249,19 @@
 
 void request_handler::refuse(const relay::caller_ptr& from,
                              const std::string& attempt,
-                             const relay::own_answer& what)
+                             const relay::own_answer& answer)
 {
     this->state.log.write(
         this->state.clock(),
         "front",
         "request_refused",
         {{"request", attempt},
-         {"status", what.status},
-         {"why", what.reason},
+         {"status", answer.status},
+         {"why", answer.reason},
          {"config_version", this->state.cluster.configuration_version()},
          {"retry_after_ms",
-          to_milliseconds(what.retry_after.value_or(base::duration(0)))}});
-    from->answer(what);
+          to_milliseconds(answer.retry_after.value_or(base::duration(0)))}});
+    from->answer(answer);
 }
 
 std::shared_ptr<exchange>
@@ -263,17 +270,17 @@
 {
     exchange::owner_events owner;
     const base::request_id id = origin.id;
-    owner.told = [this](const traffic::event& what) {
-        this->submit_event(what);
+    owner.told = [this](const traffic::event& event) {
+        this->submit_event(event);
     };
-    owner.reported = [this, id](const send_report& what) {
-        this->reported(id, what);
+    owner.reported = [this, id](const send_report& report) {
+        this->log_send_report(id, report);
     };
     return std::make_shared<exchange>(
         this->context, from, std::move(origin), std::move(owner));
 }
 
-void request_handler::on_left(const relay::caller_ptr& from)
+void request_handler::on_caller_left(const relay::caller_ptr& from)
 {
     const auto found = this->by_caller.find(from.get());
     if (found == this->by_caller.end())
@@ -304,24 +311,24 @@
 
 void request_handler::place_waiting_requests()
 {
-    if (this->working)
+    if (this->processing_events)
         return;
-    this->working = true;
-    traffic::actions orders;
-    this->state.scheduler.place(this->state.clock(), orders);
-    this->execute(orders);
-    this->decide_backlog();
-    this->working = false;
+    this->processing_events = true;
+    traffic::actions actions;
+    this->state.scheduler.place(this->state.clock(), actions);
+    this->execute(actions);
+    this->process_pending_events();
+    this->processing_events = false;
 }
 
 void request_handler::tick()
 {
-    this->working = true;
-    traffic::actions orders;
-    this->state.scheduler.tick(this->state.clock(), orders);
-    this->execute(orders);
-    this->decide_backlog();
-    this->working = false;
+    this->processing_events = true;
+    traffic::actions actions;
+    this->state.scheduler.tick(this->state.clock(), actions);
+    this->execute(actions);
+    this->process_pending_events();
+    this->processing_events = false;
     const base::instant now = this->state.clock();
     const std::vector<relay::caller_ptr> all(this->callers.begin(),
                                              this->callers.end());
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -114,12 +114,12 @@
         base::instant last_event_at;
         base::duration longest_gap{0}; // between events
 
-        bool in_time(base::instant first) const;
+        bool in_time(base::instant first_event) const;
     };
 
     // A request's properties, collected before it is submitted to the
     // scheduler.
-    struct admitted {
+    struct request_properties {
         request_origin origin;
         traffic::request_facts facts;
         base::workspace_id workspace;
@@ -129,37 +129,37 @@
 
     void accept();
     void on_request(const relay::caller_ptr& from, base::duration waited);
-    void on_left(const relay::caller_ptr& from);
+    void on_caller_left(const relay::caller_ptr& from);
     // Returns the error response for a request that is not admitted; otherwise
     // fills `out`.
     std::optional<relay::own_answer> admit(const relay::request_head& head,
                                            base::duration waited,
-                                           admitted& out);
+                                           request_properties& out);
     void fill_facts(const routing::route& route,
                     const routing::workspace* owner,
                     base::duration waited,
-                    admitted& out);
+                    request_properties& out);
     void refuse(const relay::caller_ptr& from,
                 const std::string& attempt,
-                const relay::own_answer& what);
+                const relay::own_answer& answer);
     std::shared_ptr<exchange> make_exchange(const relay::caller_ptr& from,
                                             request_origin origin);
-    void submit_event(const traffic::event& what);
-    void decide_backlog();
-    void reported(base::request_id id, const send_report& what);
-    void note_progress(const traffic::event& what);
-    void misdirected(base::upstream_id upstream);
-    void note_misdirection(const traffic::event& what);
-    void execute(const traffic::actions& orders);
-    void execute_action(const traffic::send_request& order);
-    void execute_action(const traffic::stop_send& order);
-    void execute_action(const traffic::deliver_answer& order);
-    void execute_action(const traffic::end_request& order);
-    void execute_action(const traffic::check_upstream& order);
+    void submit_event(const traffic::event& event);
+    void process_pending_events();
+    void log_send_report(base::request_id id, const send_report& report);
+    void record_progress(const traffic::event& event);
+    void mark_misdirected(base::upstream_id upstream);
+    void handle_misdirection(const traffic::event& event);
+    void execute(const traffic::actions& actions);
+    void execute_action(const traffic::send_request& action);
+    void execute_action(const traffic::stop_send& action);
+    void execute_action(const traffic::deliver_answer& action);
+    void execute_action(const traffic::end_request& action);
+    void execute_action(const traffic::check_upstream& action);
     void execute_action(const traffic::trust_changed& change);
     void execute_action(const quarantine::standing_change& change);
-    void grant_slot(const traffic::send_request& order);
-    void decline_slot(const traffic::end_request& order);
+    void grant_slot(const traffic::send_request& action);
+    void decline_slot(const traffic::end_request& action);
     void apply_member_changes(const dispatch::request_changes& news);
     routing::homes homes_of(const traffic::request_facts& facts) const;
     void add_member_request(base::request_id id,
@@ -185,13 +185,13 @@
     std::unordered_map<base::request_id, active_request> requests;
     std::unordered_map<relay::caller_connection*, base::request_id> by_caller;
     std::unordered_map<base::request_id, base::upstream_id> sent_to;
-    std::unordered_set<base::upstream_id> checked; // in progress
+    std::unordered_set<base::upstream_id> connect_checks; // in progress
     dispatch::dispatcher_book members;
     dispatch::send_journal journal;
     std::uint64_t next_request = 1;
-    std::mt19937_64 dice;
-    bool working = false; // new events go to pending_events
-    std::vector<traffic::event> backlog;
+    std::mt19937_64 random_engine;
+    bool processing_events = false; // new events go to pending_events
+    std::vector<traffic::event> pending_events;
 };
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -15,40 +15,40 @@
 
 // A process that exits may close its listening socket later than its
 // connections, so the connect check waits this long.
-constexpr base::duration check_after = std::chrono::milliseconds(20);
+constexpr base::duration connect_check_delay = std::chrono::milliseconds(20);
 
 } // namespace
 
 // Executing an action may submit another event at once. That event is processed
 // after all actions of the current one have been executed.
-void request_handler::submit_event(const traffic::event& what)
+void request_handler::submit_event(const traffic::event& event)
 {
-    this->backlog.push_back(what);
-    if (this->working)
+    this->pending_events.push_back(event);
+    if (this->processing_events)
         return;
-    this->working = true;
-    this->decide_backlog();
-    this->working = false;
+    this->processing_events = true;
+    this->process_pending_events();
+    this->processing_events = false;
 }
 
-void request_handler::decide_backlog()
+void request_handler::process_pending_events()
 {
-    while (!this->backlog.empty()) {
-        const traffic::event next = this->backlog.front();
-        this->backlog.erase(this->backlog.begin());
-        this->note_progress(next);
-        this->note_misdirection(next);
+    while (!this->pending_events.empty()) {
+        const traffic::event event = this->pending_events.front();
+        this->pending_events.erase(this->pending_events.begin());
+        this->record_progress(event);
+        this->handle_misdirection(event);
         if (this->state.delegating)
-            this->journal.note(next);
-        traffic::actions orders;
-        this->state.scheduler.step(next, this->state.clock(), orders);
-        this->execute(orders);
+            this->journal.note(event);
+        traffic::actions actions;
+        this->state.scheduler.step(event, this->state.clock(), actions);
+        this->execute(actions);
     }
 }
 
-void request_handler::note_progress(const traffic::event& what)
+void request_handler::record_progress(const traffic::event& event)
 {
-    const auto* progress = std::get_if<traffic::progressed>(&what);
+    const auto* progress = std::get_if<traffic::progressed>(&event);
     if (progress == nullptr)
         return;
     const auto found = this->requests.find(progress->request);
@@ -64,24 +64,25 @@
     request.last_event_at = now;
 }
 
-bool request_handler::active_request::in_time(base::instant first) const
+bool request_handler::active_request::in_time(base::instant first_event) const
 {
     const bool steady = this->gap_objective.count() == 0 ||
                         this->longest_gap <= this->gap_objective;
-    return steady && first - this->arrived <= this->objective;
+    return steady && first_event - this->arrived <= this->objective;
 }
 
-void request_handler::note_misdirection(const traffic::event& what)
+void request_handler::handle_misdirection(const traffic::event& event)
 {
-    const auto* away = std::get_if<traffic::turned_away>(&what);
-    if (away == nullptr || away->why != traffic::turn_away::misdirected)
+    const auto* turned_away = std::get_if<traffic::turned_away>(&event);
+    if (turned_away == nullptr ||
+        turned_away->why != traffic::turn_away::misdirected)
         return;
-    const auto found = this->sent_to.find(away->request);
+    const auto found = this->sent_to.find(turned_away->request);
     if (found != this->sent_to.end())
-        this->misdirected(found->second);
+        this->mark_misdirected(found->second);
 }
 
-void request_handler::misdirected(base::upstream_id upstream)
+void request_handler::mark_misdirected(base::upstream_id upstream)
 {
     this->apply_upstream_changes(
         this->state.cluster.mark_misdirected(upstream));
@@ -99,28 +100,29 @@
     }
 }
 
-void request_handler::execute(const traffic::actions& orders)
+void request_handler::execute(const traffic::actions& actions)
 {
-    for (const traffic::action& one : orders)
-        std::visit([this](const auto& order) { this->execute_action(order); },
+    for (const traffic::action& one : actions)
+        std::visit([this](const auto& action) { this->execute_action(action); },
                    one);
-    if (!orders.empty())
+    if (!actions.empty())
         this->on_load_changed();
 }
 
-void request_handler::execute_action(const traffic::send_request& order)
+void request_handler::execute_action(const traffic::send_request& action)
 {
-    if (dispatch::dispatcher_book::is_members(order.request))
-        return this->grant_slot(order);
-    active_request& request = this->requests.at(order.request);
+    if (dispatch::dispatcher_book::is_members(action.request))
+        return this->grant_slot(action);
+    active_request& request = this->requests.at(action.request);
     const base::instant now = this->state.clock();
     const routing::published_upstream* to =
-        this->state.cluster.upstreams().find(order.upstream);
+        this->state.cluster.upstreams().find(action.upstream);
     if (to == nullptr) {
         // The upstream was removed earlier in this iteration of the loop.
-        return this->submit_event(traffic::not_sent{order.request, order.send});
+        return this->submit_event(
+            traffic::not_sent{action.request, action.send});
     }
-    this->sent_to[order.request] = order.upstream;
+    this->sent_to[action.request] = action.upstream;
     request.last_sent_at = now;
     request.upstream = to->name;
     if (!request.sent_at) {
@@ -134,70 +136,70 @@
         "scheduler",
         "request_sent",
         {{"request", http_exchange->source().marks.attempt},
-         {"send", order.send},
+         {"send", action.send},
          {"upstream", to->name},
-         {"waited_ms", to_milliseconds(order.why.waited)},
-         {"own", order.why.own},
-         {"others", order.why.others},
-         {"places", order.why.places},
-         {"told_age_ms", to_milliseconds(order.why.told_age)},
-         {"expected_ms", to_milliseconds(order.why.first_event)},
-         {"gap_ms", to_milliseconds(order.why.gap)},
-         {"suits", order.why.suits},
+         {"waited_ms", to_milliseconds(action.why.waited)},
+         {"own", action.why.own},
+         {"others", action.why.others},
+         {"places", action.why.places},
+         {"told_age_ms", to_milliseconds(action.why.told_age)},
+         {"expected_ms", to_milliseconds(action.why.first_event)},
+         {"gap_ms", to_milliseconds(action.why.gap)},
+         {"suits", action.why.suits},
          {"store_revision", this->state.cluster.store_revision()}});
-    http_exchange->send(order.send, *to, order.end_at - now);
+    http_exchange->send(action.send, *to, action.end_at - now);
 }
 
-void request_handler::execute_action(const traffic::stop_send& order)
+void request_handler::execute_action(const traffic::stop_send& action)
 {
-    const auto found = this->requests.find(order.request);
+    const auto found = this->requests.find(action.request);
     if (found == this->requests.end())
         return;
     found->second.http_exchange->stop_send();
-    this->reported(order.request, {order.send, 0, 0, "stopped here"});
+    this->log_send_report(action.request, {action.send, 0, 0, "stopped here"});
 }
 
-void request_handler::execute_action(const traffic::deliver_answer& order)
+void request_handler::execute_action(const traffic::deliver_answer& action)
 {
-    const auto found = this->requests.find(order.request);
+    const auto found = this->requests.find(action.request);
     if (found == this->requests.end())
         return;
     const std::shared_ptr<exchange> http_exchange = found->second.http_exchange;
-    this->finish(order.request, nullptr);
+    this->finish(action.request, nullptr);
     http_exchange->deliver(this->state.stopping);
 }
 
-void request_handler::execute_action(const traffic::end_request& order)
+void request_handler::execute_action(const traffic::end_request& action)
 {
-    if (dispatch::dispatcher_book::is_members(order.request))
-        return this->decline_slot(order);
-    const auto found = this->requests.find(order.request);
+    if (dispatch::dispatcher_book::is_members(action.request))
+        return this->decline_slot(action);
+    const auto found = this->requests.find(action.request);
     if (found == this->requests.end())
         return;
     const std::shared_ptr<exchange> http_exchange = found->second.http_exchange;
-    if (order.verdict.run == base::run_state::not_run)
+    if (action.verdict.run == base::run_state::not_run)
         this->refund_cost(found->second);
-    this->finish(order.request, &order.verdict);
-    http_exchange->end(order.verdict);
+    this->finish(action.request, &action.verdict);
+    http_exchange->end(action.verdict);
 }
 
 // Runs a single connect check per upstream, however many connections to it were
 // lost.
-void request_handler::execute_action(const traffic::check_upstream& order)
+void request_handler::execute_action(const traffic::check_upstream& action)
 {
     const routing::published_upstream* to =
-        this->state.cluster.upstreams().find_alive(order.upstream);
+        this->state.cluster.upstreams().find_alive(action.upstream);
     if (to == nullptr)
         return this->submit_event(
-            traffic::upstream_checked{order.upstream, false});
-    if (!this->checked.insert(order.upstream).second)
+            traffic::upstream_checked{action.upstream, false});
+    if (!this->connect_checks.insert(action.upstream).second)
         return;
     const auto check = std::make_shared<relay::connect_check>(
-        this->context, [this, upstream = order.upstream](bool accepts) {
-            this->checked.erase(upstream);
+        this->context, [this, upstream = action.upstream](bool accepts) {
+            this->connect_checks.erase(upstream);
             this->submit_event(traffic::upstream_checked{upstream, accepts});
         });
-    check->start(to->address, check_after);
+    check->start(to->address, connect_check_delay);
 }
 
 void request_handler::execute_action(const traffic::trust_changed& change)
@@ -268,7 +270,8 @@
     this->requests.erase(found);
 }
 
-void request_handler::reported(base::request_id id, const send_report& what)
+void request_handler::log_send_report(base::request_id id,
+                                      const send_report& report)
 {
     const auto found = this->requests.find(id);
     if (found == this->requests.end())
@@ -278,15 +281,15 @@
     this->state.log.write(
         now,
         "exchange",
-        what.why.empty() ? "send_answered" : "send_failed",
+        report.why.empty() ? "send_answered" : "send_failed",
         {{"request", request.http_exchange->source().marks.attempt},
          {"digest", base::to_hex(request.digest)},
-         {"send", what.send},
+         {"send", report.send},
          {"upstream", request.upstream},
          {"ran_ms", to_milliseconds(now - request.last_sent_at)},
-         {"status", what.status},
-         {"events", what.events},
-         {"why", what.why}});
+         {"status", report.status},
+         {"events", report.events},
+         {"why", report.why}});
 }
 
 } // namespace greengagedrum::entry
