--- a/src/greengagedrum/entry/store_reader.hpp
+++ b/src/greengagedrum/entry/store_reader.hpp
@@ -44,7 +44,7 @@
     static base::duration poll_interval_for(base::duration bound);
     void set_update_bound(base::duration bound)
     {
-        this->pause = poll_interval_for(bound);
+        this->poll_interval = poll_interval_for(bound);
     }
 
     void start();
@@ -61,16 +61,16 @@
     void stop();
 
 private:
-    void ask();
-    void ask_page();
-    void ask_watch();
-    void on_page(const relay::fetched& got);
-    void on_watch(const relay::fetched& got);
-    void on_part(routing::item_list& items);
-    void watch_failed(const std::string& why);
-    void again_after(base::duration pause);
-    bool rests() const;
-    void failed(const std::string& why);
+    void start_call();
+    void request_page();
+    void request_watch();
+    void on_page(const relay::fetched& response);
+    void on_watch(const relay::fetched& response);
+    void on_partial_page(routing::item_list& items);
+    void on_watch_failed(const std::string& why);
+    void schedule_next_call(base::duration pause);
+    bool is_idle() const;
+    void on_failure(const std::string& why);
 
     relay::asio::steady_timer timer;
     std::shared_ptr<relay::http_get> client;
@@ -78,11 +78,11 @@
     store_events events;
     routing::item_list pages; // the pages of a full listing in progress
     std::string last_key;
-    std::uint64_t pages_as_of = 0;
-    base::duration pause{0}; // pause between watches
-    std::uint64_t after = 0; // 0: all items are to be read
+    std::uint64_t pages_revision = 0;
+    base::duration poll_interval{0}; // pause between watches
+    std::uint64_t last_revision = 0; // 0: all items are to be read
     std::uint32_t failures = 0;
-    bool asking = false;
+    bool call_in_progress = false;
     bool stopped = false;
 };
 
