--- a/src/greengagedrum/entry/crash_suspect_log.cpp
+++ b/src/greengagedrum/entry/crash_suspect_log.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-std::string_view event_of(quarantine::standing what)
+std::string_view event_name(quarantine::standing what)
 {
     using quarantine::standing;
     switch (what) {
@@ -46,7 +46,7 @@
         state.scheduler.crash_suspects().pause_left(change.request, now);
     state.log.write(now,
                     "quarantine",
-                    event_of(change.now),
+                    event_name(change.now),
                     {{"digest", base::to_hex(change.request)},
                      {"workspace", workspace_name(state, change.workspace)},
                      {"crashes", change.crashes},
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -17,11 +17,11 @@
 
 // Start value of the loop's clock, so that a default time stamp ("never") lies
 // well before every time.
-constexpr base::duration epoch = std::chrono::hours(1);
+constexpr base::duration loop_clock_start = std::chrono::hours(1);
 
 // Combinations of workspace, tier and route that have their own histograms;
 // each takes about 5.5 KiB.
-constexpr std::size_t series_most = 256;
+constexpr std::size_t max_metric_series = 256;
 
 base::incarnation new_incarnation()
 {
@@ -37,12 +37,13 @@
 }
 
 std::function<base::instant()>
-loop_clock(std::chrono::steady_clock::time_point began)
+loop_clock(std::chrono::steady_clock::time_point started_at)
 {
-    return [began] {
-        const auto passed = std::chrono::steady_clock::now() - began;
+    return [started_at] {
+        const auto passed = std::chrono::steady_clock::now() - started_at;
         return base::instant(
-            epoch + std::chrono::duration_cast<base::duration>(passed));
+            loop_clock_start +
+            std::chrono::duration_cast<base::duration>(passed));
     };
 }
 
@@ -53,12 +54,12 @@
       started_at(std::chrono::steady_clock::now()),
       state{loop_clock(this->started_at),
             cluster_state(),
-            quota::usage_limiter(base::instant(epoch)),
+            quota::usage_limiter(base::instant(loop_clock_start)),
             traffic::scheduler(
                 retry_bounds_of(given.bounds),
                 {given.data_centre, base::hash_name(given.instance)}),
             rate_limited_log(),
-            telemetry::registry(series_most),
+            telemetry::registry(max_metric_series),
             false,
             false,
             given.regions},
@@ -88,26 +89,26 @@
             this->peers->on_message(bytes, from);
         },
         [this] { this->peers->wake(); });
-    store_events store_told;
-    store_told.items_received = [this](const routing::item_list& items,
-                                       std::uint64_t as_of,
-                                       bool whole) {
+    store_events store_callbacks;
+    store_callbacks.items_received = [this](const routing::item_list& items,
+                                            std::uint64_t as_of,
+                                            bool whole) {
         this->on_store_items(items, as_of, whole, "store");
     };
-    store_told.page_received = [this](const routing::item_list& items) {
+    store_callbacks.page_received = [this](const routing::item_list& items) {
         this->apply_changes(
             this->state.cluster.apply(items, 0, false, this->state.clock()),
             "store");
     };
-    store_told.call_failed = [this](const std::string& why) {
+    store_callbacks.call_failed = [this](const std::string& why) {
         this->on_store_failed(why);
     };
-    store_told.call_answered = [this] { this->on_store_answered(); };
-    store_told.peer_reads_store = [this] {
+    store_callbacks.call_answered = [this] { this->on_store_answered(); };
+    store_callbacks.peer_reads_store = [this] {
         return this->peers->store_is_read();
     };
     this->store = std::make_unique<store_reader>(
-        this->context, given.store_address, std::move(store_told));
+        this->context, given.store_address, std::move(store_callbacks));
     this->store->set_update_bound(given.bounds.shortest_update_delay());
     this->readiness_server = std::make_unique<relay::small_server>(
         this->context,
