--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -57,7 +57,7 @@
 }
 
 routing::published_item
-born_item(const char* name, std::uint64_t born, std::uint64_t revision)
+item_with_birth(const char* name, std::uint64_t born, std::uint64_t revision)
 {
     routing::published_item out = upstream_item(name, revision);
     out.value.back() = ',';
@@ -67,15 +67,17 @@
 
 struct cluster_state_fixture {
     base::instant now{1h};
-    cluster_state known;
+    cluster_state cluster;
 
-    cluster_changes whole(const routing::item_list& items, std::uint64_t as_of)
+    cluster_changes apply_listing(const routing::item_list& items,
+                                  std::uint64_t as_of)
     {
-        return this->known.apply(items, as_of, true, this->now);
+        return this->cluster.apply(items, as_of, true, this->now);
     }
-    cluster_changes news(const routing::item_list& items, std::uint64_t as_of)
+    cluster_changes apply_changes(const routing::item_list& items,
+                                  std::uint64_t as_of)
     {
-        return this->known.apply(items, as_of, false, this->now);
+        return this->cluster.apply(items, as_of, false, this->now);
     }
 };
 
@@ -85,27 +87,29 @@
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "evacuated_upstreams_leave_and_come_back")
 {
-    this->whole({upstream_item("i-1", 4)}, 4);
+    this->apply_listing({upstream_item("i-1", 4)}, 4);
     const base::upstream_id id("i-1");
-    const auto begun = this->news({evacuation_item(6)}, 6);
+    const auto begun = this->apply_changes({evacuation_item(6)}, 6);
     CHECK(begun.removed.size() == 1);
     REQUIRE(begun.evacuations.size() == 1);
     CHECK(begun.evacuations.front().data_centre == "hall");
-    CHECK(this->known.upstreams().find(id) == nullptr);
-    CHECK(this->known.upstreams().find_alive(id) != nullptr);
+    CHECK(this->cluster.upstreams().find(id) == nullptr);
+    CHECK(this->cluster.upstreams().find_alive(id) != nullptr);
     // Load reports go on during the evacuation and must not end it.
-    CHECK(this->news({upstream_item("i-1", 8)}, 8).added.empty());
-    const auto over = this->news({{"op/evacuate/hall", "", 9, true}}, 9);
+    CHECK(this->apply_changes({upstream_item("i-1", 8)}, 8).added.empty());
+    const auto over =
+        this->apply_changes({{"op/evacuate/hall", "", 9, true}}, 9);
     CHECK(over.added.size() == 1);
-    CHECK(this->known.upstreams().find(id) != nullptr);
+    CHECK(this->cluster.upstreams().find(id) != nullptr);
 }
 
 // Upstreams become cold while evacuated, but publish that only later.
 TEST_CASE_FIXTURE(cluster_state_fixture, "upstreams_taken_back_count_as_cold")
 {
-    this->whole({service_item(2), upstream_item("i-1", 4), evacuation_item(5)},
-                6);
-    const auto over = this->news({{"op/evacuate/hall", "", 9, true}}, 9);
+    this->apply_listing(
+        {service_item(2), upstream_item("i-1", 4), evacuation_item(5)}, 6);
+    const auto over =
+        this->apply_changes({{"op/evacuate/hall", "", 9, true}}, 9);
     REQUIRE(over.added.size() == 1);
     CHECK(over.added.front().warmup == 3s);
 }
@@ -115,17 +119,19 @@
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "upstream_that_turns_cold_or_warm_is_news")
 {
-    this->whole({upstream_item("i-1", 4)}, 4);
-    const std::uint64_t warm = this->known.content_digest();
-    const auto cold = this->news({cold_item("i-1", 2500, 6)}, 6);
+    this->apply_listing({upstream_item("i-1", 4)}, 4);
+    const std::uint64_t warm = this->cluster.content_digest();
+    const auto cold = this->apply_changes({cold_item("i-1", 2500, 6)}, 6);
     REQUIRE(cold.added.size() == 1);
     CHECK(cold.added.front().warmup == 2500ms);
-    CHECK(this->known.content_digest() != warm);
-    CHECK(this->news({cold_item("i-1", 1300, 8)}, 8).added.size() == 1);
-    CHECK(this->news({upstream_item("i-1", 10)}, 10).added.size() == 1);
-    CHECK(this->known.content_digest() == warm);
-    CHECK(this->known.last_change_revision() == 10);
-    CHECK(this->news({upstream_item("i-1", 12)}, 12).added.empty());
+    CHECK(this->cluster.content_digest() != warm);
+    CHECK(this->apply_changes({cold_item("i-1", 1300, 8)}, 8).added.size() ==
+          1);
+    CHECK(this->apply_changes({upstream_item("i-1", 10)}, 10).added.size() ==
+          1);
+    CHECK(this->cluster.content_digest() == warm);
+    CHECK(this->cluster.last_change_revision() == 10);
+    CHECK(this->apply_changes({upstream_item("i-1", 12)}, 12).added.empty());
 }
 
 // An entry that has just started receives upstreams and evacuations in one
@@ -134,9 +140,9 @@
                   "upstream_listed_with_its_evacuation_is_out")
 {
     const auto changes =
-        this->whole({upstream_item("i-1", 4), evacuation_item(3)}, 6);
+        this->apply_listing({upstream_item("i-1", 4), evacuation_item(3)}, 6);
     CHECK(changes.added.empty());
-    CHECK(this->known.upstreams().usable_count() == 0);
+    CHECK(this->cluster.upstreams().usable_count() == 0);
 }
 
 // The watch that reported the end of the evacuation was lost; the next full
@@ -144,22 +150,23 @@
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "evacuation_missing_from_a_whole_reading_is_over")
 {
-    this->whole({upstream_item("i-1", 4), evacuation_item(5)}, 6);
-    const auto changes = this->whole({upstream_item("i-1", 4)}, 9);
+    this->apply_listing({upstream_item("i-1", 4), evacuation_item(5)}, 6);
+    const auto changes = this->apply_listing({upstream_item("i-1", 4)}, 9);
     CHECK(changes.added.size() == 1);
-    CHECK(this->known.upstreams().usable_count() == 1);
+    CHECK(this->cluster.upstreams().usable_count() == 1);
 }
 
 // A peer that is behind must neither end an evacuation nor start one again.
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "older_news_of_an_evacuation_changes_nothing")
 {
-    this->whole({upstream_item("i-1", 4)}, 4);
-    this->news({{"op/evacuate/hall", "", 9, true}}, 9);
-    CHECK(this->news({evacuation_item(7)}, 9).removed.empty());
-    this->news({evacuation_item(12)}, 12);
-    CHECK(this->news({{"op/evacuate/hall", "", 10, true}}, 12).added.empty());
-    CHECK(this->known.upstreams().usable_count() == 0);
+    this->apply_listing({upstream_item("i-1", 4)}, 4);
+    this->apply_changes({{"op/evacuate/hall", "", 9, true}}, 9);
+    CHECK(this->apply_changes({evacuation_item(7)}, 9).removed.empty());
+    this->apply_changes({evacuation_item(12)}, 12);
+    CHECK(this->apply_changes({{"op/evacuate/hall", "", 10, true}}, 12)
+              .added.empty());
+    CHECK(this->cluster.upstreams().usable_count() == 0);
 }
 
 // Guards against a digest that leaves out evacuations: two entries that differ
@@ -167,16 +174,16 @@
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "evacuation_reaches_those_that_ask_a_peer")
 {
-    this->whole({upstream_item("i-1", 4)}, 4);
+    this->apply_listing({upstream_item("i-1", 4)}, 4);
     cluster_state behind;
-    behind.apply(this->known.items_after_revision(0), this->now);
-    CHECK(behind.content_digest() == this->known.content_digest());
-    this->news({evacuation_item(6)}, 6);
-    CHECK(behind.content_digest() != this->known.content_digest());
-    CHECK(behind.last_change_revision() < this->known.last_change_revision());
-    CHECK(behind.apply(this->known.items_after_revision(4), this->now)
+    behind.apply(this->cluster.items_after_revision(0), this->now);
+    CHECK(behind.content_digest() == this->cluster.content_digest());
+    this->apply_changes({evacuation_item(6)}, 6);
+    CHECK(behind.content_digest() != this->cluster.content_digest());
+    CHECK(behind.last_change_revision() < this->cluster.last_change_revision());
+    CHECK(behind.apply(this->cluster.items_after_revision(4), this->now)
               .removed.size() == 1);
-    CHECK(behind.content_digest() == this->known.content_digest());
+    CHECK(behind.content_digest() == this->cluster.content_digest());
 }
 
 // An evacuation item has an empty value and must not be dropped like a removed
@@ -184,13 +191,14 @@
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "evacuation_outlasts_many_removed_items")
 {
-    this->whole({upstream_item("i-1", 4), evacuation_item(5)}, 6);
+    this->apply_listing({upstream_item("i-1", 4), evacuation_item(5)}, 6);
     for (std::uint64_t number = 10; number < 5000; ++number)
-        this->news({{"servers/x-" + std::to_string(number), "", number, true}},
-                   number);
-    const auto passed = this->known.items_after_revision(0);
-    CHECK(std::any_of(
-        passed.items.begin(), passed.items.end(), [](const auto& one) {
+        this->apply_changes(
+            {{"servers/x-" + std::to_string(number), "", number, true}},
+            number);
+    const auto sent = this->cluster.items_after_revision(0);
+    CHECK(
+        std::any_of(sent.items.begin(), sent.items.end(), [](const auto& one) {
             return one.key == "op/evacuate/hall" && !one.removed;
         }));
 }
@@ -199,31 +207,33 @@
 // was in force must not be reverted.
 TEST_CASE_FIXTURE(cluster_state_fixture, "older_configuration_never_comes_back")
 {
-    CHECK(this->whole({config_item(3, 10)}, 10).configuration_changed);
-    CHECK(this->news({config_item(5, 14)}, 14).configuration_changed);
-    CHECK_FALSE(this->whole({config_item(3, 10)}, 12).configuration_changed);
-    CHECK(this->known.configuration_version() == 5);
-    CHECK(this->known.store_revision() == 14);
+    CHECK(this->apply_listing({config_item(3, 10)}, 10).configuration_changed);
+    CHECK(this->apply_changes({config_item(5, 14)}, 14).configuration_changed);
+    CHECK_FALSE(
+        this->apply_listing({config_item(3, 10)}, 12).configuration_changed);
+    CHECK(this->cluster.configuration_version() == 5);
+    CHECK(this->cluster.store_revision() == 14);
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "unreadable_configuration_leaves_the_last_good")
 {
-    this->whole({config_item(3, 10)}, 10);
-    const auto changes = this->news({{"op/config", "{", 11, false}}, 11);
+    this->apply_listing({config_item(3, 10)}, 10);
+    const auto changes =
+        this->apply_changes({{"op/config", "{", 11, false}}, 11);
     CHECK_FALSE(changes.configuration_changed);
     CHECK(changes.unreadable_items.size() == 1);
-    CHECK(this->known.configuration_version() == 3);
+    CHECK(this->cluster.configuration_version() == 3);
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "upstream_missing_from_a_whole_reading_is_gone")
 {
-    this->whole({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
-    this->news({upstream_item("i-3", 9)}, 9);
-    const auto changes = this->whole({upstream_item("i-2", 5)}, 8);
+    this->apply_listing({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
+    this->apply_changes({upstream_item("i-3", 9)}, 9);
+    const auto changes = this->apply_listing({upstream_item("i-2", 5)}, 8);
     CHECK(changes.removed.size() == 1);
-    CHECK(this->known.upstreams().usable_count() ==
+    CHECK(this->cluster.upstreams().usable_count() ==
           2); // i-3 is newer than the listing
 }
 
@@ -232,7 +242,7 @@
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "items_of_another_writer_name_no_upstream")
 {
-    this->whole({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
+    this->apply_listing({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
     routing::item_list foreign = {
         {"servers/i-1", R"({"state": "ready"})", 7, false}};
     for (int one = 0; one < 1'000; ++one)
@@ -240,18 +250,19 @@
                            std::string(10'000, 'x'),
                            8 + static_cast<std::uint64_t>(one),
                            false});
-    const auto changes = this->news(foreign, 2'000);
+    const auto changes = this->apply_changes(foreign, 2'000);
     CHECK(changes.unreadable_items.size() == foreign.size());
     REQUIRE(changes.removed.size() == 1);
     CHECK(changes.removed.front().name == "i-1");
-    CHECK(this->known.upstreams().usable_count() == 1);
+    CHECK(this->cluster.upstreams().usable_count() == 1);
     // The foreign values are not stored.
     std::size_t bytes = 0;
-    for (const auto& one : this->known.items_after_revision(0).items)
+    for (const auto& one : this->cluster.items_after_revision(0).items)
         bytes += one.value.size();
     CHECK(bytes < 1'000);
     // The upstream's next report adds it again.
-    CHECK(this->news({upstream_item("i-1", 2'001)}, 2'001).added.size() == 1);
+    CHECK(this->apply_changes({upstream_item("i-1", 2'001)}, 2'001)
+              .added.size() == 1);
 }
 
 // A restarted upstream replaces its previous incarnation, which is reported as
@@ -259,14 +270,15 @@
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "upstream_that_starts_again_leaves_and_joins")
 {
-    this->whole({born_item("i-1", 1'000, 4)}, 6);
-    const auto changes = this->news({born_item("i-1", 2'000, 7)}, 7);
+    this->apply_listing({item_with_birth("i-1", 1'000, 4)}, 6);
+    const auto changes =
+        this->apply_changes({item_with_birth("i-1", 2'000, 7)}, 7);
     REQUIRE(changes.removed.size() == 1);
     REQUIRE(changes.added.size() == 1);
     CHECK(changes.removed.front().id != changes.added.front().id);
     // Once upstreams publish a time of birth, an item without one is not an
     // upstream's.
-    CHECK(this->news({upstream_item("i-2", 9)}, 9).added.empty());
+    CHECK(this->apply_changes({upstream_item("i-2", 9)}, 9).added.empty());
 }
 
 // Upstreams come and go for weeks, and other programs' keys are always new. The
@@ -276,18 +288,19 @@
 {
     for (std::uint64_t one = 1; one <= 10'000; ++one) {
         const std::string key = "servers/x-" + std::to_string(one);
-        this->news({{key, "", one, one % 2 == 0}}, one);
+        this->apply_changes({{key, "", one, one % 2 == 0}}, one);
     }
-    CHECK(this->known.items_after_revision(1).items.size() < 5'000);
+    CHECK(this->cluster.items_after_revision(1).items.size() < 5'000);
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "entry_without_birth_read_first_is_dropped_later")
 {
-    this->whole({upstream_item("i-1", 4)}, 4);
-    const auto changes = this->news({born_item("i-2", 2'000, 7)}, 7);
+    this->apply_listing({upstream_item("i-1", 4)}, 4);
+    const auto changes =
+        this->apply_changes({item_with_birth("i-2", 2'000, 7)}, 7);
     CHECK(changes.removed.size() == 1);
-    CHECK(this->known.upstreams().usable_count() == 1);
+    CHECK(this->cluster.upstreams().usable_count() == 1);
 }
 
 // The store was unreachable for longer than the leases last and then reports
@@ -295,38 +308,41 @@
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "upstreams_lapsed_in_an_outage_are_waited_for")
 {
-    this->whole({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
-    this->known.on_store_failed(this->now);
+    this->apply_listing({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
+    this->cluster.on_store_failed(this->now);
     this->now += 5s;
-    this->known.on_store_answered(this->now);
-    CHECK(this->whole({}, 20).removed.empty());
+    this->cluster.on_store_answered(this->now);
+    CHECK(this->apply_listing({}, 20).removed.empty());
     this->now += 1s;
-    this->news({upstream_item("i-1", 25)}, 25);
+    this->apply_changes({upstream_item("i-1", 25)}, 25);
     this->now += 1s;
-    CHECK(this->known.expire(this->now).removed.size() == 1);
-    CHECK(this->known.upstreams().find(base::upstream_id("i-1")) != nullptr);
+    CHECK(this->cluster.expire(this->now).removed.size() == 1);
+    CHECK(this->cluster.upstreams().find(base::upstream_id("i-1")) != nullptr);
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "upstream_removed_on_a_calm_day_is_gone_at_once")
 {
-    this->whole({upstream_item("i-1", 4)}, 6);
-    this->known.on_store_failed(this->now);
+    this->apply_listing({upstream_item("i-1", 4)}, 6);
+    this->cluster.on_store_failed(this->now);
     this->now += 300ms; // one answer was lost
-    this->known.on_store_answered(this->now);
-    CHECK(this->news({{"servers/i-1", "", 9, true}}, 9).removed.size() == 1);
+    this->cluster.on_store_answered(this->now);
+    CHECK(
+        this->apply_changes({{"servers/i-1", "", 9, true}}, 9).removed.size() ==
+        1);
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "peer_that_knows_some_is_given_the_rest")
 {
-    this->whole({config_item(3, 2), upstream_item("i-1", 4)}, 6);
-    this->news({{"servers/i-1", "", 9, true}, upstream_item("i-2", 8)}, 9);
-    const auto some = this->known.items_after_revision(6);
+    this->apply_listing({config_item(3, 2), upstream_item("i-1", 4)}, 6);
+    this->apply_changes({{"servers/i-1", "", 9, true}, upstream_item("i-2", 8)},
+                        9);
+    const auto some = this->cluster.items_after_revision(6);
     CHECK_FALSE(some.whole);
     CHECK(some.store_revision == 9);
     CHECK(some.items.size() == 2);
-    const auto all = this->known.items_after_revision(0);
+    const auto all = this->cluster.items_after_revision(0);
     CHECK(all.whole);
     CHECK(all.items.size() == 2); // without the removed one
 
@@ -342,19 +358,19 @@
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "change_heard_of_late_reaches_a_follower")
 {
-    this->whole({config_item(3, 5), upstream_item("i-1", 4)}, 6);
-    this->news({upstream_item("i-1", 20)},
-               20); // a load report, which changes nothing
-    CHECK(this->known.last_change_revision() == 5);
+    this->apply_listing({config_item(3, 5), upstream_item("i-1", 4)}, 6);
+    this->apply_changes({upstream_item("i-1", 20)},
+                        20); // a load report, which changes nothing
+    CHECK(this->cluster.last_change_revision() == 5);
     cluster_state follower;
-    follower.apply(this->known.items_after_revision(0), this->now);
+    follower.apply(this->cluster.items_after_revision(0), this->now);
     CHECK(follower.store_revision() == 20);
 
-    this->whole({config_item(4, 15), upstream_item("i-1", 24)}, 25);
-    CHECK(this->known.configuration_revision() >
+    this->apply_listing({config_item(4, 15), upstream_item("i-1", 24)}, 25);
+    CHECK(this->cluster.configuration_revision() >
           follower.configuration_revision()); // so the follower asks for items
     follower.apply(
-        this->known.items_after_revision(follower.configuration_revision()),
+        this->cluster.items_after_revision(follower.configuration_revision()),
         this->now);
     CHECK(follower.configuration_version() == 4);
 }
@@ -364,17 +380,18 @@
 // it knows would never get it.
 TEST_CASE_FIXTURE(cluster_state_fixture, "change_told_late_is_passed_on")
 {
-    this->news({upstream_item("i-1", 20)}, 20);
-    const std::uint64_t passed = this->known.change_count();
-    this->news({upstream_item("i-2", 9)}, 20);
-    CHECK(this->known.items_after_revision(this->known.last_change_revision())
-              .items.empty());
-    const auto after = this->known.items_after_change(passed);
+    this->apply_changes({upstream_item("i-1", 20)}, 20);
+    const std::uint64_t sent = this->cluster.change_count();
+    this->apply_changes({upstream_item("i-2", 9)}, 20);
+    CHECK(
+        this->cluster.items_after_revision(this->cluster.last_change_revision())
+            .items.empty());
+    const auto after = this->cluster.items_after_change(sent);
     REQUIRE(after.items.size() == 1);
     CHECK(after.items[0].key == "servers/i-2");
-    CHECK(this->known.items_after_change(this->known.change_count())
+    CHECK(this->cluster.items_after_change(this->cluster.change_count())
               .items.empty());
-    CHECK(this->known.items_after_change(0).whole);
+    CHECK(this->cluster.items_after_change(0).whole);
 }
 
 // Entries receive the same items in different orders and load reports at
@@ -386,14 +403,14 @@
     cluster_state other;
     other.apply({upstream_item("i-2", 9)}, 9, false, this->now);
     other.apply({upstream_item("i-3", 10)}, 10, false, this->now);
-    this->news({upstream_item("i-1", 5)}, 5);
-    this->news({upstream_item("i-2", 3)}, 5);
-    this->news({upstream_item("i-3", 6)}, 6);
-    CHECK(this->known.content_digest() != other.content_digest());
-    this->news({{"servers/i-1", "", 8, true}}, 8);
-    CHECK(this->known.content_digest() == other.content_digest());
-    this->news({upstream_item("i-3", 12)}, 12);
-    CHECK(this->known.content_digest() == other.content_digest());
+    this->apply_changes({upstream_item("i-1", 5)}, 5);
+    this->apply_changes({upstream_item("i-2", 3)}, 5);
+    this->apply_changes({upstream_item("i-3", 6)}, 6);
+    CHECK(this->cluster.content_digest() != other.content_digest());
+    this->apply_changes({{"servers/i-1", "", 8, true}}, 8);
+    CHECK(this->cluster.content_digest() == other.content_digest());
+    this->apply_changes({upstream_item("i-3", 12)}, 12);
+    CHECK(this->cluster.content_digest() == other.content_digest());
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/test/containment_test.cpp
+++ b/src/greengagedrum/entry/test/containment_test.cpp
@@ -13,25 +13,26 @@
 
 // Upstreams that stop listening when they get the body "deadly", answer the
 // body "sound" and reset the connection for any other.
-class mortal_upstreams
+class crashing_upstreams
 {
 public:
-    mortal_upstreams()
+    crashing_upstreams()
     {
         for (fake_http_server& one : this->all) {
             one.server.Post(
                 ".*",
-                [&](const httplib::Request& asked, httplib::Response& given) {
-                    if (asked.body == "sound")
+                [&](const httplib::Request& request,
+                    httplib::Response& response) {
+                    if (request.body == "sound")
                         return entry_fixture::write_signed_answer(
-                            asked, given, "answer");
-                    if (asked.body == "deadly") {
-                        this->ended += 1;
+                            request, response, "answer");
+                    if (request.body == "deadly") {
+                        this->crashes += 1;
                         one.server.stop();
                     } else {
-                        this->reset += 1;
+                        this->resets += 1;
                     }
-                    given.set_chunked_content_provider(
+                    response.set_chunked_content_provider(
                         "text/plain",
                         [](std::size_t, httplib::DataSink&) { return false; });
                 });
@@ -39,11 +40,11 @@
         }
     }
 
-    int ended_by_request() const { return this->ended; }
-    int connections_reset() const { return this->reset; }
+    int crashed_upstreams() const { return this->crashes; }
+    int connections_reset() const { return this->resets; }
 
 protected:
-    fixture_options published() const
+    fixture_options options() const
     {
         fixture_options out;
         for (const fake_http_server& one : this->all)
@@ -53,17 +54,17 @@
 
 private:
     std::array<fake_http_server, 5> all;
-    std::atomic<int> ended = 0;
-    std::atomic<int> reset = 0;
+    std::atomic<int> crashes = 0;
+    std::atomic<int> resets = 0;
 };
 
-struct containment_fixture : mortal_upstreams, entry_fixture {
-    containment_fixture() : entry_fixture(this->published()) {}
+struct containment_fixture : crashing_upstreams, entry_fixture {
+    containment_fixture() : entry_fixture(this->options()) {}
 
     httplib::Result post(const std::string& path, const std::string& body) const
     {
-        auto asked = this->client();
-        return asked.Post(path, headers(), body, "text/plain");
+        auto client = this->client();
+        return client.Post(path, headers(), body, "text/plain");
     }
 };
 
@@ -73,16 +74,16 @@
                   "request_that_ended_two_upstreams_gets_503")
 {
     for (int attempt = 0; attempt < 2; ++attempt) {
-        const auto got = this->post("/once/x", "deadly");
-        REQUIRE(got);
-        CHECK(got->status == 502);
+        const auto response = this->post("/once/x", "deadly");
+        REQUIRE(response);
+        CHECK(response->status == 502);
     }
-    const auto got = this->post("/once/x", "deadly");
-    REQUIRE(got);
-    CHECK(got->status == 503);
-    REQUIRE(got->has_header("Retry-After"));
-    CHECK(std::stod(got->get_header_value("Retry-After")) >= 60);
-    CHECK(this->ended_by_request() == 2);
+    const auto response = this->post("/once/x", "deadly");
+    REQUIRE(response);
+    CHECK(response->status == 503);
+    REQUIRE(response->has_header("Retry-After"));
+    CHECK(std::stod(response->get_header_value("Retry-After")) >= 60);
+    CHECK(this->crashed_upstreams() == 2);
     const auto other = this->post("/once/x", "sound");
     REQUIRE(other);
     CHECK(other->status == 200);
@@ -94,7 +95,7 @@
 {
     for (int attempt = 0; attempt < 3; ++attempt)
         REQUIRE(this->post("/again/x", "deadly"));
-    CHECK(this->ended_by_request() == 2);
+    CHECK(this->crashed_upstreams() == 2);
 }
 
 // Connections are reset while their upstreams stay alive, which is no crash.
@@ -103,9 +104,9 @@
 {
     constexpr int attempts = 6;
     for (int attempt = 0; attempt < attempts; ++attempt) {
-        const auto got = this->post("/once/x", "unlucky");
-        REQUIRE(got);
-        CHECK(got->status == 502);
+        const auto response = this->post("/once/x", "unlucky");
+        REQUIRE(response);
+        CHECK(response->status == 502);
         std::this_thread::sleep_for(100ms);
     }
     CHECK(this->connections_reset() == attempts);
--- a/src/greengagedrum/entry/test/entry_fixture.cpp
+++ b/src/greengagedrum/entry/test/entry_fixture.cpp
@@ -64,7 +64,7 @@
                {"burst", limit_per_second}}}}};
 }
 
-settings settings_for(int store_port, const fixture_options& wanted)
+settings settings_for(int store_port, const fixture_options& options)
 {
     settings out;
     out.instance = "entry-1";
@@ -75,8 +75,8 @@
     out.store_address = {"127.0.0.1", static_cast<std::uint16_t>(store_port)};
     out.bounds.stop_timeout = 1s;
     out.bounds.usage_overshoot = 0.25;
-    out.peer_port = wanted.peer_port;
-    out.seeds = wanted.seeds;
+    out.peer_port = options.peer_port;
+    out.seeds = options.seeds;
     return out;
 }
 
@@ -109,26 +109,26 @@
     this->stop();
 }
 
-entry_fixture::entry_fixture(const fixture_options& wanted)
+entry_fixture::entry_fixture(const fixture_options& options)
 {
-    const auto take = [this](const httplib::Request& asked,
-                             httplib::Response& given) {
+    const auto handle = [this](const httplib::Request& request,
+                               httplib::Response& response) {
         handler chosen;
         {
             const std::lock_guard lock(this->mutex);
-            this->requests.push_back(asked);
+            this->requests.push_back(request);
             chosen = this->upstream_handler;
         }
-        chosen(asked, given);
+        chosen(request, response);
         const std::lock_guard lock(this->mutex);
     };
-    this->upstream_server.server.Post(".*", take);
-    this->upstream_server.server.Get(".*", take);
+    this->upstream_server.server.Post(".*", handle);
+    this->upstream_server.server.Get(".*", handle);
     this->upstream_server.start();
-    this->publish(wanted);
+    this->publish(options);
     this->store_server.start();
     this->entry_under_test =
-        std::make_unique<entry>(settings_for(this->store_server.port, wanted),
+        std::make_unique<entry>(settings_for(this->store_server.port, options),
                                 [] { return std::nullopt; });
     this->thread = std::thread([this] { this->entry_under_test->run(); });
     this->wait_until_configured();
@@ -144,17 +144,17 @@
     const std::lock_guard lock(this->mutex);
 }
 
-void entry_fixture::set_upstream_handler(handler what)
+void entry_fixture::set_upstream_handler(handler chosen)
 {
     const std::lock_guard lock(this->mutex);
-    this->upstream_handler = std::move(what);
+    this->upstream_handler = std::move(chosen);
 }
 
-void entry_fixture::publish(const fixture_options& wanted)
+void entry_fixture::publish(const fixture_options& options)
 {
     json entries = {
-        item("op/config", configuration(wanted.limit_per_second), 1)};
-    std::vector<int> ports = wanted.upstream_ports;
+        item("op/config", configuration(options.limit_per_second), 1)};
+    std::vector<int> ports = options.upstream_ports;
     if (ports.empty())
         ports = {this->upstream_server.port};
     for (std::size_t at = 0; at < ports.size(); ++at)
@@ -172,17 +172,18 @@
     const std::string page =
         json{{"entries", entries}, {"hasMore", false}, {"at", 2}}.dump();
     this->store_server.server.Get(
-        "/kv-range", [page](const httplib::Request&, httplib::Response& given) {
-            given.set_content(page, "application/json");
+        "/kv-range",
+        [page](const httplib::Request&, httplib::Response& response) {
+            response.set_content(page, "application/json");
         });
     this->store_server.server.Get(
         "/kv-watch",
-        [this](const httplib::Request& asked, httplib::Response& given) {
+        [this](const httplib::Request& request, httplib::Response& response) {
             std::this_thread::sleep_for(20ms);
             const std::lock_guard lock(this->mutex);
-            const bool behind = std::stoi(asked.get_param_value("after")) <
+            const bool behind = std::stoi(request.get_param_value("after")) <
                                 this->store_revision;
-            given.set_content(
+            response.set_content(
                 "{\"events\": [" + (behind ? this->store_events : "") +
                     "], \"at\": " + std::to_string(this->store_revision) + "}",
                 "application/json");
@@ -205,8 +206,8 @@
 void entry_fixture::wait_until_configured() const
 {
     for (int tries = 0; tries < 500; ++tries) {
-        auto asked = this->client();
-        const auto got = asked.Get("/nowhere/", headers());
+        auto request = this->client();
+        const auto got = request.Get("/nowhere/", headers());
         if (got && got->status == 404)
             return;
         std::this_thread::sleep_for(10ms);
@@ -214,13 +215,14 @@
     FAIL("the entry has no configuration");
 }
 
-void entry_fixture::write_signed_answer(const httplib::Request& asked,
-                                        httplib::Response& given,
+void entry_fixture::write_signed_answer(const httplib::Request& request,
+                                        httplib::Response& response,
                                         const std::string& body)
 {
-    given.set_header("X-Attempt-Id", asked.get_header_value("X-Attempt-Id"));
-    given.set_header("X-Response-Signature", "signed");
-    given.set_content(body, "text/plain");
+    response.set_header("X-Attempt-Id",
+                        request.get_header_value("X-Attempt-Id"));
+    response.set_header("X-Response-Signature", "signed");
+    response.set_content(body, "text/plain");
 }
 
 httplib::Headers entry_fixture::headers()
--- a/src/greengagedrum/entry/test/entry_fixture.hpp
+++ b/src/greengagedrum/entry/test/entry_fixture.hpp
@@ -49,7 +49,7 @@
 class entry_fixture
 {
 public:
-    explicit entry_fixture(const fixture_options& wanted = {});
+    explicit entry_fixture(const fixture_options& options = {});
     ~entry_fixture();
     entry_fixture(const entry_fixture&) = delete;
     entry_fixture& operator=(const entry_fixture&) = delete;
@@ -59,10 +59,10 @@
 
     // Sets what the upstream does with a request. The default is a signed
     // response.
-    void set_upstream_handler(handler what);
+    void set_upstream_handler(handler chosen);
 
-    static void write_signed_answer(const httplib::Request& asked,
-                                    httplib::Response& given,
+    static void write_signed_answer(const httplib::Request& request,
+                                    httplib::Response& response,
                                     const std::string& body);
 
     // Headers of a valid request.
@@ -80,7 +80,7 @@
     std::unique_ptr<entry> entry_under_test;
 
 private:
-    void publish(const fixture_options& wanted);
+    void publish(const fixture_options& options);
     void wait_until_configured() const;
 
     // Declared before the servers, whose threads use the mutex and the data.
@@ -91,9 +91,9 @@
     std::vector<httplib::Request> requests;
     int store_revision = 2;
     std::string store_events; // as JSON, for watches behind store_revision
-    handler upstream_handler = [](const httplib::Request& asked,
-                                  httplib::Response& given) {
-        write_signed_answer(asked, given, "answer");
+    handler upstream_handler = [](const httplib::Request& request,
+                                  httplib::Response& response) {
+        write_signed_answer(request, response, "answer");
     };
     fake_http_server store_server;
     fake_http_server upstream_server;
--- a/src/greengagedrum/entry/test/entry_test.cpp
+++ b/src/greengagedrum/entry/test/entry_test.cpp
@@ -11,15 +11,16 @@
 
 // Writes the events `first` to `last` of a stream. `cut`: then closes the
 // connection before the end of the stream.
-void stream_events(const httplib::Request& asked,
-                   httplib::Response& given,
+void stream_events(const httplib::Request& request,
+                   httplib::Response& response,
                    int first,
                    int last,
                    bool cut)
 {
-    given.set_header("X-Attempt-Id", asked.get_header_value("X-Attempt-Id"));
-    given.set_header("X-Response-Signature", "signed");
-    given.set_chunked_content_provider(
+    response.set_header("X-Attempt-Id",
+                        request.get_header_value("X-Attempt-Id"));
+    response.set_header("X-Response-Signature", "signed");
+    response.set_chunked_content_provider(
         "text/event-stream",
         [first, last, cut](std::size_t, httplib::DataSink& sink) {
             for (int id = first; id <= last; ++id) {
@@ -50,45 +51,45 @@
 TEST_CASE_FIXTURE(entry_fixture,
                   "answer_is_passed_unchanged_with_its_signature")
 {
-    auto asked = this->client();
-    const auto got =
-        asked.Post("/once/x?q=1", headers(), "the body", "text/plain");
-    REQUIRE(got);
-    CHECK(got->status == 200);
-    CHECK(got->body == "answer");
-    CHECK(got->get_header_value("X-Response-Signature") == "signed");
-    const httplib::Request there = this->received_requests().back();
-    CHECK(there.method == "POST");
-    CHECK(there.target == "/once/x?q=1");
-    CHECK(there.body == "the body");
-    CHECK(there.get_header_value("X-Tenant") == "gate");
-    CHECK(there.get_header_value("X-Target-Instance") == "i-1");
-    CHECK_FALSE(there.has_header("Api-Key"));
-    CHECK(std::stoi(there.get_header_value("X-Deadline-Ms")) <= 2000);
+    auto client = this->client();
+    const auto response =
+        client.Post("/once/x?q=1", headers(), "the body", "text/plain");
+    REQUIRE(response);
+    CHECK(response->status == 200);
+    CHECK(response->body == "answer");
+    CHECK(response->get_header_value("X-Response-Signature") == "signed");
+    const httplib::Request forwarded = this->received_requests().back();
+    CHECK(forwarded.method == "POST");
+    CHECK(forwarded.target == "/once/x?q=1");
+    CHECK(forwarded.body == "the body");
+    CHECK(forwarded.get_header_value("X-Tenant") == "gate");
+    CHECK(forwarded.get_header_value("X-Target-Instance") == "i-1");
+    CHECK_FALSE(forwarded.has_header("Api-Key"));
+    CHECK(std::stoi(forwarded.get_header_value("X-Deadline-Ms")) <= 2000);
 }
 
 TEST_CASE_FIXTURE(entry_fixture, "callers_own_system_headers_do_not_pass")
 {
-    httplib::Headers own = headers();
-    own.emplace("X-Tenant", "another");
-    own.emplace("Kv-From", "10.0.0.1:80/x");
-    own.emplace("Connection", "X-Attempt-Id");
-    auto asked = this->client();
-    REQUIRE(asked.Get("/again/", own));
-    const httplib::Request there = this->received_requests().back();
-    CHECK(there.get_header_value_count("X-Tenant") == 1);
-    CHECK(there.get_header_value("X-Tenant") == "gate");
-    CHECK_FALSE(there.has_header("Kv-From"));
-    CHECK(there.get_header_value("X-Attempt-Id") == "a-1");
+    httplib::Headers request_headers = headers();
+    request_headers.emplace("X-Tenant", "another");
+    request_headers.emplace("Kv-From", "10.0.0.1:80/x");
+    request_headers.emplace("Connection", "X-Attempt-Id");
+    auto client = this->client();
+    REQUIRE(client.Get("/again/", request_headers));
+    const httplib::Request forwarded = this->received_requests().back();
+    CHECK(forwarded.get_header_value_count("X-Tenant") == 1);
+    CHECK(forwarded.get_header_value("X-Tenant") == "gate");
+    CHECK_FALSE(forwarded.has_header("Kv-From"));
+    CHECK(forwarded.get_header_value("X-Attempt-Id") == "a-1");
 }
 
 TEST_CASE_FIXTURE(entry_fixture, "unknown_key_and_route_are_told_apart")
 {
-    httplib::Headers own = headers();
-    own.erase("Api-Key");
-    auto asked = this->client();
-    CHECK(asked.Get("/again/", own)->status == 401);
-    CHECK(asked.Get("/nowhere/", headers())->status == 404);
+    httplib::Headers request_headers = headers();
+    request_headers.erase("Api-Key");
+    auto client = this->client();
+    CHECK(client.Get("/again/", request_headers)->status == 401);
+    CHECK(client.Get("/nowhere/", headers())->status == 404);
 }
 
 // An upstream responds with the late response to another request on the same
@@ -96,29 +97,29 @@
 TEST_CASE_FIXTURE(entry_fixture, "answer_to_another_request_is_not_passed_on")
 {
     this->set_upstream_handler(
-        [](const httplib::Request& asked, httplib::Response& given) {
-            write_signed_answer(asked, given, "another's");
-            given.headers.erase("X-Attempt-Id");
-            given.set_header("X-Attempt-Id", "a-0");
+        [](const httplib::Request& request, httplib::Response& response) {
+            write_signed_answer(request, response, "another's");
+            response.headers.erase("X-Attempt-Id");
+            response.set_header("X-Attempt-Id", "a-0");
         });
-    auto asked = this->client();
-    const auto got = asked.Post("/once/", headers(), "", "text/plain");
-    REQUIRE(got);
-    CHECK(got->status == 502);
-    CHECK(got->body.find("another's") == std::string::npos);
+    auto client = this->client();
+    const auto response = client.Post("/once/", headers(), "", "text/plain");
+    REQUIRE(response);
+    CHECK(response->status == 502);
+    CHECK(response->body.find("another's") == std::string::npos);
     CHECK(this->received_requests().size() == 1);
 }
 
 TEST_CASE_FIXTURE(entry_fixture, "success_without_signature_is_not_passed_on")
 {
     this->set_upstream_handler(
-        [](const httplib::Request& asked, httplib::Response& given) {
-            given.set_header("X-Attempt-Id",
-                             asked.get_header_value("X-Attempt-Id"));
-            given.set_content("unsigned", "text/plain");
+        [](const httplib::Request& request, httplib::Response& response) {
+            response.set_header("X-Attempt-Id",
+                                request.get_header_value("X-Attempt-Id"));
+            response.set_content("unsigned", "text/plain");
         });
-    auto asked = this->client();
-    CHECK(asked.Post("/once/", headers(), "", "text/plain")->status == 502);
+    auto client = this->client();
+    CHECK(client.Post("/once/", headers(), "", "text/plain")->status == 502);
 }
 
 // The only upstream reports that it did not run the request. The caller is told
@@ -126,16 +127,16 @@
 TEST_CASE_FIXTURE(entry_fixture, "request_turned_away_is_refused_as_not_run")
 {
     this->set_upstream_handler(
-        [](const httplib::Request&, httplib::Response& given) {
-            given.status = 503;
-            given.set_header("X-Not-Executed", "1");
+        [](const httplib::Request&, httplib::Response& response) {
+            response.status = 503;
+            response.set_header("X-Not-Executed", "1");
         });
-    auto asked = this->client();
-    const auto got = asked.Post("/once/", headers(), "", "text/plain");
-    REQUIRE(got);
-    CHECK(got->status == 503);
-    CHECK(got->has_header("Retry-After"));
-    CHECK_FALSE(got->has_header("X-Not-Executed"));
+    auto client = this->client();
+    const auto response = client.Post("/once/", headers(), "", "text/plain");
+    REQUIRE(response);
+    CHECK(response->status == 503);
+    CHECK(response->has_header("Retry-After"));
+    CHECK_FALSE(response->has_header("X-Not-Executed"));
 }
 
 // An upstream responds with the refusal of another request, which says that it
@@ -145,15 +146,16 @@
 {
     for (const int status : {503, 421}) {
         this->set_upstream_handler(
-            [status](const httplib::Request&, httplib::Response& given) {
-                given.status = status;
-                given.set_header("X-Attempt-Id", "a-0");
-                given.set_header("X-Not-Executed", "1");
+            [status](const httplib::Request&, httplib::Response& response) {
+                response.status = status;
+                response.set_header("X-Attempt-Id", "a-0");
+                response.set_header("X-Not-Executed", "1");
             });
-        auto asked = this->client();
-        const auto got = asked.Post("/once/", headers(), "", "text/plain");
-        REQUIRE(got);
-        CHECK(got->status == 502);
+        auto client = this->client();
+        const auto response =
+            client.Post("/once/", headers(), "", "text/plain");
+        REQUIRE(response);
+        CHECK(response->status == 502);
     }
     CHECK(this->received_requests().size() == 2);
 }
@@ -161,29 +163,29 @@
 TEST_CASE_FIXTURE(entry_fixture, "upstreams_own_failure_is_passed_unchanged")
 {
     this->set_upstream_handler(
-        [](const httplib::Request& asked, httplib::Response& given) {
-            write_signed_answer(asked, given, "its failure");
-            given.status = 500;
+        [](const httplib::Request& request, httplib::Response& response) {
+            write_signed_answer(request, response, "its failure");
+            response.status = 500;
         });
-    auto asked = this->client();
-    const auto got = asked.Post("/once/", headers(), "", "text/plain");
-    REQUIRE(got);
-    CHECK(got->status == 500);
-    CHECK(got->body == "its failure");
-    CHECK(got->get_header_value("X-Response-Signature") == "signed");
+    auto client = this->client();
+    const auto response = client.Post("/once/", headers(), "", "text/plain");
+    REQUIRE(response);
+    CHECK(response->status == 500);
+    CHECK(response->body == "its failure");
+    CHECK(response->get_header_value("X-Response-Signature") == "signed");
 }
 
 TEST_CASE_FIXTURE(entry_fixture, "stream_is_passed_event_by_event_to_its_end")
 {
     this->set_upstream_handler(
-        [](const httplib::Request& asked, httplib::Response& given) {
-            stream_events(asked, given, 1, 20, false);
+        [](const httplib::Request& request, httplib::Response& response) {
+            stream_events(request, response, 1, 20, false);
         });
-    auto asked = this->client();
-    const auto got = asked.Post("/stream/", headers(), "", "text/plain");
-    REQUIRE(got);
-    CHECK(got->status == 200);
-    CHECK(got->body == whole_stream(20));
+    auto client = this->client();
+    const auto response = client.Post("/stream/", headers(), "", "text/plain");
+    REQUIRE(response);
+    CHECK(response->status == 200);
+    CHECK(response->body == whole_stream(20));
 }
 
 // A stream is cut after seven events. It may be resumed, but its only upstream
@@ -192,18 +194,18 @@
                   "stream_cut_and_not_resumed_does_not_look_whole")
 {
     this->set_upstream_handler(
-        [](const httplib::Request& asked, httplib::Response& given) {
-            stream_events(asked, given, 1, 7, true);
+        [](const httplib::Request& request, httplib::Response& response) {
+            stream_events(request, response, 1, 7, true);
         });
-    auto asked = this->client();
-    CHECK_FALSE(asked.Post("/stream/", headers(), "", "text/plain"));
+    auto client = this->client();
+    CHECK_FALSE(client.Post("/stream/", headers(), "", "text/plain"));
 }
 
 TEST_CASE_FIXTURE(entry_fixture, "requests_sent_ahead_are_answered_in_order")
 {
     this->set_upstream_handler(
-        [](const httplib::Request& asked, httplib::Response& given) {
-            write_signed_answer(asked, given, "<" + asked.path + ">");
+        [](const httplib::Request& request, httplib::Response& response) {
+            write_signed_answer(request, response, "<" + request.path + ">");
         });
     const std::string rest = " HTTP/1.1\r\nHost: hall.example\r\n"
                              "X-Attempt-Id: a-1\r\nApi-Key: key-1\r\n";
@@ -230,56 +232,57 @@
 TEST_CASE_FIXTURE(entry_fixture, "request_under_way_at_a_stop_is_answered")
 {
     this->set_upstream_handler(
-        [this](const httplib::Request& asked, httplib::Response& given) {
+        [this](const httplib::Request& request, httplib::Response& response) {
             this->entry_under_test->stop();
             std::this_thread::sleep_for(200ms);
-            write_signed_answer(asked, given, "late but whole");
+            write_signed_answer(request, response, "late but whole");
         });
-    auto asked = this->client();
-    const auto got = asked.Post("/once/", headers(), "", "text/plain");
-    REQUIRE(got);
-    CHECK(got->body == "late but whole");
-    CHECK(got->get_header_value("Connection") == "close");
+    auto client = this->client();
+    const auto response = client.Post("/once/", headers(), "", "text/plain");
+    REQUIRE(response);
+    CHECK(response->body == "late but whole");
+    CHECK(response->get_header_value("Connection") == "close");
 }
 
 // The caller closes its connection during a stream. The connection to the
 // upstream is closed too, which ends the work there.
 TEST_CASE_FIXTURE(entry_fixture, "work_of_a_caller_that_left_is_broken_off")
 {
-    const auto broken_off = std::make_shared<std::atomic<bool>>(false);
-    this->set_upstream_handler([broken_off](const httplib::Request& asked,
-                                            httplib::Response& given) {
-        given.set_header("X-Attempt-Id",
-                         asked.get_header_value("X-Attempt-Id"));
-        given.set_header("X-Response-Signature", "signed");
-        given.set_chunked_content_provider(
+    const auto connection_closed = std::make_shared<std::atomic<bool>>(false);
+    this->set_upstream_handler([connection_closed](
+                                   const httplib::Request& request,
+                                   httplib::Response& response) {
+        response.set_header("X-Attempt-Id",
+                            request.get_header_value("X-Attempt-Id"));
+        response.set_header("X-Response-Signature", "signed");
+        response.set_chunked_content_provider(
             "text/event-stream",
-            [broken_off](std::size_t offset, httplib::DataSink& sink) {
+            [connection_closed](std::size_t offset, httplib::DataSink& sink) {
                 const std::string text =
                     "id: " + std::to_string(offset + 1) + "\ndata: x\n\n";
                 std::this_thread::sleep_for(20ms);
                 if (sink.is_writable() && sink.write(text.data(), text.size()))
                     return true;
-                *broken_off = true;
+                *connection_closed = true;
                 return false;
             });
     });
     {
         relay::asio::io_context context;
-        relay::tcp::socket leaver(context);
-        leaver.connect(
+        relay::tcp::socket caller(context);
+        caller.connect(
             relay::tcp_endpoint(this->entry_under_test->caller_address()));
         const std::string text =
             "POST /stream/ HTTP/1.1\r\nHost: hall.example\r\n"
             "X-Attempt-Id: a-1\r\nApi-Key: key-1\r\n"
             "Content-Length: 0\r\n\r\n";
-        relay::asio::write(leaver, relay::asio::buffer(text));
+        relay::asio::write(caller, relay::asio::buffer(text));
         std::array<char, 64> some{};
-        leaver.read_some(relay::asio::buffer(some));
+        caller.read_some(relay::asio::buffer(some));
     }
-    for (int tries = 0; tries < 200 && !*broken_off; ++tries)
+    for (int tries = 0; tries < 200 && !*connection_closed; ++tries)
         std::this_thread::sleep_for(10ms);
-    CHECK(*broken_off);
+    CHECK(*connection_closed);
 }
 
 // Guards against sending requests to the upstreams of a data centre that is
@@ -288,10 +291,11 @@
                   "evacuated_upstream_gets_nothing_until_it_is_back")
 {
     const auto status = [this] {
-        auto asked = this->client();
-        const auto got = asked.Post("/once/", headers(), "x", "text/plain");
-        REQUIRE(got);
-        return std::pair(got->status, got->has_header("Retry-After"));
+        auto client = this->client();
+        const auto response =
+            client.Post("/once/", headers(), "x", "text/plain");
+        REQUIRE(response);
+        return std::pair(response->status, response->has_header("Retry-After"));
     };
     const auto becomes = [&](int wanted) {
         // Waits for twice the time in which a change must be in force.
--- a/src/greengagedrum/entry/test/quarantine_endpoint_test.cpp
+++ b/src/greengagedrum/entry/test/quarantine_endpoint_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-struct page_fixture {
+struct quarantine_endpoint_fixture {
     base::instant now{1h};
     shared_state state{[this] { return this->now; },
                        cluster_state(),
@@ -23,7 +23,7 @@
     base::request_digest request =
         base::digest_of_request("shop", "POST", "/", "body");
 
-    page_fixture()
+    quarantine_endpoint_fixture()
     {
         quarantine::suspect_table& suspects =
             this->state.scheduler.crash_suspects();
@@ -36,23 +36,24 @@
 
     relay::small_answer ask(std::string_view method, const std::string& target)
     {
-        const relay::small_question asked{method, target};
-        REQUIRE(is_quarantine_request(asked));
-        return answer_quarantine_request(this->state, asked);
+        const relay::small_question request_line{method, target};
+        REQUIRE(is_quarantine_request(request_line));
+        return answer_quarantine_request(this->state, request_line);
     }
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(page_fixture, "quarantined_request_listed")
+TEST_CASE_FIXTURE(quarantine_endpoint_fixture, "quarantined_request_listed")
 {
-    const relay::small_answer got = this->ask("GET", "/quarantine");
-    CHECK(got.status == 200);
-    CHECK(got.body.find(base::to_hex(this->request)) != std::string::npos);
-    CHECK(got.body.find("\"crashes\":2") != std::string::npos);
+    const relay::small_answer answer = this->ask("GET", "/quarantine");
+    CHECK(answer.status == 200);
+    CHECK(answer.body.find(base::to_hex(this->request)) != std::string::npos);
+    CHECK(answer.body.find("\"crashes\":2") != std::string::npos);
 }
 
-TEST_CASE_FIXTURE(page_fixture, "quarantined_request_released_by_post_only")
+TEST_CASE_FIXTURE(quarantine_endpoint_fixture,
+                  "quarantined_request_released_by_post_only")
 {
     const std::string target =
         "/quarantine/release/" + base::to_hex(this->request);
--- a/src/greengagedrum/entry/test/store_reader_test.cpp
+++ b/src/greengagedrum/entry/test/store_reader_test.cpp
@@ -33,22 +33,24 @@
     void start()
     {
         this->store.start();
-        store_events told;
-        told.items_received = [this](const routing::item_list&,
-                                     std::uint64_t,
-                                     bool) { this->news += 1; };
-        told.page_received = [this](const routing::item_list& items) {
-            this->parts += 1;
+        store_events callbacks;
+        callbacks.items_received = [this](const routing::item_list&,
+                                          std::uint64_t,
+                                          bool) { this->listings += 1; };
+        callbacks.page_received = [this](const routing::item_list& items) {
+            this->partial_pages += 1;
             CHECK(items.front().key == "op/config");
         };
-        told.call_failed = [this](const std::string&) { this->failures += 1; };
-        told.call_answered = [] {};
-        told.peer_reads_store = [] { return false; };
+        callbacks.call_failed = [this](const std::string&) {
+            this->failures += 1;
+        };
+        callbacks.call_answered = [] {};
+        callbacks.peer_reads_store = [] { return false; };
         this->reader = std::make_unique<store_reader>(
             this->context,
             base::ip_endpoint{"127.0.0.1",
                               static_cast<std::uint16_t>(this->store.port)},
-            std::move(told));
+            std::move(callbacks));
         this->reader->start();
     }
 
@@ -61,10 +63,10 @@
     relay::asio::io_context context;
     fake_http_server store;
     std::unique_ptr<store_reader> reader;
-    int news = 0;
-    int parts = 0;
+    int listings = 0;
+    int partial_pages = 0;
     int failures = 0;
-    std::atomic<int> lists{0};
+    std::atomic<int> range_calls{0};
 };
 
 } // namespace
@@ -78,17 +80,17 @@
 {
     this->store.server.Get(
         "/kv-range",
-        [this](const httplib::Request& asked, httplib::Response& given) {
-            this->lists += 1;
-            if (asked.has_param("after"))
-                given.status = 503;
+        [this](const httplib::Request& request, httplib::Response& response) {
+            this->range_calls += 1;
+            if (request.has_param("after"))
+                response.status = 503;
             else
-                given.set_content(config_page, json_type);
+                response.set_content(config_page, json_type);
         });
     this->start();
     this->run_until([this] { return this->failures > 0; });
-    CHECK(this->parts > 0);
-    CHECK(this->news == 0);
+    CHECK(this->partial_pages > 0);
+    CHECK(this->listings == 0);
 }
 
 // The store returns the same items for every page and says that more follow. A
@@ -96,14 +98,16 @@
 TEST_CASE_FIXTURE(reader_fixture, "pages_that_do_not_go_on_are_given_up")
 {
     this->store.server.Get(
-        "/kv-range", [this](const httplib::Request&, httplib::Response& given) {
-            this->lists += 1;
-            given.set_content(config_page, json_type);
+        "/kv-range",
+        [this](const httplib::Request&, httplib::Response& response) {
+            this->range_calls += 1;
+            response.set_content(config_page, json_type);
         });
     this->start();
-    this->run_until([this] { return this->failures > 0 || this->lists > 50; });
+    this->run_until(
+        [this] { return this->failures > 0 || this->range_calls > 50; });
     CHECK(this->failures > 0);
-    CHECK(this->lists < 10);
+    CHECK(this->range_calls < 10);
 }
 
 // Another program wrote so much into the store that one response would hold
@@ -112,22 +116,23 @@
 TEST_CASE_FIXTURE(reader_fixture, "watch_too_large_is_read_in_pages")
 {
     this->store.server.Get(
-        "/kv-range", [this](const httplib::Request&, httplib::Response& given) {
-            this->lists += 1;
-            given.set_content(last_page, json_type);
+        "/kv-range",
+        [this](const httplib::Request&, httplib::Response& response) {
+            this->range_calls += 1;
+            response.set_content(last_page, json_type);
         });
     // The handler owns the text: the store responds until the fixture is
     // destroyed.
     this->store.server.Get(
         "/kv-watch",
         [large = std::string(relay::fetched_bytes_most + (1U << 20U), ' ')](
-            const httplib::Request&, httplib::Response& given) {
-            given.set_content(large, json_type);
+            const httplib::Request&, httplib::Response& response) {
+            response.set_content(large, json_type);
         });
     this->start();
-    this->run_until([this] { return this->lists > 1; });
-    CHECK(this->lists > 1);
-    CHECK(this->news > 0);
+    this->run_until([this] { return this->range_calls > 1; });
+    CHECK(this->range_calls > 1);
+    CHECK(this->listings > 0);
 }
 
 } // namespace greengagedrum::entry
