--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
@@ -18,22 +18,22 @@
 constexpr base::duration answer_after = 300ms;
 constexpr base::duration upstream_back_after = 4s;
 constexpr base::duration lease = 3600ms;
-constexpr base::duration stable_after =
+constexpr base::duration min_age =
     3s; // age from which a process or a third crash counts
-constexpr double roles_found =
+constexpr double roles_assigned =
     1; // seconds from the start until roles are assigned
-constexpr std::uint64_t hot_body = 999'999;
+constexpr std::uint64_t shared_body = 999'999;
 
 } // namespace
 
 poison_request_fleet::poison_request_fleet(const poison_request_plan& plan)
-    : plan(plan), dice(plan.seed), works(plan.entries),
+    : plan(plan), random_engine(plan.seed), processes(plan.entries),
       upstreams(plan.upstreams), bodies(plan.bodies), fleet(plan, this->hooks())
 {
     this->fleet.start();
-    this->next_copies = this->fleet.time() + 5s;
-    this->next_reset = this->next_copies;
-    this->next_death = this->next_copies;
+    this->next_poison = this->fleet.time() + 5s;
+    this->next_reset = this->next_poison;
+    this->next_exit = this->next_poison;
 }
 
 virtual_fleet::hooks poison_request_fleet::hooks()
@@ -44,7 +44,7 @@
     out.stepped = [this](node& one) {
         traffic::actions orders;
         one.state.scheduler.tick(this->fleet.time(), orders);
-        this->carry_out(one, orders);
+        this->execute(one, orders);
     };
     out.ends = [this](node& one) {
         for (upstream& each : this->upstreams)
@@ -71,10 +71,10 @@
 
 void poison_request_fleet::configure(node& one)
 {
-    work& own = this->works[one.number];
-    own = work();
+    process_state& own = this->processes[one.number];
+    own = process_state();
     own.process = this->next_process++;
-    own.began = this->fleet.time();
+    own.started_at = this->fleet.time();
     one.state.scheduler = traffic::scheduler(
         {0.2, 60, 10s},
         {"centre-" + std::to_string(one.number % this->plan.data_centres),
@@ -99,30 +99,31 @@
     out.replied = [](const dispatch::dispatcher_reply&) {};
     out.member_reported = [this, &of](base::slot_id member,
                                       const gossip::message& told) {
-        this->works[of.number].book.report(
+        this->processes[of.number].book.report(
             member, told.life, told.report, told.uses);
     };
     out.member_lost = [this, &of](base::slot_id member) {
-        this->works[of.number].book.lost(member);
+        this->processes[of.number].book.lost(member);
     };
     out.members_unanswered = [this, &of] {
-        return this->works[of.number].book.unanswered(this->fleet.time());
+        return this->processes[of.number].book.unanswered(this->fleet.time());
     };
     out.reply = [this, &of](base::slot_id member) {
-        return this->works[of.number].book.reply(member, this->fleet.time());
+        return this->processes[of.number].book.reply(member,
+                                                     this->fleet.time());
     };
     return out;
 }
 
 base::request_digest
-poison_request_fleet::digest_of_body(std::uint64_t number) const
+poison_request_fleet::body_digest(std::uint64_t number) const
 {
     return base::digest_of_request(
         "shop", "POST", "/caption", std::to_string(number));
 }
 
-void poison_request_fleet::arrive(std::size_t at,
-                                  std::optional<std::size_t> body)
+void poison_request_fleet::submit_request(std::size_t at,
+                                          std::optional<std::size_t> body)
 {
     node* to = this->fleet.serving(at);
     if (to == nullptr)
@@ -139,49 +140,53 @@
     facts.time_left = 15s;
     const base::request_id id{this->next_request++};
     if (body) {
-        this->works[at].deadly[id] = *body;
-        facts.digest = this->digest_of_body(*body);
+        this->processes[at].poison[id] = *body;
+        facts.digest = this->body_digest(*body);
     } else {
-        const bool hot = std::uniform_real_distribution<double>(0, 1)(
-                             this->dice) < this->plan.hot_share;
-        facts.digest =
-            this->digest_of_body(hot ? hot_body : this->next_innocent++);
-        this->works[at].innocent.insert(id);
-        this->result.innocent += 1;
+        const bool use_shared_body =
+            std::uniform_real_distribution<double>(0, 1)(this->random_engine) <
+            this->plan.same_body_share;
+        facts.digest = this->body_digest(
+            use_shared_body ? shared_body : this->next_ordinary_body++);
+        this->processes[at].ordinary.insert(id);
+        this->result.ordinary += 1;
     }
-    this->tell(*to, traffic::request_arrived{id, facts});
+    this->submit_event(*to, traffic::request_arrived{id, facts});
 }
 
-void poison_request_fleet::ask_deadly()
+void poison_request_fleet::send_poison_requests()
 {
-    if (this->fleet.time() < this->next_copies)
+    if (this->fleet.time() < this->next_poison)
         return;
-    const auto jitter = static_cast<std::int64_t>(this->dice() % 200'000);
-    this->next_copies = this->fleet.time() + this->plan.crash_gap - 100ms +
-                        std::chrono::microseconds(jitter);
+    const auto jitter =
+        static_cast<std::int64_t>(this->random_engine() % 200'000);
+    this->next_poison = this->fleet.time() + this->plan.poison_interval -
+                        100ms + std::chrono::microseconds(jitter);
     const std::size_t body = this->next_body++ % this->plan.bodies;
     for (std::size_t copy = 0; copy < this->plan.copies; ++copy)
-        this->arrive(this->dice() % this->fleet.size(), body);
+        this->submit_request(this->random_engine() % this->fleet.size(), body);
 }
 
-void poison_request_fleet::ask_innocent()
+void poison_request_fleet::send_ordinary_requests()
 {
     constexpr double step_seconds = 0.005;
     double due = this->plan.requests * step_seconds;
     for (; due >= 1; due -= 1)
-        this->arrive(this->dice() % this->fleet.size(), std::nullopt);
-    if (std::uniform_real_distribution<double>(0, 1)(this->dice) < due)
-        this->arrive(this->dice() % this->fleet.size(), std::nullopt);
+        this->submit_request(this->random_engine() % this->fleet.size(),
+                             std::nullopt);
+    if (std::uniform_real_distribution<double>(0, 1)(this->random_engine) < due)
+        this->submit_request(this->random_engine() % this->fleet.size(),
+                             std::nullopt);
 }
 
-void poison_request_fleet::tell(node& at, const traffic::event& what)
+void poison_request_fleet::submit_event(node& at, const traffic::event& what)
 {
     traffic::actions orders;
     at.state.scheduler.step(what, this->fleet.time(), orders);
-    this->carry_out(at, orders);
+    this->execute(at, orders);
 }
 
-void poison_request_fleet::carry_out(node& at, const traffic::actions& orders)
+void poison_request_fleet::execute(node& at, const traffic::actions& orders)
 {
     for (const traffic::action& one : orders) {
         if (const auto* send = std::get_if<traffic::send_request>(&one))
@@ -189,12 +194,13 @@
         if (const auto* end = std::get_if<traffic::end_request>(&one))
             this->end(at, *end);
         if (const auto* check = std::get_if<traffic::check_upstream>(&one))
-            this->tell(at,
-                       traffic::upstream_checked{
-                           check->upstream, this->is_alive(check->upstream)});
+            this->submit_event(
+                at,
+                traffic::upstream_checked{check->upstream,
+                                          this->is_alive(check->upstream)});
         if (const auto* answer = std::get_if<traffic::deliver_answer>(&one)) {
             this->result.answered += static_cast<std::uint32_t>(
-                this->works[at.number].innocent.erase(answer->request));
+                this->processes[at.number].ordinary.erase(answer->request));
         }
     }
 }
@@ -210,18 +216,18 @@
 
 void poison_request_fleet::end(node& at, const traffic::end_request& order)
 {
-    work& own = this->works[at.number];
-    own.deadly.erase(order.request);
-    if (own.innocent.erase(order.request) > 0 &&
+    process_state& own = this->processes[at.number];
+    own.poison.erase(order.request);
+    if (own.ordinary.erase(order.request) > 0 &&
         order.verdict.why == base::reason::quarantined)
-        this->result.barred += 1;
+        this->result.refused_as_quarantined += 1;
 }
 
 void poison_request_fleet::send(node& at, const traffic::send_request& order)
 {
-    work& own = this->works[at.number];
-    const auto deadly = own.deadly.find(order.request);
-    const bool crashes = deadly != own.deadly.end() && this->plan.crashes;
+    process_state& own = this->processes[at.number];
+    const auto poison = own.poison.find(order.request);
+    const bool crashes = poison != own.poison.end() && this->plan.crashes;
     for (std::size_t number = 0; number < this->upstreams.size(); ++number) {
         upstream& to = this->upstreams[number];
         if (this->published(number).id != order.upstream || !to.alive)
@@ -229,37 +235,37 @@
         run fresh{at.number, own.process, order.request, order.send, {}, {}};
         fresh.ends_at = this->fleet.time() + answer_after;
         if (crashes) {
-            fresh.body = deadly->second;
+            fresh.body = poison->second;
             fresh.ends_at = this->fleet.time() + crash_after;
-            this->result.reached += 1;
-            body_record& record = this->bodies[deadly->second];
-            const bool in_touch =
-                this->fleet.time() - own.began >= stable_after;
-            if (in_touch && record.crashes >= 3 &&
-                this->fleet.time() - record.third_at >= stable_after)
-                record.late += 1;
+            this->result.poison_runs += 1;
+            body_record& record = this->bodies[poison->second];
+            const bool informed =
+                this->fleet.time() - own.started_at >= min_age;
+            if (informed && record.crashes >= 3 &&
+                this->fleet.time() - record.third_at >= min_age)
+                record.late_runs += 1;
         }
         to.runs.push_back(fresh);
         return;
     }
-    this->tell(at, traffic::not_sent{order.request, order.send});
+    this->submit_event(at, traffic::not_sent{order.request, order.send});
 }
 
-void poison_request_fleet::break_run(const run& one)
+void poison_request_fleet::report_broken_run(const run& one)
 {
     node* at = this->fleet.at(one.entry);
-    if (at != nullptr && this->works[one.entry].process == one.process)
-        this->tell(*at, traffic::broken{one.request, one.send});
+    if (at != nullptr && this->processes[one.entry].process == one.process)
+        this->submit_event(*at, traffic::broken{one.request, one.send});
 }
 
-void poison_request_fleet::end_upstream(upstream& one)
+void poison_request_fleet::exit_upstream(upstream& one)
 {
     one.alive = false;
     one.back_at = this->fleet.time() + upstream_back_after;
     std::vector<run> broken;
     broken.swap(one.runs);
     for (const run& each : broken)
-        this->break_run(each);
+        this->report_broken_run(each);
 }
 
 void poison_request_fleet::run_upstreams()
@@ -267,7 +273,7 @@
     const base::instant now = this->fleet.time();
     for (std::size_t number = 0; number < this->upstreams.size(); ++number) {
         upstream& one = this->upstreams[number];
-        const auto tell_all = [this](const auto& what) {
+        const auto for_all_schedulers = [this](const auto& what) {
             for (std::size_t at = 0; at < this->fleet.size(); ++at) {
                 if (node* to = this->fleet.at(at))
                     what(to->state.scheduler);
@@ -275,13 +281,14 @@
         };
         if (!one.alive && now >= one.back_at - (upstream_back_after - lease)) {
             const base::upstream_id gone = this->published(number).id;
-            tell_all([&](traffic::scheduler& of) { of.upstream_left(gone); });
+            for_all_schedulers(
+                [&](traffic::scheduler& of) { of.upstream_left(gone); });
         }
         if (!one.alive && now >= one.back_at) {
             one.alive = true;
             one.incarnation += 1;
             const auto fresh = this->published(number);
-            tell_all([&](traffic::scheduler& of) {
+            for_all_schedulers([&](traffic::scheduler& of) {
                 of.upstream_joined(fresh, now);
             });
         }
@@ -298,14 +305,15 @@
                 if (record.crashes == 3)
                     record.third_at = now;
                 this->result.crashed += 1;
-                this->end_upstream(one);
+                this->exit_upstream(one);
                 break;
             }
             one.runs.erase(found);
             node* at = this->fleet.at(ended.entry);
             if (at != nullptr &&
-                this->works[ended.entry].process == ended.process)
-                this->tell(*at, traffic::answered{ended.request, ended.send});
+                this->processes[ended.entry].process == ended.process)
+                this->submit_event(
+                    *at, traffic::answered{ended.request, ended.send});
         }
     }
 }
@@ -313,9 +321,10 @@
 void poison_request_fleet::reset_connections()
 {
     const base::instant now = this->fleet.time();
-    if (this->plan.reset_gap.count() > 0 && now >= this->next_reset) {
-        this->next_reset = now + this->plan.reset_gap;
-        const std::size_t entry = this->dice() % this->fleet.size();
+    if (this->plan.connection_reset_interval.count() > 0 &&
+        now >= this->next_reset) {
+        this->next_reset = now + this->plan.connection_reset_interval;
+        const std::size_t entry = this->random_engine() % this->fleet.size();
         std::vector<run> broken;
         for (upstream& one : this->upstreams) {
             const auto its = std::stable_partition(
@@ -326,13 +335,15 @@
             one.runs.erase(its, one.runs.end());
         }
         for (const run& one : broken)
-            this->break_run(one);
+            this->report_broken_run(one);
     }
-    if (this->plan.death_gap.count() > 0 && now >= this->next_death) {
-        this->next_death = now + this->plan.death_gap;
-        upstream& one = this->upstreams[this->dice() % this->upstreams.size()];
+    if (this->plan.upstream_exit_interval.count() > 0 &&
+        now >= this->next_exit) {
+        this->next_exit = now + this->plan.upstream_exit_interval;
+        upstream& one =
+            this->upstreams[this->random_engine() % this->upstreams.size()];
         if (one.alive)
-            this->end_upstream(one);
+            this->exit_upstream(one);
     }
 }
 
@@ -340,12 +351,12 @@
 {
     while (this->fleet.seconds() < this->plan.seconds) {
         this->fleet.step();
-        if (this->fleet.seconds() < roles_found)
+        if (this->fleet.seconds() < roles_assigned)
             continue;
         this->run_upstreams();
         this->reset_connections();
-        this->ask_innocent();
-        this->ask_deadly();
+        this->send_ordinary_requests();
+        this->send_poison_requests();
     }
     for (std::size_t at = 0; at < this->fleet.size(); ++at) {
         if (const node* one = this->fleet.at(at))
@@ -354,8 +365,9 @@
                          one->state.scheduler.crash_suspects().size());
     }
     for (const body_record& one : this->bodies)
-        this->result.late = std::max(this->result.late, one.late);
-    this->result.bytes = static_cast<std::uint64_t>(
+        this->result.late_runs =
+            std::max(this->result.late_runs, one.late_runs);
+    this->result.bytes_per_second = static_cast<std::uint64_t>(
         static_cast<double>(this->fleet.busiest_bytes()) / this->plan.seconds);
     return this->result;
 }
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
@@ -17,29 +17,30 @@
 
 struct poison_request_plan : trouble_plan {
     std::size_t upstreams = 9;
-    base::duration crash_gap =
+    base::duration poison_interval =
         std::chrono::milliseconds(700); // between poison requests
     std::size_t copies =
         1; // of the poison request, sent at once to random entries
-    std::size_t bodies = 1; // different poison bodies, sent in turn
-    double requests = 40;   // ordinary requests a second, in total
-    double hot_share = 0;   // of the ordinary requests, with the same body
+    std::size_t bodies = 1;     // different poison bodies, sent in turn
+    double requests = 40;       // ordinary requests a second, in total
+    double same_body_share = 0; // of the ordinary requests, with the same body
     bool crashes = true; // false: poison requests are answered like any other
     // Interval at which all connections of one entry are reset; 0: never.
-    base::duration reset_gap{0};
+    base::duration connection_reset_interval{0};
     // Interval at which an upstream exits for another reason; 0: never.
-    base::duration death_gap{0};
+    base::duration upstream_exit_interval{0};
 };
 
 struct poison_request_result {
-    std::uint32_t reached = 0; // upstreams that began to run a poison request
-    std::uint32_t crashed = 0; // upstreams that crashed by one
-    std::uint32_t late = 0;    // most runs of one body after its third crash
-    std::uint32_t innocent = 0;
-    std::uint32_t answered = 0; // of the ordinary requests
-    std::uint32_t barred = 0;   // of the ordinary requests
-    std::uint64_t bytes = 0;    // a second, of the busiest entry
-    std::size_t records = 0;    // crash records, most of any entry
+    std::uint32_t poison_runs =
+        0;                       // upstreams that began to run a poison request
+    std::uint32_t crashed = 0;   // upstreams that crashed by one
+    std::uint32_t late_runs = 0; // most runs of one body after its third crash
+    std::uint32_t ordinary = 0;
+    std::uint32_t answered = 0;               // of the ordinary requests
+    std::uint32_t refused_as_quarantined = 0; // of the ordinary requests
+    std::uint64_t bytes_per_second = 0;       // a second, of the busiest entry
+    std::size_t records = 0; // crash records, most of any entry
 };
 
 class poison_request_fleet
@@ -69,52 +70,52 @@
     };
 
     // The state that one entry process has in the simulation.
-    struct work {
+    struct process_state {
         std::uint64_t process = 0;
-        base::instant began;
+        base::instant started_at;
         dispatch::dispatcher_book book;
         // Poison requests and ordinary requests in progress.
-        std::map<base::request_id, std::size_t> deadly;
-        std::set<base::request_id> innocent;
+        std::map<base::request_id, std::size_t> poison;
+        std::set<base::request_id> ordinary;
     };
 
     struct body_record {
         std::uint32_t crashes = 0;
         base::instant third_at;
-        std::uint32_t late = 0;
+        std::uint32_t late_runs = 0;
     };
 
     virtual_fleet::hooks hooks();
     peer_events events_of(node& of);
     void configure(node& one);
-    void carry_out(node& at, const traffic::actions& orders);
-    void tell(node& at, const traffic::event& what);
+    void execute(node& at, const traffic::actions& orders);
+    void submit_event(node& at, const traffic::event& what);
     void send(node& at, const traffic::send_request& order);
     void end(node& at, const traffic::end_request& order);
     bool is_alive(base::upstream_id id) const;
-    void ask_deadly();
-    void ask_innocent();
-    void arrive(std::size_t at, std::optional<std::size_t> body);
+    void send_poison_requests();
+    void send_ordinary_requests();
+    void submit_request(std::size_t at, std::optional<std::size_t> body);
     void run_upstreams();
-    void end_upstream(upstream& one);
-    void break_run(const run& one);
+    void exit_upstream(upstream& one);
+    void report_broken_run(const run& one);
     void reset_connections();
     routing::published_upstream published(std::size_t number) const;
-    base::request_digest digest_of_body(std::uint64_t number) const;
+    base::request_digest body_digest(std::uint64_t number) const;
 
     poison_request_plan plan;
-    std::mt19937_64 dice;
-    std::vector<work> works; // by entry
+    std::mt19937_64 random_engine;
+    std::vector<process_state> processes; // by entry
     std::vector<upstream> upstreams;
     std::vector<body_record> bodies;
     virtual_fleet fleet;
-    base::instant next_copies;
+    base::instant next_poison;
     base::instant next_reset;
-    base::instant next_death;
+    base::instant next_exit;
     std::uint64_t next_body = 0;
     std::uint64_t next_request = 1;
     std::uint64_t next_process = 1;
-    std::uint64_t next_innocent = 1'000'000;
+    std::uint64_t next_ordinary_body = 1'000'000;
     poison_request_result result;
 };
 
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet_test.cpp
@@ -13,26 +13,26 @@
 using namespace std::chrono_literals;
 
 // Runs allowed after the third crash, once all entries can know of it.
-constexpr std::uint32_t late_most = 3;
+constexpr std::uint32_t max_late_runs = 3;
 
-poison_request_result played(const poison_request_plan& plan)
+poison_request_result simulate(const poison_request_plan& plan)
 {
     const poison_request_result got = poison_request_fleet(plan).simulate();
     MESSAGE(plan.entries,
             " entries: ran ",
-            got.reached,
+            got.poison_runs,
             " times, crashed ",
             got.crashed,
             ", late ",
-            got.late,
+            got.late_runs,
             "; of ",
-            got.innocent,
+            got.ordinary,
             " others answered ",
             got.answered,
             ", barred ",
-            got.barred,
+            got.refused_as_quarantined,
             "; bytes a second ",
-            got.bytes,
+            got.bytes_per_second,
             ", records ",
             got.records);
     return got;
@@ -55,8 +55,8 @@
     for (const std::size_t entries : {9U, 86U, 295U}) {
         poison_request_plan plan = plan_of(entries);
         plan.seconds = entries > 100 ? 18 : 30;
-        const poison_request_result got = played(plan);
-        CHECK(got.late <= late_most);
+        const poison_request_result got = simulate(plan);
+        CHECK(got.late_runs <= max_late_runs);
         CHECK(got.crashed <= 3);
     }
 }
@@ -67,8 +67,8 @@
     for (const std::size_t entries : {9U, 86U}) {
         poison_request_plan plan = plan_of(entries);
         plan.copies = 5;
-        const poison_request_result got = played(plan);
-        CHECK(got.late <= late_most);
+        const poison_request_result got = simulate(plan);
+        CHECK(got.late_runs <= max_late_runs);
         CHECK(got.crashed <= 5);
     }
 }
@@ -79,8 +79,8 @@
     for (const std::size_t entries : {9U, 86U}) {
         poison_request_plan plan = plan_of(entries);
         plan.all_killed_at = 15;
-        const poison_request_result got = played(plan);
-        CHECK(got.late <= late_most);
+        const poison_request_result got = simulate(plan);
+        CHECK(got.late_runs <= max_late_runs);
     }
 }
 
@@ -96,8 +96,8 @@
             plan.frozen_at = {17};
         }
         plan.seconds = 40;
-        const poison_request_result got = played(plan);
-        CHECK(got.late <= late_most);
+        const poison_request_result got = simulate(plan);
+        CHECK(got.late_runs <= max_late_runs);
         CHECK(got.crashed <= 3);
     }
 }
@@ -110,8 +110,8 @@
         poison_request_plan plan = plan_of(entries);
         plan.cut_from = 5;
         plan.lost_share = 0.05;
-        const poison_request_result got = played(plan);
-        CHECK(got.late <= late_most);
+        const poison_request_result got = simulate(plan);
+        CHECK(got.late_runs <= max_late_runs);
     }
 }
 
@@ -122,10 +122,10 @@
     plan.entries = 9;
     plan.upstreams = 60;
     plan.bodies = 300;
-    plan.crash_gap = 110ms;
+    plan.poison_interval = 110ms;
     plan.seconds = 80;
-    const poison_request_result got = played(plan);
-    CHECK(got.late <= late_most);
+    const poison_request_result got = simulate(plan);
+    CHECK(got.late_runs <= max_late_runs);
     CHECK(got.crashed <= 2 * plan.bodies + 10);
 }
 
@@ -136,11 +136,11 @@
     for (const std::size_t entries : {9U, 86U}) {
         poison_request_plan plan = plan_of(entries);
         plan.crashes = false;
-        plan.hot_share = 0.3;
-        plan.death_gap = 1s;
-        plan.reset_gap = 300ms;
-        const poison_request_result got = played(plan);
-        CHECK(got.barred == 0);
+        plan.same_body_share = 0.3;
+        plan.upstream_exit_interval = 1s;
+        plan.connection_reset_interval = 300ms;
+        const poison_request_result got = simulate(plan);
+        CHECK(got.refused_as_quarantined == 0);
     }
 }
 
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
@@ -13,13 +13,14 @@
 
 const base::class_id engines("engines");
 constexpr std::uint32_t slots = 50;
-constexpr base::duration ask_gap = 50ms; // between requests at one entry
+constexpr base::duration request_interval =
+    50ms; // between requests at one entry
 constexpr base::duration window = 1s;
 
 } // namespace
 
 slow_start_fleet::slow_start_fleet(const slow_start_plan& plan)
-    : plan(plan), books(plan.entries), sent_lately(plan.data_centres),
+    : plan(plan), books(plan.entries), recent_sends(plan.data_centres),
       fleet(plan, this->hooks())
 {
     this->fleet.start();
@@ -30,7 +31,7 @@
     virtual_fleet::hooks out;
     out.configure = [this](node& one) { this->configure(one); };
     out.events = [this](node& one) { return this->events_of(one); };
-    out.stepped = [this](node& one) { this->ask(one); };
+    out.stepped = [this](node& one) { this->submit_request(one); };
     return out;
 }
 
@@ -87,10 +88,11 @@
     return out;
 }
 
-void slow_start_fleet::ask(node& one)
+void slow_start_fleet::submit_request(node& one)
 {
     const base::instant now = this->fleet.time();
-    const auto phase = (now.time_since_epoch() + one.number * 5ms) % ask_gap;
+    const auto phase =
+        (now.time_since_epoch() + one.number * 5ms) % request_interval;
     if (phase >= 5ms)
         return;
     traffic::request_facts facts;
@@ -103,25 +105,26 @@
     one.state.scheduler.step(traffic::request_arrived{id, facts}, now, orders);
     for (const traffic::action& each : orders) {
         if (const auto* order = std::get_if<traffic::send_request>(&each))
-            this->note_send(order->upstream);
+            this->record_send(order->upstream);
     }
     orders.clear();
     one.state.scheduler.step(traffic::caller_left{id}, now, orders);
 }
 
-void slow_start_fleet::note_send(base::upstream_id upstream)
+void slow_start_fleet::record_send(base::upstream_id upstream)
 {
     const base::instant now = this->fleet.time();
-    for (std::size_t each = 0; each < this->sent_lately.size(); ++each) {
+    for (std::size_t each = 0; each < this->recent_sends.size(); ++each) {
         if (this->published(each).id != upstream)
             continue;
-        std::deque<base::instant>& sent = this->sent_lately[each];
+        std::deque<base::instant>& sent = this->recent_sends[each];
         sent.push_back(now);
         while (now - sent.front() >= window)
             sent.pop_front();
         this->result.sends += 1;
-        this->result.most = std::max(this->result.most,
-                                     static_cast<std::uint32_t>(sent.size()));
+        this->result.max_per_second =
+            std::max(this->result.max_per_second,
+                     static_cast<std::uint32_t>(sent.size()));
     }
 }
 
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.hpp
@@ -17,7 +17,8 @@
 };
 
 struct slow_start_result {
-    std::uint32_t most = 0;  // most sends to one upstream in any second
+    std::uint32_t max_per_second =
+        0;                   // most sends to one upstream in any second
     std::uint64_t sends = 0; // in total
 };
 
@@ -34,13 +35,13 @@
     virtual_fleet::hooks hooks();
     peer_events events_of(node& of);
     void configure(node& one);
-    void ask(node& one);
-    void note_send(base::upstream_id upstream);
+    void submit_request(node& one);
+    void record_send(base::upstream_id upstream);
     routing::published_upstream published(std::size_t data_centre) const;
 
     slow_start_plan plan;
-    std::vector<dispatch::dispatcher_book> books;       // by entry
-    std::vector<std::deque<base::instant>> sent_lately; // by data centre
+    std::vector<dispatch::dispatcher_book> books;        // by entry
+    std::vector<std::deque<base::instant>> recent_sends; // by data centre
     virtual_fleet fleet;
     std::uint64_t next_request = 1;
     slow_start_result result;
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet_test.cpp
@@ -32,8 +32,10 @@
 
 slow_start_plan random_plan(std::uint64_t seed)
 {
-    std::mt19937_64 dice(seed);
-    const auto below = [&dice](std::uint64_t most) { return dice() % most; };
+    std::mt19937_64 random_engine(seed);
+    const auto below = [&random_engine](std::uint64_t max_per_second) {
+        return random_engine() % max_per_second;
+    };
     constexpr std::size_t sizes[] = {2, 5, 9, 24, 40, 69};
     slow_start_plan out = plan_of(sizes[below(std::size(sizes))], 1 + below(4));
     out.entries = std::max(out.entries, out.data_centres);
@@ -73,7 +75,7 @@
         slow_start_plan plan = plan_of(entries, 4);
         plan.seconds = entries > 100 ? 8 : 15;
         const slow_start_result got = slow_start_fleet(plan).simulate();
-        CHECK(got.most <= 7);
+        CHECK(got.max_per_second <= 7);
         MESSAGE(entries, " entries: ", got.sends, " sends");
         // Nearly all allowed sends happen, except in the seconds until the
         // entries know each other.
@@ -87,7 +89,7 @@
 {
     slow_start_plan plan = plan_of(69, 4);
     plan.all_killed_at = 6;
-    CHECK(slow_start_fleet(plan).simulate().most <= 7);
+    CHECK(slow_start_fleet(plan).simulate().max_per_second <= 7);
 }
 
 // Seeds of random fleets that exceeded the bound in earlier versions, with
@@ -98,7 +100,8 @@
     for (const std::uint64_t seed :
          {5U, 13U, 24U, 37U, 245U, 763U, 1523U, 1592U, 1932U}) {
         CAPTURE(seed);
-        CHECK(slow_start_fleet(random_plan(seed)).simulate().most <= bound);
+        CHECK(slow_start_fleet(random_plan(seed)).simulate().max_per_second <=
+              bound);
     }
 }
 
@@ -122,8 +125,8 @@
         CAPTURE(plan.killed_at.size());
         CAPTURE(plan.frozen_at.size());
         const slow_start_result got = slow_start_fleet(plan).simulate();
-        CHECK(got.most <= bound);
-        worst = std::max(worst, got.most);
+        CHECK(got.max_per_second <= bound);
+        worst = std::max(worst, got.max_per_second);
     }
     MESSAGE("most in a second: ", worst);
 }
