--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet_test.cpp
@@ -50,7 +50,7 @@
 
 // The same request, repeated at random entries, would crash one upstream after
 // the other.
-TEST_CASE("request_that_crashes_upstreams_is_contained_over_all_entries")
+TEST_CASE("poison_request_is_contained_over_all_entries")
 {
     for (const std::size_t entries : {9U, 86U, 295U}) {
         poison_request_plan plan = plan_of(entries);
@@ -62,7 +62,7 @@
 }
 
 // Five copies arrive at the same moment at random entries.
-TEST_CASE("copies_at_once_over_all_entries_are_contained")
+TEST_CASE("simultaneous_poison_requests_are_contained")
 {
     for (const std::size_t entries : {9U, 86U}) {
         poison_request_plan plan = plan_of(entries);
@@ -74,7 +74,7 @@
 }
 
 // All entries are killed at once, so their crash records are lost.
-TEST_CASE("contained_request_after_all_entries_were_killed_contained_again")
+TEST_CASE("poison_request_after_all_entries_were_killed_is_contained_again")
 {
     for (const std::size_t entries : {9U, 86U}) {
         poison_request_plan plan = plan_of(entries);
@@ -85,7 +85,7 @@
 }
 
 // A new process must learn from its peers which requests are quarantined.
-TEST_CASE("entries_replaced_one_by_one_do_not_send_a_contained_request")
+TEST_CASE("restarted_entries_do_not_send_a_quarantined_request")
 {
     for (const std::size_t entries : {9U, 86U}) {
         poison_request_plan plan = plan_of(entries);
@@ -104,7 +104,7 @@
 
 // Entries on both sides of a network partition count alone, and one datagram in
 // twenty is lost.
-TEST_CASE("request_contained_on_both_sides_of_a_cut")
+TEST_CASE("poison_request_is_contained_on_both_sides_of_a_partition")
 {
     for (const std::size_t entries : {9U, 86U}) {
         poison_request_plan plan = plan_of(entries);
@@ -116,7 +116,7 @@
 }
 
 // One caller sends three hundred bodies, each of which crashes upstreams.
-TEST_CASE("many_bodies_that_crash_upstreams_are_each_contained")
+TEST_CASE("many_poison_bodies_are_each_contained")
 {
     poison_request_plan plan;
     plan.entries = 9;
@@ -131,7 +131,7 @@
 
 // Upstreams exit for other reasons, and a third of all requests have the same
 // body.
-TEST_CASE("requests_that_crash_nothing_are_not_barred")
+TEST_CASE("requests_that_crash_nothing_are_not_quarantined")
 {
     for (const std::size_t entries : {9U, 86U}) {
         poison_request_plan plan = plan_of(entries);
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet_test.cpp
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TEST_CASE("cold_upstreams_get_their_sends_from_fleets_of_any_size")
+TEST_CASE("cold_upstreams_in_fleets_of_any_size_get_their_start_rate")
 {
     for (const std::size_t entries : {1U, 9U, 69U, 295U}) {
         slow_start_plan plan = plan_of(entries, 4);
@@ -85,7 +85,7 @@
 }
 
 // All entries restart at once, and each takes itself to be the only one.
-TEST_CASE("cold_upstreams_are_spared_by_entries_that_all_start_at_once")
+TEST_CASE("cold_upstreams_keep_their_bound_when_all_entries_restart")
 {
     slow_start_plan plan = plan_of(69, 4);
     plan.all_killed_at = 6;
@@ -95,7 +95,7 @@
 // Seeds of random fleets that exceeded the bound in earlier versions, with
 // dispatchers that follow each other and processes frozen or cut off in their
 // first seconds.
-TEST_CASE("cold_upstreams_are_spared_by_fleets_that_failed_once")
+TEST_CASE("cold_upstreams_keep_their_bound_in_fleets_that_once_failed")
 {
     for (const std::uint64_t seed :
          {5U, 13U, 24U, 37U, 245U, 763U, 1523U, 1592U, 1932U}) {
@@ -106,7 +106,7 @@
 }
 
 // Entries on both sides of a network partition send as if they were alone.
-TEST_CASE("cold_upstreams_are_spared_by_random_fleets")
+TEST_CASE("cold_upstreams_keep_their_bound_in_random_fleets")
 {
     std::uint32_t worst = 0;
     const std::uint64_t first = number_from("GGD_FIRST_FLEET", 1);
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -104,7 +104,8 @@
 }
 
 // Upstreams become cold while evacuated, but publish that only later.
-TEST_CASE_FIXTURE(cluster_state_fixture, "upstreams_taken_back_count_as_cold")
+TEST_CASE_FIXTURE(cluster_state_fixture,
+                  "upstreams_after_an_evacuation_count_as_cold")
 {
     this->apply_listing(
         {service_item(2), upstream_item("i-1", 4), evacuation_item(5)}, 6);
@@ -117,7 +118,7 @@
 // Only the first report of an upstream says that it is cold. Members detect the
 // change by the digest that their dispatcher sends.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "upstream_that_turns_cold_or_warm_is_news")
+                  "upstream_turning_cold_or_warm_is_a_change")
 {
     this->apply_listing({upstream_item("i-1", 4)}, 4);
     const std::uint64_t warm = this->cluster.content_digest();
@@ -137,7 +138,7 @@
 // An entry that has just started receives upstreams and evacuations in one
 // listing, in any order.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "upstream_listed_with_its_evacuation_is_out")
+                  "upstream_listed_with_its_evacuation_is_not_added")
 {
     const auto changes =
         this->apply_listing({upstream_item("i-1", 4), evacuation_item(3)}, 6);
@@ -148,7 +149,7 @@
 // The watch that reported the end of the evacuation was lost; the next full
 // listing no longer holds the item.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "evacuation_missing_from_a_whole_reading_is_over")
+                  "evacuation_missing_from_a_full_listing_has_ended")
 {
     this->apply_listing({upstream_item("i-1", 4), evacuation_item(5)}, 6);
     const auto changes = this->apply_listing({upstream_item("i-1", 4)}, 9);
@@ -158,7 +159,7 @@
 
 // A peer that is behind must neither end an evacuation nor start one again.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "older_news_of_an_evacuation_changes_nothing")
+                  "older_evacuation_item_changes_nothing")
 {
     this->apply_listing({upstream_item("i-1", 4)}, 4);
     this->apply_changes({{"op/evacuate/hall", "", 9, true}}, 9);
@@ -172,7 +173,7 @@
 // Guards against a digest that leaves out evacuations: two entries that differ
 // only in one would take themselves to be in the same state.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "evacuation_reaches_those_that_ask_a_peer")
+                  "evacuation_is_passed_to_peers_that_ask")
 {
     this->apply_listing({upstream_item("i-1", 4)}, 4);
     cluster_state behind;
@@ -189,7 +190,7 @@
 // An evacuation item has an empty value and must not be dropped like a removed
 // item when thousands of removed items are kept.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "evacuation_outlasts_many_removed_items")
+                  "evacuation_survives_many_removed_items")
 {
     this->apply_listing({upstream_item("i-1", 4), evacuation_item(5)}, 6);
     for (std::uint64_t number = 10; number < 5000; ++number)
@@ -205,7 +206,7 @@
 
 // An entry receives items from a peer that is behind the store. A change that
 // was in force must not be reverted.
-TEST_CASE_FIXTURE(cluster_state_fixture, "older_configuration_never_comes_back")
+TEST_CASE_FIXTURE(cluster_state_fixture, "older_configuration_is_ignored")
 {
     CHECK(this->apply_listing({config_item(3, 10)}, 10).configuration_changed);
     CHECK(this->apply_changes({config_item(5, 14)}, 14).configuration_changed);
@@ -216,7 +217,7 @@
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "unreadable_configuration_leaves_the_last_good")
+                  "unreadable_configuration_keeps_the_last_valid_one")
 {
     this->apply_listing({config_item(3, 10)}, 10);
     const auto changes =
@@ -227,7 +228,7 @@
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "upstream_missing_from_a_whole_reading_is_gone")
+                  "upstream_missing_from_a_full_listing_is_removed")
 {
     this->apply_listing({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
     this->apply_changes({upstream_item("i-3", 9)}, 9);
@@ -240,7 +241,7 @@
 // Another program overwrites an upstream's item and adds a thousand items of
 // its own. That upstream gets no more work; the others are unaffected.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "items_of_another_writer_name_no_upstream")
+                  "items_of_another_program_are_no_upstreams")
 {
     this->apply_listing({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
     routing::item_list foreign = {
@@ -268,7 +269,7 @@
 // A restarted upstream replaces its previous incarnation, which is reported as
 // removed.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "upstream_that_starts_again_leaves_and_joins")
+                  "restarted_upstream_is_removed_and_added")
 {
     this->apply_listing({item_with_birth("i-1", 1'000, 4)}, 6);
     const auto changes =
@@ -294,7 +295,7 @@
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "entry_without_birth_read_first_is_dropped_later")
+                  "upstream_without_birth_is_removed_once_births_are_published")
 {
     this->apply_listing({upstream_item("i-1", 4)}, 4);
     const auto changes =
@@ -306,7 +307,7 @@
 // The store was unreachable for longer than the leases last and then reports
 // every upstream as removed. Live upstreams report again within two seconds.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "upstreams_lapsed_in_an_outage_are_waited_for")
+                  "removals_after_a_store_outage_are_deferred")
 {
     this->apply_listing({upstream_item("i-1", 4), upstream_item("i-2", 5)}, 6);
     this->cluster.on_store_failed(this->now);
@@ -321,7 +322,7 @@
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "upstream_removed_on_a_calm_day_is_gone_at_once")
+                  "removal_without_a_store_outage_takes_effect_at_once")
 {
     this->apply_listing({upstream_item("i-1", 4)}, 6);
     this->cluster.on_store_failed(this->now);
@@ -332,8 +333,7 @@
         1);
 }
 
-TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "peer_that_knows_some_is_given_the_rest")
+TEST_CASE_FIXTURE(cluster_state_fixture, "peer_with_some_items_gets_the_rest")
 {
     this->apply_listing({config_item(3, 2), upstream_item("i-1", 4)}, 6);
     this->apply_changes({{"servers/i-1", "", 9, true}, upstream_item("i-2", 8)},
@@ -356,7 +356,7 @@
 // reports of revision 20. A peer that has all items up to revision 20 must
 // still get the configuration.
 TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "change_heard_of_late_reaches_a_follower")
+                  "late_configuration_reaches_a_follower")
 {
     this->apply_listing({config_item(3, 5), upstream_item("i-1", 4)}, 6);
     this->apply_changes({upstream_item("i-1", 20)},
@@ -378,7 +378,8 @@
 // A store that lost its history delivers a change late, with a revision below
 // those of other changes. A peer that asks for items above the newest revision
 // it knows would never get it.
-TEST_CASE_FIXTURE(cluster_state_fixture, "change_told_late_is_passed_on")
+TEST_CASE_FIXTURE(cluster_state_fixture,
+                  "late_change_of_lower_revision_is_passed_on")
 {
     this->apply_changes({upstream_item("i-1", 20)}, 20);
     const std::uint64_t sent = this->cluster.change_count();
--- a/src/greengagedrum/entry/test/containment_test.cpp
+++ b/src/greengagedrum/entry/test/containment_test.cpp
@@ -70,8 +70,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(containment_fixture,
-                  "request_that_ended_two_upstreams_gets_503")
+TEST_CASE_FIXTURE(containment_fixture, "request_after_two_crashes_gets_503")
 {
     for (int attempt = 0; attempt < 2; ++attempt) {
         const auto response = this->post("/once/x", "deadly");
@@ -91,7 +90,7 @@
 
 // One attempt may be sent to two upstreams, and the caller may repeat it.
 TEST_CASE_FIXTURE(containment_fixture,
-                  "repeatable_request_ends_two_upstreams_in_all")
+                  "repeated_poison_request_crashes_two_upstreams_in_total")
 {
     for (int attempt = 0; attempt < 3; ++attempt)
         REQUIRE(this->post("/again/x", "deadly"));
@@ -100,7 +99,7 @@
 
 // Connections are reset while their upstreams stay alive, which is no crash.
 TEST_CASE_FIXTURE(containment_fixture,
-                  "request_whose_connections_are_reset_sent_on")
+                  "request_with_reset_connections_is_still_sent")
 {
     constexpr int attempts = 6;
     for (int attempt = 0; attempt < attempts; ++attempt) {
--- a/src/greengagedrum/entry/test/entry_test.cpp
+++ b/src/greengagedrum/entry/test/entry_test.cpp
@@ -68,7 +68,7 @@
     CHECK(std::stoi(forwarded.get_header_value("X-Deadline-Ms")) <= 2000);
 }
 
-TEST_CASE_FIXTURE(entry_fixture, "callers_own_system_headers_do_not_pass")
+TEST_CASE_FIXTURE(entry_fixture, "system_headers_set_by_the_caller_are_removed")
 {
     httplib::Headers request_headers = headers();
     request_headers.emplace("X-Tenant", "another");
@@ -83,7 +83,7 @@
     CHECK(forwarded.get_header_value("X-Attempt-Id") == "a-1");
 }
 
-TEST_CASE_FIXTURE(entry_fixture, "unknown_key_and_route_are_told_apart")
+TEST_CASE_FIXTURE(entry_fixture, "unknown_key_gets_401_and_unknown_route_404")
 {
     httplib::Headers request_headers = headers();
     request_headers.erase("Api-Key");
@@ -124,7 +124,7 @@
 
 // The only upstream reports that it did not run the request. The caller is told
 // so, and when to retry.
-TEST_CASE_FIXTURE(entry_fixture, "request_turned_away_is_refused_as_not_run")
+TEST_CASE_FIXTURE(entry_fixture, "request_not_run_by_its_upstream_gets_503")
 {
     this->set_upstream_handler(
         [](const httplib::Request&, httplib::Response& response) {
@@ -142,7 +142,7 @@
 // An upstream responds with the refusal of another request, which says that it
 // did not run that one. Whether it ran this one is unknown, so the caller must
 // not be told that a retry is safe.
-TEST_CASE_FIXTURE(entry_fixture, "refusal_of_another_request_is_no_promise")
+TEST_CASE_FIXTURE(entry_fixture, "refusal_of_another_request_gets_502")
 {
     for (const int status : {503, 421}) {
         this->set_upstream_handler(
@@ -190,8 +190,7 @@
 
 // A stream is cut after seven events. It may be resumed, but its only upstream
 // was already tried. The response must not look complete to the caller.
-TEST_CASE_FIXTURE(entry_fixture,
-                  "stream_cut_and_not_resumed_does_not_look_whole")
+TEST_CASE_FIXTURE(entry_fixture, "stream_cut_and_not_resumed_looks_incomplete")
 {
     this->set_upstream_handler(
         [](const httplib::Request& request, httplib::Response& response) {
@@ -201,7 +200,7 @@
     CHECK_FALSE(client.Post("/stream/", headers(), "", "text/plain"));
 }
 
-TEST_CASE_FIXTURE(entry_fixture, "requests_sent_ahead_are_answered_in_order")
+TEST_CASE_FIXTURE(entry_fixture, "pipelined_requests_are_answered_in_order")
 {
     this->set_upstream_handler(
         [](const httplib::Request& request, httplib::Response& response) {
@@ -229,7 +228,7 @@
 
 // The entry is stopped during a request. The caller gets the complete response,
 // and is told that the connection closes.
-TEST_CASE_FIXTURE(entry_fixture, "request_under_way_at_a_stop_is_answered")
+TEST_CASE_FIXTURE(entry_fixture, "request_in_progress_at_a_stop_is_answered")
 {
     this->set_upstream_handler(
         [this](const httplib::Request& request, httplib::Response& response) {
@@ -246,7 +245,8 @@
 
 // The caller closes its connection during a stream. The connection to the
 // upstream is closed too, which ends the work there.
-TEST_CASE_FIXTURE(entry_fixture, "work_of_a_caller_that_left_is_broken_off")
+TEST_CASE_FIXTURE(entry_fixture,
+                  "upstream_connection_closes_when_the_caller_leaves")
 {
     const auto connection_closed = std::make_shared<std::atomic<bool>>(false);
     this->set_upstream_handler([connection_closed](
@@ -288,7 +288,7 @@
 // Guards against sending requests to the upstreams of a data centre that is
 // evacuated for maintenance.
 TEST_CASE_FIXTURE(entry_fixture,
-                  "evacuated_upstream_gets_nothing_until_it_is_back")
+                  "evacuated_upstream_gets_no_requests_until_the_end")
 {
     const auto status = [this] {
         auto client = this->client();
--- a/src/greengagedrum/entry/test/store_reader_test.cpp
+++ b/src/greengagedrum/entry/test/store_reader_test.cpp
@@ -95,7 +95,7 @@
 
 // The store returns the same items for every page and says that more follow. A
 // reader that asks for the next page at once would never stop.
-TEST_CASE_FIXTURE(reader_fixture, "pages_that_do_not_go_on_are_given_up")
+TEST_CASE_FIXTURE(reader_fixture, "listing_whose_pages_repeat_is_given_up")
 {
     this->store.server.Get(
         "/kv-range",
