--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -150,7 +150,7 @@
     }
     if (this->table && read->version < this->configuration_version()) {
         out.unreadable_items.push_back(item.key +
-                                       ": an older version was written");
+                                       ": version below the one in force");
         return true;
     }
     this->table = std::make_shared<const routing::route_table>(
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -245,7 +245,7 @@
 {
     const auto asked = read_items_target(target);
     if (!asked)
-        return {503, "text/plain", "no such question\n"};
+        return {503, "text/plain", "unknown target\n"};
     gossip::item_transfer out =
         asked->life ? this->state.cluster.items_after_change(
                           *asked->life == this->incarnation ? asked->number : 0)
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet_test.cpp
@@ -19,21 +19,21 @@
 {
     const poison_request_result got = poison_request_fleet(plan).simulate();
     MESSAGE(plan.entries,
-            " entries: ran ",
+            " entries: poison requests ran ",
             got.poison_runs,
             " times, crashed ",
             got.crashed,
             ", late ",
             got.late_runs,
-            "; of ",
+            " times; of ",
             got.ordinary,
-            " others answered ",
+            " ordinary requests answered ",
             got.answered,
-            ", barred ",
+            ", refused as quarantined ",
             got.refused_as_quarantined,
             "; bytes a second ",
             got.bytes_per_second,
-            ", records ",
+            ", crash records ",
             got.records);
     return got;
 }
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet_test.cpp
@@ -128,7 +128,7 @@
         CHECK(got.max_per_second <= bound);
         worst = std::max(worst, got.max_per_second);
     }
-    MESSAGE("most in a second: ", worst);
+    MESSAGE("most sends in a second: ", worst);
 }
 
 } // namespace greengagedrum::entry::fleet_test
--- a/src/greengagedrum/entry/quarantine_endpoint.cpp
+++ b/src/greengagedrum/entry/quarantine_endpoint.cpp
@@ -62,7 +62,7 @@
     if (asked.target == list_target)
         return list(state);
     if (asked.method != "POST")
-        return {wrong_method, "text/plain", "release by POST\n"};
+        return {wrong_method, "text/plain", "use POST to release a request\n"};
     return release(state, asked.target.substr(release_target.size()));
 }
 
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -156,7 +156,8 @@
     if (found == this->requests.end())
         return;
     found->second.http_exchange->stop_send();
-    this->log_send_report(action.request, {action.send, 0, 0, "stopped here"});
+    this->log_send_report(action.request,
+                          {action.send, 0, 0, "cancelled by the scheduler"});
 }
 
 void request_handler::execute_action(const traffic::deliver_answer& action)
--- a/src/greengagedrum/entry/store_reader.cpp
+++ b/src/greengagedrum/entry/store_reader.cpp
@@ -106,7 +106,7 @@
         return this->on_failure("status " + std::to_string(response.status));
     auto page = platform::read_store_answer(response.body);
     if (!page)
-        return this->on_failure("a page that can't be read");
+        return this->on_failure("unreadable page");
     this->pages_revision = this->last_key.empty()
                                ? page->as_of
                                : std::min(this->pages_revision, page->as_of);
@@ -128,7 +128,7 @@
 void store_reader::on_partial_page(routing::item_list& items)
 {
     if (items.empty() || items.back().key <= this->last_key)
-        return this->on_failure("pages that don't go on");
+        return this->on_failure("page does not go beyond the previous one");
     this->events.page_received(items);
     this->last_key = items.back().key;
     for (routing::published_item& one : items)
@@ -169,7 +169,7 @@
         return this->on_failure("status " + std::to_string(response.status));
     const auto changes = platform::read_store_answer(response.body);
     if (!changes)
-        return this->on_failure("a watch that can't be read");
+        return this->on_failure("unreadable watch response");
     this->failures = 0;
     this->last_revision = std::max(this->last_revision, changes->as_of);
     this->events.call_answered();
--- a/src/greengagedrum/entry/test/entry_fixture.cpp
+++ b/src/greengagedrum/entry/test/entry_fixture.cpp
@@ -212,7 +212,7 @@
             return;
         std::this_thread::sleep_for(10ms);
     }
-    FAIL("the entry has no configuration");
+    FAIL("the entry did not get its configuration in time");
 }
 
 void entry_fixture::write_signed_answer(const httplib::Request& request,
