--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -180,7 +180,7 @@
     std::unordered_map<base::request_id, active_request> requests;
     std::unordered_map<relay::caller_connection*, base::request_id> by_caller;
     std::unordered_map<base::request_id, base::upstream_id> sent_to;
-    std::unordered_set<base::upstream_id> checked; // just now
+    std::unordered_set<base::upstream_id> connect_checks; // just now
     dispatch::member_request_table members;
     dispatch::send_status_log journal;
     std::uint64_t next_request = 1;
