--- a/src/greengagedrum/daemon/peer_duty.hpp
+++ b/src/greengagedrum/daemon/peer_duty.hpp
@@ -180,14 +180,16 @@
     base::instant next_publish;
     std::uint64_t told_config = 0; // revisions of our last heartbeat
     std::uint64_t told_list = 0;
-    base::platform_reachability told_contact = base::platform_reachability::unknown;
+    base::platform_reachability told_contact =
+        base::platform_reachability::unknown;
     bool leaving_untold = false;
     bool links_changed = false;
     std::uint32_t pauses_seen = 0;
     std::uint64_t events_dropped = 0;
     std::uint64_t claims_unsent = 0;
     std::atomic<bool> stopping{false};
-    std::atomic<base::platform_reachability> contact{base::platform_reachability::unknown};
+    std::atomic<base::platform_reachability> contact{
+        base::platform_reachability::unknown};
     std::atomic<bool> is_paused{false};
     std::atomic<base::instant> last_turn{base::instant{}};
     std::atomic<bool> is_superseded{false};
--- a/src/greengagedrum/dispatch/member_request_table.cpp
+++ b/src/greengagedrum/dispatch/member_request_table.cpp
@@ -48,9 +48,9 @@
 
 request_changes
 member_request_table::on_report(base::slot_id member,
-                        base::incarnation life,
-                        const member_report& told,
-                        std::span<const traffic::upstream_load> uses)
+                                base::incarnation life,
+                                const member_report& told,
+                                std::span<const traffic::upstream_load> uses)
 {
     request_changes out;
     member_state& state = this->members_by_id[member];
@@ -91,8 +91,8 @@
 }
 
 void member_request_table::apply_status(member_state& member,
-                                const send_status_update& news,
-                                request_changes& out)
+                                        const send_status_update& news,
+                                        request_changes& out)
 {
     if (news.sequence <= member.acked_status)
         return;
@@ -110,13 +110,14 @@
 }
 
 void member_request_table::apply_slot_request(base::slot_id id,
-                                  member_state& member,
-                                  const slot_request& wanted,
-                                  request_changes& out)
+                                              member_state& member,
+                                              const slot_request& wanted,
+                                              request_changes& out)
 {
     const auto [found, fresh] = member.sends.try_emplace(wanted.id);
     if (fresh) {
-        found->second = base::request_id{members_bit | this->next_request_number++};
+        found->second =
+            base::request_id{members_bit | this->next_request_number++};
         send_state& send = this->sends[found->second.value];
         send.member = id;
         send.id = wanted.id;
@@ -135,7 +136,8 @@
 // A send that a whole report does not name has ended: its caller left, it was
 // given up on, or its end was told in news that a dispatcher before this one
 // took.
-void member_request_table::end_unlisted_sends(member_state& member, request_changes& out)
+void member_request_table::end_unlisted_sends(member_state& member,
+                                              request_changes& out)
 {
     std::vector<base::request_id> gone;
     for (const auto& [name, id] : member.sends) {
@@ -196,18 +198,18 @@
     send_state& send = found->second;
     send.grant =
         slot_grant{send.id,
-                      order.upstream,
-                      order.choice.expected_first_event,
-                      order.choice.own_requests + order.choice.peer_requests,
-                      order.choice.slots};
+                   order.upstream,
+                   order.choice.expected_first_event,
+                   order.choice.own_requests + order.choice.peer_requests,
+                   order.choice.slots};
     this->members_by_id.at(send.member).reply_due = true;
     if (send.charged)
         return std::nullopt;
     return send.charge;
 }
 
-std::optional<limit_charge> member_request_table::on_declined(base::request_id id,
-                                                      const base::verdict& why)
+std::optional<limit_charge>
+member_request_table::on_declined(base::request_id id, const base::verdict& why)
 {
     const auto found = this->sends.find(id.value);
     if (found == this->sends.end() || found->second.grant)
@@ -221,7 +223,8 @@
     return send.charge;
 }
 
-std::optional<limit_charge> member_request_table::forget_send(base::request_id id)
+std::optional<limit_charge>
+member_request_table::forget_send(base::request_id id)
 {
     const auto found = this->sends.find(id.value);
     if (found == this->sends.end())
@@ -236,7 +239,8 @@
 
 // ---- Replies --------------------------------------------------------------
 
-bool member_request_table::has_unacknowledged_decision(const member_state& member) const
+bool member_request_table::has_unacknowledged_decision(
+    const member_state& member) const
 {
     return std::any_of(
         member.sends.begin(), member.sends.end(), [&](const auto& entry) {
@@ -245,18 +249,21 @@
         });
 }
 
-std::vector<base::slot_id> member_request_table::members_to_answer(base::instant now) const
+std::vector<base::slot_id>
+member_request_table::members_to_answer(base::instant now) const
 {
     std::vector<base::slot_id> out;
     for (const auto& [member, state] : this->members_by_id) {
         const bool due = now - state.replied_at >= resend_interval;
-        if (state.reply_due || (due && this->has_unacknowledged_decision(state)))
+        if (state.reply_due ||
+            (due && this->has_unacknowledged_decision(state)))
             out.push_back(member);
     }
     return out;
 }
 
-dispatcher_reply member_request_table::build_reply(base::slot_id member, base::instant now)
+dispatcher_reply member_request_table::build_reply(base::slot_id member,
+                                                   base::instant now)
 {
     dispatcher_reply out;
     const auto found = this->members_by_id.find(member);
--- a/src/greengagedrum/dispatch/member_request_table.hpp
+++ b/src/greengagedrum/dispatch/member_request_table.hpp
@@ -32,8 +32,9 @@
     // Sends that are new: to be let through by the limit, and then told as
     // arrived.
     std::vector<std::pair<base::request_id, slot_request>> new_requests;
-    std::vector<limit_charge> released_charges;        // of sends that got no place
-    std::vector<traffic::upstream_load> uses_placed_elsewhere; // placed by nobody here
+    std::vector<limit_charge> released_charges; // of sends that got no place
+    std::vector<traffic::upstream_load>
+        uses_placed_elsewhere; // placed by nobody here
 };
 
 class member_request_table
@@ -43,9 +44,9 @@
     static bool is_member_request(base::request_id id);
 
     request_changes on_report(base::slot_id member,
-                           base::incarnation life,
-                           const member_report& told,
-                           std::span<const traffic::upstream_load> uses);
+                              base::incarnation life,
+                              const member_report& told,
+                              std::span<const traffic::upstream_load> uses);
 
     // The member has died or was cut off: what it wanted is nobody's.
     request_changes remove_member(base::slot_id member);
@@ -59,7 +60,7 @@
     // The send got none. What the limit is to give back; empty when it had a
     // place, or is no longer wanted.
     std::optional<limit_charge> on_declined(base::request_id id,
-                                         const base::verdict& why);
+                                            const base::verdict& why);
 
     // The send was to have a place and has none: asked for again, it is a new
     // one. What the limit is to give back, as above.
@@ -81,7 +82,7 @@
         bool charged = false;
         std::optional<slot_grant> grant;
         std::optional<slot_denial> denial;
-        bool running = false;       // the member shows that it was sent
+        bool running = false;          // the member shows that it was sent
         std::uint64_t last_report = 0; // the report that named it last
     };
 
@@ -96,12 +97,12 @@
     };
 
     void apply_status(member_state& member,
-                   const send_status_update& news,
-                   request_changes& out);
+                      const send_status_update& news,
+                      request_changes& out);
     void apply_slot_request(base::slot_id id,
-                     member_state& member,
-                     const slot_request& wanted,
-                     request_changes& out);
+                            member_state& member,
+                            const slot_request& wanted,
+                            request_changes& out);
     bool has_unacknowledged_decision(const member_state& member) const;
     void end_send(base::request_id id, request_changes& out);
     void end_unlisted_sends(member_state& member, request_changes& out);
--- a/src/greengagedrum/dispatch/send_status_log.cpp
+++ b/src/greengagedrum/dispatch/send_status_log.cpp
@@ -30,7 +30,8 @@
     }
     send_status operator()(const traffic::answer_received& what) const
     {
-        return what.successful ? send_status::completed : send_status::error_answer;
+        return what.successful ? send_status::completed
+                               : send_status::error_answer;
     }
     send_status operator()(const traffic::answer_interrupted&) const
     {
--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -223,10 +223,10 @@
         for (traffic::queued_send& wait :
              own.decisions->queued_sends(this->now))
             told.slot_requests.push_back({{wait.request, wait.send},
-                                   wait.facts,
-                                   std::move(wait.tried),
-                                   0,
-                                   true});
+                                          wait.facts,
+                                          std::move(wait.tried),
+                                          0,
+                                          true});
         for (const traffic::active_send& run : own.decisions->active_sends())
             told.running.push_back({{run.request, run.send},
                                     run.upstream,
@@ -272,7 +272,8 @@
         return;
     const request_changes news =
         this->book->on_report(slot_of(from), base::incarnation{1}, told, {});
-    this->dispatcher->on_peer_report(slot_of(from), news.uses_placed_elsewhere, {}, this->now);
+    this->dispatcher->on_peer_report(
+        slot_of(from), news.uses_placed_elsewhere, {}, this->now);
     for (const traffic::event& one : news.events)
         this->dispatcher_step(one);
     for (const auto& [id, wanted] : news.new_requests)
--- a/src/greengagedrum/dispatch/test/member_request_table_test.cpp
+++ b/src/greengagedrum/dispatch/test/member_request_table_test.cpp
@@ -1,6 +1,6 @@
 // A dispatcher's book of its members' sends, message by message.
-#include <greengagedrum/dispatch/send_status_log.hpp>
 #include <greengagedrum/dispatch/member_request_table.hpp>
+#include <greengagedrum/dispatch/send_status_log.hpp>
 
 #include <doctest/doctest.h>
 
@@ -86,7 +86,8 @@
     CHECK(this->book.members_to_answer(this->now).empty());
     this->report();
     CHECK(this->book.members_to_answer(this->now).size() == 1);
-    CHECK(this->book.build_reply(member, this->now).grants.at(0).upstream == engine);
+    CHECK(this->book.build_reply(member, this->now).grants.at(0).upstream ==
+          engine);
     this->run_all();
     CHECK(this->report().events.empty());
     CHECK(this->book.members_to_answer(this->now).empty());
@@ -140,7 +141,7 @@
     this->run_all();
     const send_id name = this->told.running.at(0).id;
     this->told.status_updates = {{1, name, send_status::first_event},
-                       {2, name, send_status::completed}};
+                                 {2, name, send_status::completed}};
     this->told.running.clear();
     const request_changes news = this->report();
     REQUIRE(news.events.size() == 2);
@@ -165,11 +166,12 @@
 {
     const traffic::upstream_load seen{
         engine, 3, 0, std::chrono::milliseconds(40)};
-    const request_changes news =
-        this->book.on_report(member, base::incarnation{1}, this->told, {&seen, 1});
+    const request_changes news = this->book.on_report(
+        member, base::incarnation{1}, this->told, {&seen, 1});
     REQUIRE(news.uses_placed_elsewhere.size() == 1);
     CHECK(news.uses_placed_elsewhere[0].requests == 0);
-    CHECK(news.uses_placed_elsewhere[0].event_gap == std::chrono::milliseconds(40));
+    CHECK(news.uses_placed_elsewhere[0].event_gap ==
+          std::chrono::milliseconds(40));
 }
 
 TEST_CASE_FIXTURE(desk_fixture, "member_that_started_anew_wants_nothing_old")
--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -46,10 +46,11 @@
 
 } // namespace
 
-cluster_changes cluster_state::apply(const routing::store_item_list& listed_items,
-                                     std::uint64_t as_of,
-                                     bool whole,
-                                     base::instant now)
+cluster_changes
+cluster_state::apply(const routing::store_item_list& listed_items,
+                     std::uint64_t as_of,
+                     bool whole,
+                     base::instant now)
 {
     cluster_changes out;
     // Evacuations are applied first, so that an upstream listed together with
@@ -323,14 +324,16 @@
     std::vector<std::string> expired;
     this->directory.remove_expired(now, expired);
     for (const std::string& name : expired)
-        out.removed.push_back({name, *this->directory.latest_incarnation(name)});
+        out.removed.push_back(
+            {name, *this->directory.latest_incarnation(name)});
     return out;
 }
 
 cluster_changes cluster_state::mark_misdirected(base::upstream_id upstream)
 {
     cluster_changes out;
-    const routing::published_upstream* known = this->directory.find_usable(upstream);
+    const routing::published_upstream* known =
+        this->directory.find_usable(upstream);
     if (known == nullptr)
         return out;
     out.removed.push_back({known->name, upstream});
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -41,11 +41,12 @@
     return [started_at] {
         const auto passed = std::chrono::steady_clock::now() - started_at;
         return base::instant(
-            loop_clock_start + std::chrono::duration_cast<base::duration>(passed));
+            loop_clock_start +
+            std::chrono::duration_cast<base::duration>(passed));
     };
 }
 
-} // each takes about 5.5 KiB.
+} // namespace
 
 entry::entry(const settings& given, settings_loader load_settings)
     : own_settings(given), load_settings(std::move(load_settings)),
@@ -68,41 +69,45 @@
     this->last_store_answer = this->state.clock();
     this->last_tick = this->state.clock();
     this->total_suspended = suspended_time();
-    this->handler =
-        std::make_unique<request_handler>(this->context, given.caller_address, this->state);
+    this->handler = std::make_unique<request_handler>(
+        this->context, given.caller_address, this->state);
     this->handler->on_load_changed = [this] {
         if (this->peers)
             this->peers->schedule_gossip();
     };
     this->peer_datagram_socket =
         std::make_unique<peer_socket>(this->context, given.ip, given.peer_port);
-    this->peers =
-        std::make_unique<peer_protocol>(given,
-                                        this->incarnation,
-                                        this->state,
-                                        this->make_peer_events(),
-                                        this->peer_datagram_socket->transport());
+    this->peers = std::make_unique<peer_protocol>(
+        given,
+        this->incarnation,
+        this->state,
+        this->make_peer_events(),
+        this->peer_datagram_socket->transport());
     this->peer_datagram_socket->start(
         [this](std::string_view bytes, const std::string& from) {
             this->peers->on_message(bytes, from);
         },
         [this] { this->peers->on_timer(); });
     store_events store_callbacks;
-    store_callbacks.items_received = [this](const routing::store_item_list& items,
-                             std::uint64_t as_of,
-                             bool whole) {
-        this->on_store_items(items, as_of, whole, "store");
-    };
-    store_callbacks.page_received = [this](const routing::store_item_list& items) {
-        this->apply_changes(
-            this->state.cluster.apply(items, 0, false, this->state.clock()),
-            "store");
-    };
+    store_callbacks.items_received =
+        [this](const routing::store_item_list& items,
+               std::uint64_t as_of,
+               bool whole) {
+            this->on_store_items(items, as_of, whole, "store");
+        };
+    store_callbacks.page_received =
+        [this](const routing::store_item_list& items) {
+            this->apply_changes(
+                this->state.cluster.apply(items, 0, false, this->state.clock()),
+                "store");
+        };
     store_callbacks.call_failed = [this](const std::string& why) {
         this->on_store_failed(why);
     };
     store_callbacks.call_answered = [this] { this->on_store_answered(); };
-    store_callbacks.peer_reads_store = [this] { return this->peers->peer_reads_store(); };
+    store_callbacks.peer_reads_store = [this] {
+        return this->peers->peer_reads_store();
+    };
     this->store = std::make_unique<store_reader>(
         this->context, given.store_address, std::move(store_callbacks));
     this->store->set_update_bound(given.bounds.shortest_update_delay());
@@ -139,7 +144,8 @@
     peer_events out;
     out.peer_load_changed = [this] { this->handler->place_waiting_requests(); };
     out.items_received = [this](const gossip::item_transfer& got) {
-        this->apply_changes(this->state.cluster.apply(got, this->state.clock()), "peer");
+        this->apply_changes(this->state.cluster.apply(got, this->state.clock()),
+                            "peer");
         this->end_pause("peer");
         this->store->skip_to_revision(this->state.cluster.store_revision());
     };
@@ -161,24 +167,27 @@
         this->handler->on_member_lost(member);
     };
     out.members_awaiting_reply = [this] {
-        return this->handler->member_requests().members_to_answer(this->state.clock());
+        return this->handler->member_requests().members_to_answer(
+            this->state.clock());
     };
     out.make_reply = [this](base::slot_id member) {
-        return this->handler->member_requests().build_reply(member, this->state.clock());
+        return this->handler->member_requests().build_reply(
+            member, this->state.clock());
     };
     return out;
 }
 
 void entry::run()
 {
-    logs::write(logs::level::info,
-                "entry",
-                "started",
-                {{"instance", this->own_settings.instance},
-                 {"data_centre", this->own_settings.data_centre},
-                 {"callers", base::to_string(this->own_settings.caller_address)},
-                 {"store", base::to_string(this->own_settings.store_address)},
-                 {"life", this->incarnation.value}});
+    logs::write(
+        logs::level::info,
+        "entry",
+        "started",
+        {{"instance", this->own_settings.instance},
+         {"data_centre", this->own_settings.data_centre},
+         {"callers", base::to_string(this->own_settings.caller_address)},
+         {"store", base::to_string(this->own_settings.store_address)},
+         {"life", this->incarnation.value}});
     this->signals.async_wait([this](relay::error_code fault, int number) {
         if (!fault)
             this->on_signal(number);
@@ -195,12 +204,15 @@
 
 void entry::apply_bounds()
 {
-    this->state.limiter.set_tolerance({this->own_settings.bounds.usage_window,
-                                       this->own_settings.bounds.usage_overshoot,
-                                       this->own_settings.bounds.usage_slack});
-    this->state.scheduler.set_retry_budget(retry_bounds_of(this->own_settings.bounds));
+    this->state.limiter.set_tolerance(
+        {this->own_settings.bounds.usage_window,
+         this->own_settings.bounds.usage_overshoot,
+         this->own_settings.bounds.usage_slack});
+    this->state.scheduler.set_retry_budget(
+        retry_bounds_of(this->own_settings.bounds));
     if (this->store)
-        this->store->set_update_bound(this->own_settings.bounds.shortest_update_delay());
+        this->store->set_update_bound(
+            this->own_settings.bounds.shortest_update_delay());
     this->apply_slow_start_limits();
 }
 
@@ -210,12 +222,14 @@
     if (!routes)
         return;
     const traffic::slow_start_tolerance tolerance{
-        this->own_settings.bounds.warmup_overshoot, this->own_settings.bounds.warmup_slack};
+        this->own_settings.bounds.warmup_overshoot,
+        this->own_settings.bounds.warmup_slack};
     for (const routing::service& one : routes->config().services)
         this->state.scheduler.set_slow_start_rate(
             one.id,
             one.warmup_requests_per_second > 0
-                ? traffic::slow_start_rate(one.warmup_requests_per_second, tolerance)
+                ? traffic::slow_start_rate(one.warmup_requests_per_second,
+                                           tolerance)
                 : 0);
 }
 
@@ -241,7 +255,8 @@
     gossip::item_transfer out =
         asked->incarnation
             ? this->state.cluster.items_after_change(
-                  *asked->incarnation == this->incarnation ? asked->position : 0)
+                  *asked->incarnation == this->incarnation ? asked->position
+                                                           : 0)
             : this->state.cluster.items_after_revision(asked->position);
     out.incarnation = this->incarnation;
     return {200, "application/octet-stream", gossip::encode(out)};
@@ -267,10 +282,12 @@
     set(telemetry::gauge::upstreams_live,
         static_cast<double>(this->state.cluster.upstreams().usable_count()));
     set(telemetry::gauge::data_centres_evacuated,
-        static_cast<double>(this->state.cluster.upstreams().evacuated().size()));
-    set(telemetry::gauge::requests_quarantined,
         static_cast<double>(
-            this->state.scheduler.crash_suspects().list_quarantined(now).size()));
+            this->state.cluster.upstreams().evacuated().size()));
+    set(telemetry::gauge::requests_quarantined,
+        static_cast<double>(this->state.scheduler.crash_suspects()
+                                .list_quarantined(now)
+                                .size()));
     set(telemetry::gauge::log_lines_dropped,
         static_cast<double>(logs::dropped_lines() +
                             this->state.log.suppressed_lines()));
--- a/src/greengagedrum/entry/entry.hpp
+++ b/src/greengagedrum/entry/entry.hpp
@@ -5,9 +5,9 @@
 // a wake-up per event.
 #pragma once
 
-#include <greengagedrum/entry/request_handler.hpp>
 #include <greengagedrum/entry/peer_protocol.hpp>
 #include <greengagedrum/entry/peer_socket.hpp>
+#include <greengagedrum/entry/request_handler.hpp>
 #include <greengagedrum/entry/settings.hpp>
 #include <greengagedrum/entry/store_reader.hpp>
 #include <greengagedrum/relay/small_server.hpp>
@@ -52,9 +52,9 @@
     void end_pause(const char* why);
     void check_settings();
     void on_store_items(const routing::store_item_list& items,
-                 std::uint64_t as_of,
-                 bool whole,
-                 const char* source);
+                        std::uint64_t as_of,
+                        bool whole,
+                        const char* source);
     void apply_changes(const cluster_changes& changes, const char* source);
     void on_store_failed(const std::string& why);
     void on_store_answered();
@@ -84,7 +84,8 @@
     base::instant last_tick;
     base::instant last_timeout_check;
     base::instant last_settings_check;
-    base::duration total_suspended{0}; // total time the machine was suspended, as of the last tick
+    base::duration total_suspended{
+        0}; // total time the machine was suspended, as of the last tick
     std::optional<base::instant> pause_detected_at;
     std::optional<base::instant> stop_started_at;
     bool accepting_connections = true;
--- a/src/greengagedrum/entry/entry_lifecycle.cpp
+++ b/src/greengagedrum/entry/entry_lifecycle.cpp
@@ -35,9 +35,9 @@
 // ---- News -----------------------------------------------------------------
 
 void entry::on_store_items(const routing::store_item_list& items,
-                    std::uint64_t as_of,
-                    bool whole,
-                    const char* source)
+                           std::uint64_t as_of,
+                           bool whole,
+                           const char* source)
 {
     this->apply_changes(
         this->state.cluster.apply(items, as_of, whole, this->state.clock()),
@@ -256,7 +256,8 @@
         this->accepting_connections = false;
         this->handler->stop_accepting();
     }
-    const bool done = !this->accepting_connections && this->handler->in_flight() == 0 &&
+    const bool done = !this->accepting_connections &&
+                      this->handler->in_flight() == 0 &&
                       this->handler->open_connections() == 0;
     if (done || passed >= this->own_settings.bounds.stop_timeout - stop_margin)
         this->context.stop();
--- a/src/greengagedrum/entry/exchange.cpp
+++ b/src/greengagedrum/entry/exchange.cpp
@@ -85,7 +85,8 @@
     out.not_connected = [self] {
         self->call.reset();
         self->report("no connection");
-        self->events.on_event(traffic::connect_failed{self->origin.id, self->number});
+        self->events.on_event(
+            traffic::connect_failed{self->origin.id, self->number});
     };
     out.head = [self] { self->on_head(); };
     out.body = [self](std::string_view bytes) { self->on_body(bytes); };
@@ -186,8 +187,8 @@
         this->held_back = true;
         this->call->pause(true);
     }
-    this->events.on_event(
-        traffic::events_received{this->origin.id, this->number, this->events_seen});
+    this->events.on_event(traffic::events_received{
+        this->origin.id, this->number, this->events_seen});
 }
 
 void exchange::resume_reading()
@@ -226,9 +227,9 @@
                                  : "turned away");
         this->events.on_event(
             traffic::send_rejected{this->origin.id,
-                                 this->number,
-                                 misdirected ? traffic::rejection::misdirected
-                                             : traffic::rejection::not_run});
+                                   this->number,
+                                   misdirected ? traffic::rejection::misdirected
+                                               : traffic::rejection::not_run});
         return;
     }
     const std::string fault = this->head_fault();
@@ -237,11 +238,12 @@
     this->report({});
     this->events.on_event(
         traffic::answer_received{this->origin.id,
-                          this->number,
-                          this->answer.status < first_server_error});
+                                 this->number,
+                                 this->answer.status < first_server_error});
 }
 
-void exchange::on_broken(traffic::interruption_cause cause, const std::string& why)
+void exchange::on_broken(traffic::interruption_cause cause,
+                         const std::string& why)
 {
     this->call.reset();
     this->report(why);
--- a/src/greengagedrum/entry/fleet_test/fault_injection.cpp
+++ b/src/greengagedrum/entry/fleet_test/fault_injection.cpp
@@ -16,7 +16,8 @@
 
 } // namespace
 
-bool virtual_fleet::is_cut(gossip::ipv4_address from, gossip::ipv4_address to) const
+bool virtual_fleet::is_cut(gossip::ipv4_address from,
+                           gossip::ipv4_address to) const
 {
     const double at = this->seconds();
     if (at < this->plan.cut_from ||
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -103,7 +103,8 @@
     out.items_received = [](const gossip::item_transfer&) {};
     out.delegation_started = [this, &of] {
         of.state.delegating = true;
-        const dispatch::request_changes news = this->of(of).book.remove_all_members();
+        const dispatch::request_changes news =
+            this->of(of).book.remove_all_members();
         for (const dispatch::limit_charge& cost : news.released_charges)
             of.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
@@ -165,15 +166,18 @@
                                 const limit_handover* known)
 {
     if (known != nullptr)
-        one.state.limiter.take_over(
-            known->sender, known->incarnation, known->usage, this->fleet.time());
+        one.state.limiter.take_over(known->sender,
+                                    known->incarnation,
+                                    known->usage,
+                                    this->fleet.time());
     else
         one.state.limiter.restart(this->fleet.time());
     one.state.limiter.set_never_heard_peer_count(unheard);
     one.state.limiter.update_silent_peers(this->fleet.time());
     one.state.delegating = false;
     for (const auto& [id, request] : this->of(one).requests) {
-        if (one.state.limiter.try_acquire(busy, request.cost, 0, this->fleet.time())) {
+        if (one.state.limiter.try_acquire(
+                busy, request.cost, 0, this->fleet.time())) {
             this->result.refused += 1;
             continue;
         }
@@ -204,8 +208,8 @@
 {
     quota::usage_limiter& limiter = dispatcher.state.limiter;
     dispatch::member_request_table& book = this->of(dispatcher).book;
-    const dispatch::request_changes news =
-        book.on_report(member, told.incarnation, told.report, told.upstream_uses);
+    const dispatch::request_changes news = book.on_report(
+        member, told.incarnation, told.report, told.upstream_uses);
     for (const dispatch::limit_charge& cost : news.released_charges)
         limiter.refund_unsent(cost.workspace, cost.amount, this->fleet.time());
     for (const auto& [id, wanted] : news.new_requests) {
@@ -213,7 +217,7 @@
             limiter.try_acquire(busy, wanted.cost, 0, this->fleet.time());
         if (over) {
             book.on_declined(id,
-                          base::not_run(base::reason::limit_reached, *over));
+                             base::not_run(base::reason::limit_reached, *over));
             continue;
         }
         traffic::send_request order;
@@ -229,8 +233,7 @@
                             const dispatch::dispatcher_reply& what)
 {
     for (const dispatch::slot_grant& one : what.grants) {
-        const auto found =
-            this->of(member).requests.find(one.id.request.value);
+        const auto found = this->of(member).requests.find(one.id.request.value);
         if (found == this->of(member).requests.end())
             continue;
         this->let_through(found->second.cost);
@@ -298,9 +301,10 @@
         const node* one = this->fleet.at(number);
         if (one == nullptr)
             continue;
-        this->result.kept_for_absent = std::max(
-            this->result.kept_for_absent,
-            one->state.limiter.status_of(busy, this->fleet.time()).absent_share);
+        this->result.kept_for_absent =
+            std::max(this->result.kept_for_absent,
+                     one->state.limiter.status_of(busy, this->fleet.time())
+                         .absent_share);
         for (const auto& [id, request] : this->works[number].requests) {
             const bool late = this->fleet.time() - request.arrived > 1s;
             this->result.unanswered += late ? 1 : 0;
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
@@ -19,7 +19,7 @@
 constexpr base::duration upstream_back_after = 4s;
 constexpr base::duration lease = 3600ms;
 constexpr base::duration min_age = 3s; // of a process, and of a count
-constexpr double roles_assigned = 1;           // seconds from the start
+constexpr double roles_assigned = 1;   // seconds from the start
 constexpr std::uint64_t shared_body = 999'999;
 
 } // namespace
@@ -53,7 +53,8 @@
     return out;
 }
 
-routing::published_upstream poison_request_fleet::published(std::size_t number) const
+routing::published_upstream
+poison_request_fleet::published(std::size_t number) const
 {
     routing::published_upstream out;
     out.name = "upstream-" + std::to_string(number) + "-" +
@@ -103,23 +104,27 @@
         this->processes[of.number].book.remove_member(member);
     };
     out.members_awaiting_reply = [this, &of] {
-        return this->processes[of.number].book.members_to_answer(this->fleet.time());
+        return this->processes[of.number].book.members_to_answer(
+            this->fleet.time());
     };
     out.make_reply = [this, &of](base::slot_id member) {
-        return this->processes[of.number].book.build_reply(member, this->fleet.time());
+        return this->processes[of.number].book.build_reply(member,
+                                                           this->fleet.time());
     };
     return out;
 }
 
 // ---- Requests ---------------------------------------------------------------
 
-base::request_digest poison_request_fleet::body_digest(std::uint64_t number) const
+base::request_digest
+poison_request_fleet::body_digest(std::uint64_t number) const
 {
     return base::digest_of_request(
         "shop", "POST", "/caption", std::to_string(number));
 }
 
-void poison_request_fleet::submit_request(std::size_t at, std::optional<std::size_t> body)
+void poison_request_fleet::submit_request(std::size_t at,
+                                          std::optional<std::size_t> body)
 {
     node* to = this->fleet.serving(at);
     if (to == nullptr)
@@ -139,10 +144,11 @@
         this->processes[at].poison[id] = *body;
         facts.digest = this->body_digest(*body);
     } else {
-        const bool use_shared_body = std::uniform_real_distribution<double>(0, 1)(
-                             this->random_engine) < this->plan.same_body_share;
-        facts.digest =
-            this->body_digest(use_shared_body ? shared_body : this->next_ordinary_body++);
+        const bool use_shared_body =
+            std::uniform_real_distribution<double>(0, 1)(this->random_engine) <
+            this->plan.same_body_share;
+        facts.digest = this->body_digest(
+            use_shared_body ? shared_body : this->next_ordinary_body++);
         this->processes[at].ordinary.insert(id);
         this->result.ordinary += 1;
     }
@@ -153,9 +159,10 @@
 {
     if (this->fleet.time() < this->next_poison)
         return;
-    const auto jitter = static_cast<std::int64_t>(this->random_engine() % 200'000);
-    this->next_poison = this->fleet.time() + this->plan.poison_interval - 100ms +
-                        std::chrono::microseconds(jitter);
+    const auto jitter =
+        static_cast<std::int64_t>(this->random_engine() % 200'000);
+    this->next_poison = this->fleet.time() + this->plan.poison_interval -
+                        100ms + std::chrono::microseconds(jitter);
     const std::size_t body = this->next_body++ % this->plan.bodies;
     for (std::size_t copy = 0; copy < this->plan.copies; ++copy)
         this->submit_request(this->random_engine() % this->fleet.size(), body);
@@ -166,9 +173,11 @@
     constexpr double step_seconds = 0.005;
     double due = this->plan.requests * step_seconds;
     for (; due >= 1; due -= 1)
-        this->submit_request(this->random_engine() % this->fleet.size(), std::nullopt);
+        this->submit_request(this->random_engine() % this->fleet.size(),
+                             std::nullopt);
     if (std::uniform_real_distribution<double>(0, 1)(this->random_engine) < due)
-        this->submit_request(this->random_engine() % this->fleet.size(), std::nullopt);
+        this->submit_request(this->random_engine() % this->fleet.size(),
+                             std::nullopt);
 }
 
 void poison_request_fleet::submit_event(node& at, const traffic::event& what)
@@ -186,9 +195,10 @@
         if (const auto* end = std::get_if<traffic::end_request>(&one))
             this->end(at, *end);
         if (const auto* check = std::get_if<traffic::check_upstream>(&one))
-            this->submit_event(at,
-                       traffic::upstream_checked{
-                           check->upstream, this->is_alive(check->upstream)});
+            this->submit_event(
+                at,
+                traffic::upstream_checked{check->upstream,
+                                          this->is_alive(check->upstream)});
         if (const auto* answer = std::get_if<traffic::deliver_answer>(&one)) {
             this->result.answered += static_cast<std::uint32_t>(
                 this->processes[at.number].ordinary.erase(answer->request));
@@ -248,7 +258,8 @@
 {
     node* at = this->fleet.at(one.entry);
     if (at != nullptr && this->processes[one.entry].process == one.process)
-        this->submit_event(*at, traffic::answer_interrupted{one.request, one.send});
+        this->submit_event(*at,
+                           traffic::answer_interrupted{one.request, one.send});
 }
 
 void poison_request_fleet::exit_upstream(upstream& one)
@@ -274,7 +285,8 @@
         };
         if (!one.alive && now >= one.back_at - (upstream_back_after - lease)) {
             const base::upstream_id gone = this->published(number).id;
-            for_all_schedulers([&](traffic::scheduler& of) { of.upstream_left(gone); });
+            for_all_schedulers(
+                [&](traffic::scheduler& of) { of.upstream_left(gone); });
         }
         if (!one.alive && now >= one.back_at) {
             one.alive = true;
@@ -304,7 +316,8 @@
             node* at = this->fleet.at(ended.entry);
             if (at != nullptr &&
                 this->processes[ended.entry].process == ended.process)
-                this->submit_event(*at, traffic::answer_received{ended.request, ended.send});
+                this->submit_event(
+                    *at, traffic::answer_received{ended.request, ended.send});
         }
     }
 }
@@ -312,7 +325,8 @@
 void poison_request_fleet::reset_connections()
 {
     const base::instant now = this->fleet.time();
-    if (this->plan.connection_reset_interval.count() > 0 && now >= this->next_reset) {
+    if (this->plan.connection_reset_interval.count() > 0 &&
+        now >= this->next_reset) {
         this->next_reset = now + this->plan.connection_reset_interval;
         const std::size_t entry = this->random_engine() % this->fleet.size();
         std::vector<run> broken;
@@ -327,9 +341,11 @@
         for (const run& one : broken)
             this->report_broken_run(one);
     }
-    if (this->plan.upstream_exit_interval.count() > 0 && now >= this->next_exit) {
+    if (this->plan.upstream_exit_interval.count() > 0 &&
+        now >= this->next_exit) {
         this->next_exit = now + this->plan.upstream_exit_interval;
-        upstream& one = this->upstreams[this->random_engine() % this->upstreams.size()];
+        upstream& one =
+            this->upstreams[this->random_engine() % this->upstreams.size()];
         if (one.alive)
             this->exit_upstream(one);
     }
@@ -353,7 +369,8 @@
                          one->state.scheduler.crash_suspects().size());
     }
     for (const body_record& one : this->bodies)
-        this->result.late_runs = std::max(this->result.late_runs, one.late_runs);
+        this->result.late_runs =
+            std::max(this->result.late_runs, one.late_runs);
     this->result.bytes_per_second = static_cast<std::uint64_t>(
         static_cast<double>(this->fleet.busiest_bytes()) / this->plan.seconds);
     return this->result;
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
@@ -18,12 +18,13 @@
 
 struct poison_request_plan : fault_plan {
     std::size_t upstreams = 9;
-    base::duration poison_interval = std::chrono::milliseconds(700); // between copies
-    std::size_t copies = 1; // of the request, at once at different entries
-    std::size_t bodies = 1; // different ones that crash upstreams, by turns
-    double requests = 40;   // a second, of other callers, in all
-    double same_body_share = 0;   // of these, with one and the same body
-    bool crashes = true;    // else the request is answered like any other
+    base::duration poison_interval =
+        std::chrono::milliseconds(700); // between copies
+    std::size_t copies = 1;     // of the request, at once at different entries
+    std::size_t bodies = 1;     // different ones that crash upstreams, by turns
+    double requests = 40;       // a second, of other callers, in all
+    double same_body_share = 0; // of these, with one and the same body
+    bool crashes = true;        // else the request is answered like any other
     // The connections of one entry are reset, so often.
     base::duration connection_reset_interval{0};
     // An upstream ends by itself, so often.
@@ -31,14 +32,15 @@
 };
 
 struct poison_request_result {
-    std::uint32_t poison_runs = 0;  // upstreams that began to run such a request
-    std::uint32_t crashed = 0;  // upstreams that ended by it
-    std::uint32_t late_runs = 0;     // runs of one body beyond its third crash, most
+    std::uint32_t poison_runs = 0; // upstreams that began to run such a request
+    std::uint32_t crashed = 0;     // upstreams that ended by it
+    std::uint32_t late_runs =
+        0;                      // runs of one body beyond its third crash, most
     std::uint32_t ordinary = 0; // requests of other callers
     std::uint32_t answered = 0; // of these
-    std::uint32_t refused_as_quarantined = 0;   // of these, refused for crashes
-    std::uint64_t bytes_per_second = 0;    // a second, of the busiest entry
-    std::size_t records = 0;    // kept by one entry, most
+    std::uint32_t refused_as_quarantined = 0; // of these, refused for crashes
+    std::uint64_t bytes_per_second = 0;       // a second, of the busiest entry
+    std::size_t records = 0;                  // kept by one entry, most
 };
 
 class poison_request_fleet
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
@@ -13,7 +13,8 @@
 
 const base::upstream_class_id engines("engines");
 constexpr std::uint32_t slots = 50;
-constexpr base::duration request_interval = 50ms; // between requests at one entry
+constexpr base::duration request_interval =
+    50ms; // between requests at one entry
 constexpr base::duration window = 1s;
 
 } // namespace
@@ -34,7 +35,8 @@
     return out;
 }
 
-routing::published_upstream slow_start_fleet::published(std::size_t data_centre) const
+routing::published_upstream
+slow_start_fleet::published(std::size_t data_centre) const
 {
     routing::published_upstream out;
     out.name = "upstream-" + std::to_string(data_centre);
@@ -89,7 +91,8 @@
 void slow_start_fleet::submit_request(node& one)
 {
     const base::instant now = this->fleet.time();
-    const auto phase = (now.time_since_epoch() + one.number * 5ms) % request_interval;
+    const auto phase =
+        (now.time_since_epoch() + one.number * 5ms) % request_interval;
     if (phase >= 5ms)
         return;
     traffic::request_facts facts;
@@ -119,8 +122,9 @@
         while (now - sent.front() >= window)
             sent.pop_front();
         this->result.sends += 1;
-        this->result.max_per_second = std::max(this->result.max_per_second,
-                                     static_cast<std::uint32_t>(sent.size()));
+        this->result.max_per_second =
+            std::max(this->result.max_per_second,
+                     static_cast<std::uint32_t>(sent.size()));
     }
 }
 
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.hpp
@@ -16,8 +16,8 @@
 };
 
 struct slow_start_result {
-    std::uint32_t max_per_second = 0;  // sends to one upstream in any second
-    std::uint64_t sends = 0; // in all
+    std::uint32_t max_per_second = 0; // sends to one upstream in any second
+    std::uint64_t sends = 0;          // in all
 };
 
 class slow_start_fleet
@@ -38,7 +38,7 @@
     routing::published_upstream published(std::size_t data_centre) const;
 
     slow_start_plan plan;
-    std::vector<dispatch::member_request_table> books;       // by entry
+    std::vector<dispatch::member_request_table> books;   // by entry
     std::vector<std::deque<base::instant>> recent_sends; // by data centre
     virtual_fleet fleet;
     std::uint64_t next_request = 1;
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
@@ -72,8 +72,8 @@
     out.data_centre =
         "centre-" + std::to_string(number % this->plan.data_centres);
     const auto address_of = [](std::size_t of) {
-        return relay::asio::ip::address_v4(first_address +
-                                           static_cast<gossip::ipv4_address>(of))
+        return relay::asio::ip::address_v4(
+                   first_address + static_cast<gossip::ipv4_address>(of))
             .to_string();
     };
     out.ip = address_of(number);
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
@@ -93,8 +93,9 @@
 
     void start(std::size_t number);
     settings settings_of(std::size_t number) const;
-    void
-    send(gossip::ipv4_address from, gossip::ipv4_address to, std::string_view bytes);
+    void send(gossip::ipv4_address from,
+              gossip::ipv4_address to,
+              std::string_view bytes);
     bool is_cut(gossip::ipv4_address from, gossip::ipv4_address to) const;
     void deliver();
     void end(std::size_t number);
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -14,9 +14,9 @@
         if (request.sent_at)
             continue;
         const auto over = this->state.limiter.try_acquire(request.workspace,
-                                                   request.cost,
-                                                   request.priority,
-                                                   this->state.clock());
+                                                          request.cost,
+                                                          request.priority,
+                                                          this->state.clock());
         request.counted_here = !over;
         if (!over)
             continue;
@@ -56,7 +56,8 @@
                                      base::duration retry_after)
 {
     const base::instant now = this->state.clock();
-    const quota::limit_status seen = this->state.limiter.status_of(workspace, now);
+    const quota::limit_status seen =
+        this->state.limiter.status_of(workspace, now);
     const double kept = this->state.limiter.reserved_for_higher_priority(
         workspace, cost, priority, now);
     const routing::workspace* of =
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -12,8 +12,7 @@
 {
     const base::instant now = this->state.clock();
     dispatch::member_report out;
-    for (traffic::queued_send& one :
-         this->state.scheduler.queued_sends(now)) {
+    for (traffic::queued_send& one : this->state.scheduler.queued_sends(now)) {
         const auto found = this->requests.find(one.request);
         if (found == this->requests.end())
             continue;
@@ -21,17 +20,18 @@
         // A request that was sent before is counted somewhere already.
         const bool counted = request.counted_here || request.sent_at;
         out.slot_requests.push_back({{one.request, one.send},
-                              one.facts,
-                              std::move(one.tried),
-                              request.cost,
-                              counted});
+                                     one.facts,
+                                     std::move(one.tried),
+                                     request.cost,
+                                     counted});
     }
     for (const traffic::active_send& one :
          this->state.scheduler.active_sends()) {
         if (dispatch::member_request_table::is_member_request(one.request))
             continue;
-        out.running.push_back(
-            {{one.request, one.send}, one.upstream, one.pending_prefill_tokens});
+        out.running.push_back({{one.request, one.send},
+                               one.upstream,
+                               one.pending_prefill_tokens});
     }
     out.status_updates = this->journal.unacknowledged();
     return out;
@@ -43,16 +43,16 @@
     this->journal.acknowledge(what.acked_status);
     for (const dispatch::slot_grant& one : what.grants)
         this->submit_event(traffic::slot_granted{one.id.request,
-                                                  one.id.send,
-                                                  one.upstream,
-                                                  one.expected_first_event,
-                                                  one.slots_taken,
-                                                  one.slots});
+                                                 one.id.send,
+                                                 one.upstream,
+                                                 one.expected_first_event,
+                                                 one.slots_taken,
+                                                 one.slots});
     for (const dispatch::slot_denial& one : what.denials)
         this->submit_event(
             traffic::slot_declined{one.id.request,
-                                    one.id.send,
-                                    base::not_run(one.reason, one.retry_after)});
+                                   one.id.send,
+                                   base::not_run(one.reason, one.retry_after)});
 }
 
 void request_handler::start_delegating()
@@ -119,12 +119,12 @@
 void request_handler::add_member_request(base::request_id id,
                                          const dispatch::slot_request& wanted)
 {
-    const auto over = wanted.charged
-                          ? std::nullopt
-                          : this->state.limiter.try_acquire(wanted.facts.workspace,
-                                                     wanted.cost,
-                                                     wanted.facts.priority,
-                                                     this->state.clock());
+    const auto over =
+        wanted.charged ? std::nullopt
+                       : this->state.limiter.try_acquire(wanted.facts.workspace,
+                                                         wanted.cost,
+                                                         wanted.facts.priority,
+                                                         this->state.clock());
     if (over) {
         this->log_over_limit(
             wanted.facts.workspace, wanted.cost, wanted.facts.priority, *over);
@@ -135,7 +135,8 @@
     }
     traffic::request_facts facts = wanted.facts;
     facts.homes = this->homes_of(facts);
-    this->submit_event(traffic::request_arrived{id, facts, wanted.tried_upstreams});
+    this->submit_event(
+        traffic::request_arrived{id, facts, wanted.tried_upstreams});
 }
 
 // As the configuration in force here says: members ask by route and workspace.
@@ -154,10 +155,12 @@
 void request_handler::grant_slot(const traffic::send_request& order)
 {
     const base::instant now = this->state.clock();
-    if (this->state.cluster.upstreams().find_usable(order.upstream) == nullptr) {
+    if (this->state.cluster.upstreams().find_usable(order.upstream) ==
+        nullptr) {
         // It left within this very turn.
         if (const auto cost = this->members.forget_send(order.request))
-            this->state.limiter.refund_unsent(cost->workspace, cost->amount, now);
+            this->state.limiter.refund_unsent(
+                cost->workspace, cost->amount, now);
         return this->submit_event(traffic::caller_left{order.request});
     }
     if (const auto cost = this->members.on_granted(order))
--- a/src/greengagedrum/entry/peer_counting.cpp
+++ b/src/greengagedrum/entry/peer_counting.cpp
@@ -27,7 +27,8 @@
     scheduler.set_entry_count(this->table.recently_live_count(now) + 1);
     scheduler.set_gossip_interval(
         this->schedule.interval(gossip::recipient_group::own_data_centre));
-    this->state.limiter.set_never_heard_peer_count(this->table.never_heard_count());
+    this->state.limiter.set_never_heard_peer_count(
+        this->table.never_heard_count());
     this->state.limiter.set_unreported_member_share(0, now); // it has none
 }
 
@@ -42,10 +43,11 @@
     scheduler.set_entry_count(this->members.empty() ? all : placing);
     scheduler.set_retrying_entry_count(all);
     scheduler.set_gossip_interval(gossip_gap_among_many);
-    const std::size_t unheard =
-        this->order.never_heard_data_centre_count(now) + this->unheard_near(now);
+    const std::size_t unheard = this->order.never_heard_data_centre_count(now) +
+                                this->unheard_near(now);
     this->state.limiter.set_never_heard_peer_count(unheard);
-    this->state.limiter.set_unreported_member_share(this->unreported_part(now), now);
+    this->state.limiter.set_unreported_member_share(this->unreported_part(now),
+                                                    now);
     this->forget_replaced(now);
     const entry_counts counted{placing, unheard};
     if (this->state.delegating || counted == this->counts)
--- a/src/greengagedrum/entry/peer_protocol.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -131,7 +131,8 @@
         this->state.log.write(
             now,
             "peers",
-            news == gossip::peer_update::found ? "peer_found" : "peer_restarted",
+            news == gossip::peer_update::found ? "peer_found"
+                                               : "peer_restarted",
             {{"peer", message->instance},
              {"config_revision", message->configuration_revision},
              {"store_revision", message->store_revision}});
@@ -172,7 +173,9 @@
 // When the newest answer that any peer had is older, nobody may be reading.
 base::duration peer_protocol::read_lately() const
 {
-    return store_reader::poll_interval_for(this->own.bounds.shortest_update_delay()) + answer_takes;
+    return store_reader::poll_interval_for(
+               this->own.bounds.shortest_update_delay()) +
+           answer_takes;
 }
 
 // Failures guarded against: the reader of a data centre dies, is frozen or is
@@ -255,10 +258,10 @@
     out.waiting_by_service = this->state.scheduler.own_queue_reports(now);
     out.workspace_uses = this->state.limiter.own_usage(now);
     out.known_entries = this->table.select_known_entries(who, now);
-    out.suspects = this->suspects_for(who == gossip::recipient_group::own_data_centre
-                                          ? this->suspects_to_near
-                                          : this->suspects_to_far,
-                                      now);
+    out.suspects = this->suspects_for(
+        who == gossip::recipient_group::own_data_centre ? this->suspects_to_near
+                                                        : this->suspects_to_far,
+        now);
     return out;
 }
 
@@ -268,7 +271,8 @@
     if (this->large)
         return this->tell_among_many(now);
     for (const gossip::recipient_group who :
-         {gossip::recipient_group::own_data_centre, gossip::recipient_group::other_data_centres}) {
+         {gossip::recipient_group::own_data_centre,
+          gossip::recipient_group::other_data_centres}) {
         if (this->schedule.is_due(who, now))
             this->tell(who);
     }
@@ -307,7 +311,8 @@
     this->state.limiter.update_silent_peers(now);
     const auto newest = this->table.newest_store_source(now, this->turn);
     const bool changed =
-        newest && newest->change_revision > this->state.cluster.last_change_revision();
+        newest &&
+        newest->change_revision > this->state.cluster.last_change_revision();
     if (store_fails || changed)
         this->ask_peer(now);
 }
@@ -317,8 +322,9 @@
     if (this->asking || now - this->asked_at < ask_gap)
         return;
     const auto source = this->table.newest_store_source(now, ++this->turn);
-    if (!source || (source->store_revision <= this->state.cluster.store_revision() &&
-                    source->change_revision <= this->state.cluster.last_change_revision()))
+    if (!source ||
+        (source->store_revision <= this->state.cluster.store_revision() &&
+         source->change_revision <= this->state.cluster.last_change_revision()))
         return;
     this->ask_for_items(source->address,
                         {std::min(this->state.cluster.last_change_revision(),
--- a/src/greengagedrum/entry/peer_protocol.hpp
+++ b/src/greengagedrum/entry/peer_protocol.hpp
@@ -7,12 +7,12 @@
 // tells whom, and peer_roles.cpp what each of them is.
 #pragma once
 
-#include <greengagedrum/entry/request_handler.hpp>
 #include <greengagedrum/entry/peer_transport.hpp>
+#include <greengagedrum/entry/request_handler.hpp>
 #include <greengagedrum/entry/settings.hpp>
+#include <greengagedrum/gossip/dispatcher_election.hpp>
 #include <greengagedrum/gossip/gossip_schedule.hpp>
 #include <greengagedrum/gossip/peer_table.hpp>
-#include <greengagedrum/gossip/dispatcher_election.hpp>
 
 #include <functional>
 #include <optional>
@@ -178,8 +178,8 @@
     traffic::slow_start_share share; // of cold upstreams; none at first
     bool large = false;
     std::optional<gossip::ipv4_address> dispatcher; // none: this entry
-    base::instant dispatcher_at;                 // when there was one last
-    base::instant placing_since;                 // this entry, by itself
+    base::instant dispatcher_at;                    // when there was one last
+    base::instant placing_since;                    // this entry, by itself
     change_point passed; // to this entry, by whoever was asked last
     std::uint64_t dispatcher_digest = 0;
     base::instant reported_at;
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -1,7 +1,7 @@
 // Among many entries: which of them places requests, and what is made of what
 // the others tell.
-#include <greengagedrum/entry/peer_protocol.hpp>
 #include <greengagedrum/entry/crash_suspect_log.hpp>
+#include <greengagedrum/entry/peer_protocol.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -80,7 +80,8 @@
         return;
     if (this->large)
         this->counting[slot] = told.address;
-    this->state.scheduler.on_peer_report(slot, told.upstream_uses, told.waiting_by_service, now);
+    this->state.scheduler.on_peer_report(
+        slot, told.upstream_uses, told.waiting_by_service, now);
     this->state.limiter.on_peer_report(
         slot, told.incarnation, told.workspace_uses, told.stopping, now);
     if (this->state.scheduler.waiting() > 0)
@@ -131,7 +132,8 @@
             this->state.limiter.forget_peer(slot);
         return;
     }
-    this->limits = {slot, told.incarnation, told.workspace_uses, told.stopping, now};
+    this->limits = {
+        slot, told.incarnation, told.workspace_uses, told.stopping, now};
 }
 
 void peer_protocol::answer_greeting(const gossip::message& told,
@@ -143,8 +145,8 @@
     answered = now;
     gossip::message out =
         this->own_message(gossip::message_kind::dispatcher_query_reply);
-    out.known_entries =
-        this->order.select_known_entries(base::data_centre_id(told.data_centre), now);
+    out.known_entries = this->order.select_known_entries(
+        base::data_centre_id(told.data_centre), now);
     this->transport.send(gossip::encode(out), told.address);
 }
 
@@ -179,7 +181,8 @@
         this->dispatcher_digest != this->state.cluster.content_digest())
         return false;
     const base::duration age = now - this->peer_read_at;
-    const bool next_in_line = this->order.higher_ranked_count(now) < readers_in_line;
+    const bool next_in_line =
+        this->order.higher_ranked_count(now) < readers_in_line;
     const base::duration lately = this->read_lately();
     return age <= (next_in_line ? lately : std::max(bound, lately));
 }
@@ -200,8 +203,8 @@
     if (!this->large) {
         this->dispatcher.reset();
         this->set_role(false, now);
-        this->schedule.set_full_mesh_intervals(this->table.live_count_in_data_centre(now),
-                                 this->live_peers());
+        this->schedule.set_full_mesh_intervals(
+            this->table.live_count_in_data_centre(now), this->live_peers());
         return;
     }
     this->order.set_dispatching(this->is_serving());
@@ -246,10 +249,11 @@
     const bool handed =
         this->limits && now - this->limits->received_at <= limits_hold;
     const bool planned = handed && this->limits->sender_stopping;
-    this->unheard_alone = planned ? 0 : this->order.known_count_in_data_centre(now);
-    this->events.delegation_ended(this->order.never_heard_data_centre_count(now) +
-                                      this->unheard_alone,
-                                  handed ? &*this->limits : nullptr);
+    this->unheard_alone =
+        planned ? 0 : this->order.known_count_in_data_centre(now);
+    this->events.delegation_ended(
+        this->order.never_heard_data_centre_count(now) + this->unheard_alone,
+        handed ? &*this->limits : nullptr);
     this->limits.reset();
 }
 
@@ -287,8 +291,9 @@
 traffic::slow_start_share peer_protocol::cold_share(base::instant now) const
 {
     const base::duration awake = now - this->awake_since;
-    const bool others_unheard = this->large ? this->table.has_never_heard_seed()
-                                            : this->table.never_heard_count() > 0;
+    const bool others_unheard = this->large
+                                    ? this->table.has_never_heard_seed()
+                                    : this->table.never_heard_count() > 0;
     if (awake < (others_unheard ? unheard_awaited : peers_found_within))
         return {};
     if (this->large)
--- a/src/greengagedrum/entry/peer_sending.cpp
+++ b/src/greengagedrum/entry/peer_sending.cpp
@@ -69,7 +69,8 @@
     if (beats)
         this->beat_at = now;
     if (this->state.delegating) {
-        const bool news = this->schedule.is_due(recipient_group::own_data_centre, now);
+        const bool news =
+            this->schedule.is_due(recipient_group::own_data_centre, now);
         if (news || this->is_report_overdue(now)) {
             this->schedule.on_sent(recipient_group::own_data_centre, now);
             this->tell_dispatcher(now);
@@ -83,7 +84,8 @@
     if (beats)
         this->look_for_silent(now);
     const bool to_far = !this->state.delegating || this->farewells > 0;
-    if (to_far && this->schedule.is_due(recipient_group::other_data_centres, now))
+    if (to_far &&
+        this->schedule.is_due(recipient_group::other_data_centres, now))
         this->tell_far(now);
     else if (this->state.delegating)
         this->schedule.on_sent(recipient_group::other_data_centres, now);
@@ -115,7 +117,8 @@
 // report, so that the first of them to answer can begin.
 void peer_protocol::look_for_silent(base::instant now)
 {
-    const std::vector<gossip::ipv4_address> to_try = this->order.probe_targets(now);
+    const std::vector<gossip::ipv4_address> to_try =
+        this->order.probe_targets(now);
     if (!to_try.empty()) {
         gossip::message out = this->own_message(gossip::message_kind::report);
         if (this->state.delegating && !this->dispatcher) {
@@ -151,9 +154,10 @@
 void peer_protocol::greet(const std::vector<gossip::ipv4_address>& to_greet,
                           base::instant now)
 {
-    gossip::message out = this->own_message(gossip::message_kind::dispatcher_query);
-    out.known_entries =
-        this->order.select_known_entries(base::data_centre_id(this->own.data_centre), now);
+    gossip::message out =
+        this->own_message(gossip::message_kind::dispatcher_query);
+    out.known_entries = this->order.select_known_entries(
+        base::data_centre_id(this->own.data_centre), now);
     const std::string bytes = gossip::encode(out);
     for (const gossip::ipv4_address address : to_greet)
         this->transport.send(bytes, address);
@@ -162,8 +166,10 @@
 void peer_protocol::tell_members(base::instant now)
 {
     const std::vector<gossip::known_entry> known =
-        this->order.select_known_entries(base::data_centre_id(this->own.data_centre), now);
-    const std::vector<gossip::ipv4_address> next = this->order.standby_entries(now);
+        this->order.select_known_entries(
+            base::data_centre_id(this->own.data_centre), now);
+    const std::vector<gossip::ipv4_address> next =
+        this->order.standby_entries(now);
     const auto suspects = this->suspects_for(this->suspects_to_members, now);
     for (const auto& [slot, one] : this->members) {
         if (now - one.heard_at > member_for)
@@ -196,12 +202,14 @@
     this->schedule.on_sent(gossip::recipient_group::other_data_centres, now);
     if (this->state.delegating)
         this->farewells -= 1;
-    const std::vector<gossip::ipv4_address> far = this->order.remote_dispatcher_candidates(now);
+    const std::vector<gossip::ipv4_address> far =
+        this->order.remote_dispatcher_candidates(now);
     if (far.empty())
         return;
-    gossip::message out = this->own_load(gossip::recipient_group::other_data_centres);
-    out.known_entries =
-        this->order.select_known_entries(base::data_centre_id(this->own.data_centre), now);
+    gossip::message out =
+        this->own_load(gossip::recipient_group::other_data_centres);
+    out.known_entries = this->order.select_known_entries(
+        base::data_centre_id(this->own.data_centre), now);
     const std::string bytes = gossip::encode(out);
     for (const gossip::ipv4_address address : far) {
         this->order.on_probe_sent(address, now);
--- a/src/greengagedrum/entry/quarantine_endpoint.cpp
+++ b/src/greengagedrum/entry/quarantine_endpoint.cpp
@@ -21,7 +21,8 @@
     const quarantine::suspect_table& suspects =
         state.scheduler.crash_suspects();
     nlohmann::json out = nlohmann::json::array();
-    for (const quarantine::quarantine_state_change& one : suspects.list_quarantined(now))
+    for (const quarantine::quarantine_state_change& one :
+         suspects.list_quarantined(now))
         out.push_back(
             {{"digest", base::to_hex(one.request)},
              {"workspace", workspace_name(state, one.workspace)},
@@ -36,7 +37,8 @@
 {
     const base::instant now = state.clock();
     quarantine::suspect_table& suspects = state.scheduler.crash_suspects();
-    for (const quarantine::quarantine_state_change& one : suspects.list_quarantined(now)) {
+    for (const quarantine::quarantine_state_change& one :
+         suspects.list_quarantined(now)) {
         if (base::to_hex(one.request) != digest)
             continue;
         for (const quarantine::quarantine_state_change& change :
--- a/src/greengagedrum/entry/request_handler.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -21,7 +21,8 @@
 constexpr base::duration default_time_left = std::chrono::seconds(30);
 
 // A configuration comes within a few store calls of a start.
-constexpr base::duration retry_after_unconfigured = std::chrono::milliseconds(500);
+constexpr base::duration retry_after_unconfigured =
+    std::chrono::milliseconds(500);
 
 // A prompt's output may be long; without a hint half of the most is expected.
 constexpr std::uint32_t output_divisor = 2;
@@ -40,8 +41,8 @@
 } // namespace
 
 request_handler::request_handler(relay::asio::io_context& context,
-             const base::ip_endpoint& address,
-             shared_state& state)
+                                 const base::ip_endpoint& address,
+                                 shared_state& state)
     : context(context), acceptor(relay::listen_on(context, address)),
       state(state), random_engine(std::random_device{}())
 {
@@ -67,20 +68,20 @@
 
 void request_handler::accept()
 {
-    this->acceptor.async_accept(
-        [this](relay::error_code fault, relay::tcp::socket socket) {
-            if (fault == relay::asio::error::operation_aborted)
-                return;
-            if (!fault && this->callers.size() < max_callers) {
-                const auto connection = std::make_shared<relay::caller_connection>(
-                    std::move(socket), this->events, this->bounds());
-                if (this->state.stopping)
-                    connection->set_closing();
-                this->callers.insert(connection);
-                connection->start();
-            }
-            this->accept();
-        });
+    this->acceptor.async_accept([this](relay::error_code fault,
+                                       relay::tcp::socket socket) {
+        if (fault == relay::asio::error::operation_aborted)
+            return;
+        if (!fault && this->callers.size() < max_callers) {
+            const auto connection = std::make_shared<relay::caller_connection>(
+                std::move(socket), this->events, this->bounds());
+            if (this->state.stopping)
+                connection->set_closing();
+            this->callers.insert(connection);
+            connection->start();
+        }
+        this->accept();
+    });
 }
 
 relay::caller_bounds request_handler::bounds() const
@@ -110,9 +111,10 @@
 
 // ---- Requests -------------------------------------------------------------
 
-std::optional<relay::own_answer> request_handler::admit(const relay::request_head& head,
-                                              base::duration waited,
-                                              request_properties& out)
+std::optional<relay::own_answer>
+request_handler::admit(const relay::request_head& head,
+                       base::duration waited,
+                       request_properties& out)
 {
     using relay::own_answer;
     if (auto fault = platform::read_request_marks(head, out.origin.marks))
@@ -139,9 +141,9 @@
 }
 
 void request_handler::fill_facts(const routing::route& route,
-                       const routing::workspace* owner,
-                       base::duration waited,
-                       request_properties& out)
+                                 const routing::workspace* owner,
+                                 base::duration waited,
+                                 request_properties& out)
 {
     const platform::request_marks& marks = out.origin.marks;
     const double draw =
@@ -153,9 +155,11 @@
     facts.kind = route.id;
     facts.rule = route.retry;
     facts.stream = route.stream;
-    facts.priority = this->state.cluster.routes()->effective_priority(route, owner);
+    facts.priority =
+        this->state.cluster.routes()->effective_priority(route, owner);
     facts.sends_max = route.attempts_max;
-    facts.homes = routing::data_centre_constraint_of(route, owner, this->state.regions);
+    facts.homes =
+        routing::data_centre_constraint_of(route, owner, this->state.regions);
     facts.objective = route.latency_objective;
     facts.gap_objective = route.event_gap_objective;
     facts.prompt_tokens = marks.prompt_tokens.value_or(0);
@@ -182,7 +186,8 @@
     out.cost = owner->limit.in_tokens ? tokens : 1;
 }
 
-void request_handler::on_request(const relay::caller_ptr& from, base::duration waited)
+void request_handler::on_request(const relay::caller_ptr& from,
+                                 base::duration waited)
 {
     const base::instant now = this->state.clock();
     if (this->state.stopping)
@@ -217,10 +222,14 @@
          {"limit_level",
           this->state.limiter.status_of(request.workspace, now).bucket_level}});
     if (retry_after) {
-        this->log_over_limit(
-            request.workspace, request.cost, request.facts.priority, *retry_after);
+        this->log_over_limit(request.workspace,
+                             request.cost,
+                             request.facts.priority,
+                             *retry_after);
         return this->refuse(
-            from, attempt, relay::own_answer{429, "limit_reached", retry_after});
+            from,
+            attempt,
+            relay::own_answer{429, "limit_reached", retry_after});
     }
     const base::request_id id{this->next_request++};
     request.origin.id = id;
@@ -242,8 +251,8 @@
 }
 
 void request_handler::refuse(const relay::caller_ptr& from,
-                   const std::string& attempt,
-                   const relay::own_answer& answer)
+                             const std::string& attempt,
+                             const relay::own_answer& answer)
 {
     this->state.log.write(
         this->state.clock(),
@@ -258,12 +267,15 @@
     from->answer(answer);
 }
 
-std::shared_ptr<exchange> request_handler::make_exchange(const relay::caller_ptr& from,
-                                               request_info origin)
+std::shared_ptr<exchange>
+request_handler::make_exchange(const relay::caller_ptr& from,
+                               request_info origin)
 {
     exchange::owner_events owner;
     const base::request_id id = origin.id;
-    owner.on_event = [this](const traffic::event& event) { this->submit_event(event); };
+    owner.on_event = [this](const traffic::event& event) {
+        this->submit_event(event);
+    };
     owner.on_send_ended = [this, id](const send_outcome& report) {
         this->log_send_report(id, report);
     };
@@ -281,7 +293,8 @@
     const auto request = this->requests.find(id);
     if (request == this->requests.end())
         return;
-    const std::shared_ptr<exchange> http_exchange = request->second.http_exchange;
+    const std::shared_ptr<exchange> http_exchange =
+        request->second.http_exchange;
     this->state.log.write(
         this->state.clock(),
         "front",
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -1,11 +1,11 @@
 // Takes callers' requests, has them decided, and carries the decisions out.
 #pragma once
 
-#include <greengagedrum/dispatch/send_status_log.hpp>
 #include <greengagedrum/dispatch/member_request_table.hpp>
+#include <greengagedrum/dispatch/send_status_log.hpp>
 #include <greengagedrum/entry/cluster_state.hpp>
-#include <greengagedrum/entry/rate_limited_log.hpp>
 #include <greengagedrum/entry/exchange.hpp>
+#include <greengagedrum/entry/rate_limited_log.hpp>
 #include <greengagedrum/entry/settings.hpp>
 #include <greengagedrum/quota/usage_limiter.hpp>
 #include <greengagedrum/relay/caller_connection.hpp>
@@ -41,7 +41,8 @@
     base::slot_id sender;
     base::incarnation incarnation;
     std::vector<quota::workspace_usage> usage;
-    bool sender_stopping = false; // it has none but its own requests from then on
+    bool sender_stopping =
+        false; // it has none but its own requests from then on
     base::instant received_at;
 };
 
@@ -49,8 +50,8 @@
 {
 public:
     request_handler(relay::asio::io_context& context,
-          const base::ip_endpoint& address,
-          shared_state& state);
+                    const base::ip_endpoint& address,
+                    shared_state& state);
 
     // Something was learnt, or time has passed.
     void tick();
@@ -87,9 +88,9 @@
 
     // What a member reported, and that it is gone.
     void on_member_report(base::slot_id member,
-                         base::incarnation life,
-                         const dispatch::member_report& told,
-                         std::span<const traffic::upstream_load> uses);
+                          base::incarnation life,
+                          const dispatch::member_report& told,
+                          std::span<const traffic::upstream_load> uses);
     void on_member_lost(base::slot_id member);
     dispatch::member_request_table& member_requests() { return this->members; }
 
@@ -158,15 +159,17 @@
     void grant_slot(const traffic::send_request& action);
     void decline_slot(const traffic::end_request& action);
     void apply_member_changes(const dispatch::request_changes& news);
-    routing::data_centre_constraint homes_of(const traffic::request_facts& facts) const;
+    routing::data_centre_constraint
+    homes_of(const traffic::request_facts& facts) const;
     void add_member_request(base::request_id id,
-                           const dispatch::slot_request& wanted);
+                            const dispatch::slot_request& wanted);
     void count_waiting_requests();
-    void refuse_waiting_request(base::request_id id, base::duration retry_after);
+    void refuse_waiting_request(base::request_id id,
+                                base::duration retry_after);
     void log_over_limit(base::workspace_id workspace,
-                         double cost,
-                         std::uint32_t priority,
-                         base::duration retry_after);
+                        double cost,
+                        std::uint32_t priority,
+                        base::duration retry_after);
     // The request did not run: its workspace may use the cost for others.
     void refund_cost(const active_request& request);
     void finish(base::request_id id, const base::verdict* failed);
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -1,7 +1,7 @@
 // How facts about requests reach the scheduler, and its orders the sockets.
+#include <greengagedrum/entry/crash_suspect_log.hpp>
 #include <greengagedrum/entry/request_handler.hpp>
 #include <greengagedrum/entry/to_milliseconds.hpp>
-#include <greengagedrum/entry/crash_suspect_log.hpp>
 #include <greengagedrum/relay/connect_check.hpp>
 
 #include <algorithm>
@@ -74,7 +74,8 @@
 void request_handler::handle_misdirection(const traffic::event& event)
 {
     const auto* turned_away = std::get_if<traffic::send_rejected>(&event);
-    if (turned_away == nullptr || turned_away->cause != traffic::rejection::misdirected)
+    if (turned_away == nullptr ||
+        turned_away->cause != traffic::rejection::misdirected)
         return;
     const auto found = this->sent_to.find(turned_away->request);
     if (found != this->sent_to.end())
@@ -83,7 +84,8 @@
 
 void request_handler::mark_misdirected(base::upstream_id upstream)
 {
-    this->apply_upstream_changes(this->state.cluster.mark_misdirected(upstream));
+    this->apply_upstream_changes(
+        this->state.cluster.mark_misdirected(upstream));
 }
 
 void request_handler::apply_upstream_changes(const cluster_changes& changes)
@@ -117,7 +119,8 @@
         this->state.cluster.upstreams().find_usable(action.upstream);
     if (to == nullptr) {
         // It left within this very turn.
-        return this->submit_event(traffic::connect_failed{action.request, action.send});
+        return this->submit_event(
+            traffic::connect_failed{action.request, action.send});
     }
     this->sent_to[action.request] = action.upstream;
     request.last_sent_at = now;
@@ -128,21 +131,22 @@
             this->state.limiter.on_sent(request.workspace, request.cost, now);
     }
     const std::shared_ptr<exchange> http_exchange = request.http_exchange;
-    this->state.log.write(now,
-                          "scheduler",
-                          "request_sent",
-                          {{"request", http_exchange->info().marks.attempt},
-                           {"send", action.send},
-                           {"upstream", to->name},
-                           {"waited_ms", to_milliseconds(action.choice.waited)},
-                           {"own", action.choice.own_requests},
-                           {"others", action.choice.peer_requests},
-                           {"places", action.choice.slots},
-                           {"told_age_ms", to_milliseconds(action.choice.peer_report_age)},
-                           {"expected_ms", to_milliseconds(action.choice.expected_first_event)},
-                           {"gap_ms", to_milliseconds(action.choice.expected_gap)},
-                           {"suits", action.choice.suitability},
-                           {"store_revision", this->state.cluster.store_revision()}});
+    this->state.log.write(
+        now,
+        "scheduler",
+        "request_sent",
+        {{"request", http_exchange->info().marks.attempt},
+         {"send", action.send},
+         {"upstream", to->name},
+         {"waited_ms", to_milliseconds(action.choice.waited)},
+         {"own", action.choice.own_requests},
+         {"others", action.choice.peer_requests},
+         {"places", action.choice.slots},
+         {"told_age_ms", to_milliseconds(action.choice.peer_report_age)},
+         {"expected_ms", to_milliseconds(action.choice.expected_first_event)},
+         {"gap_ms", to_milliseconds(action.choice.expected_gap)},
+         {"suits", action.choice.suitability},
+         {"store_revision", this->state.cluster.store_revision()}});
     http_exchange->send(action.send, *to, action.deadline - now);
 }
 
@@ -152,7 +156,8 @@
     if (found == this->requests.end())
         return;
     found->second.http_exchange->stop_send();
-    this->log_send_report(action.request, {action.send, 0, 0, "cancelled by the scheduler"});
+    this->log_send_report(action.request,
+                          {action.send, 0, 0, "cancelled by the scheduler"});
 }
 
 void request_handler::execute_action(const traffic::deliver_answer& action)
@@ -185,7 +190,8 @@
     const routing::published_upstream* to =
         this->state.cluster.upstreams().find_alive(action.upstream);
     if (to == nullptr)
-        return this->submit_event(traffic::upstream_checked{action.upstream, false});
+        return this->submit_event(
+            traffic::upstream_checked{action.upstream, false});
     if (!this->connect_checks.insert(action.upstream).second)
         return;
     const auto check = std::make_shared<relay::connect_check>(
@@ -209,7 +215,8 @@
          {"bad_share", change.failure_rate}});
 }
 
-void request_handler::execute_action(const quarantine::quarantine_state_change& change)
+void request_handler::execute_action(
+    const quarantine::quarantine_state_change& change)
 {
     log_crash_suspect(this->state, change, "own");
 }
@@ -247,40 +254,42 @@
              {"gap_objective_ms", to_milliseconds(request.gap_objective)},
              {"in_time", ended.in_time}});
     else
-        this->state.log.write(
-            now,
-            "scheduler",
-            "request_ended",
-            {{"request", http_exchange->info().marks.attempt},
-             {"verdict", base::to_string(failed->run)},
-             {"why", base::to_string(failed->why)},
-             {"total_ms", to_milliseconds(total)},
-             {"waiting", this->state.scheduler.waiting()},
-             {"retry_after_ms",
-              to_milliseconds(failed->retry_after.value_or(base::duration(0)))}});
+        this->state.log.write(now,
+                              "scheduler",
+                              "request_ended",
+                              {{"request", http_exchange->info().marks.attempt},
+                               {"verdict", base::to_string(failed->run)},
+                               {"why", base::to_string(failed->why)},
+                               {"total_ms", to_milliseconds(total)},
+                               {"waiting", this->state.scheduler.waiting()},
+                               {"retry_after_ms",
+                                to_milliseconds(failed->retry_after.value_or(
+                                    base::duration(0)))}});
     this->by_caller.erase(http_exchange->caller_connection().get());
     this->sent_to.erase(id);
     this->requests.erase(found);
 }
 
-void request_handler::log_send_report(base::request_id id, const send_outcome& report)
+void request_handler::log_send_report(base::request_id id,
+                                      const send_outcome& report)
 {
     const auto found = this->requests.find(id);
     if (found == this->requests.end())
         return;
     const active_request& request = found->second;
     const base::instant now = this->state.clock();
-    this->state.log.write(now,
-                          "exchange",
-                          report.error.empty() ? "send_answered" : "send_failed",
-                          {{"request", request.http_exchange->info().marks.attempt},
-                           {"digest", base::to_hex(request.digest)},
-                           {"send", report.send_number},
-                           {"upstream", request.upstream},
-                           {"ran_ms", to_milliseconds(now - request.last_sent_at)},
-                           {"status", report.status},
-                           {"events", report.event_count},
-                           {"why", report.error}});
+    this->state.log.write(
+        now,
+        "exchange",
+        report.error.empty() ? "send_answered" : "send_failed",
+        {{"request", request.http_exchange->info().marks.attempt},
+         {"digest", base::to_hex(request.digest)},
+         {"send", report.send_number},
+         {"upstream", request.upstream},
+         {"ran_ms", to_milliseconds(now - request.last_sent_at)},
+         {"status", report.status},
+         {"events", report.event_count},
+         {"why", report.error}});
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -318,7 +318,8 @@
     this->apply_changes({upstream_item("i-1", 25)}, 25);
     this->now += 1s;
     CHECK(this->cluster.expire(this->now).removed.size() == 1);
-    CHECK(this->cluster.upstreams().find_usable(base::upstream_id("i-1")) != nullptr);
+    CHECK(this->cluster.upstreams().find_usable(base::upstream_id("i-1")) !=
+          nullptr);
 }
 
 TEST_CASE_FIXTURE(cluster_state_fixture,
--- a/src/greengagedrum/entry/test/quarantine_endpoint_test.cpp
+++ b/src/greengagedrum/entry/test/quarantine_endpoint_test.cpp
@@ -29,9 +29,9 @@
             this->state.scheduler.crash_suspects();
         for (const char* name : {"i-1", "i-2"})
             suspects.on_crash(this->request,
-                             base::workspace_id("shop"),
-                             base::upstream_id(name),
-                             this->now);
+                              base::workspace_id("shop"),
+                              base::upstream_id(name),
+                              this->now);
     }
 
     relay::small_answer ask(std::string_view method, const std::string& target)
--- a/src/greengagedrum/entry/test/store_reader_test.cpp
+++ b/src/greengagedrum/entry/test/store_reader_test.cpp
@@ -37,10 +37,11 @@
         callbacks.items_received = [this](const routing::store_item_list&,
                                           std::uint64_t,
                                           bool) { this->listings += 1; };
-        callbacks.page_received = [this](const routing::store_item_list& items) {
-            this->partial_pages += 1;
-            CHECK(items.front().key == "op/config");
-        };
+        callbacks.page_received =
+            [this](const routing::store_item_list& items) {
+                this->partial_pages += 1;
+                CHECK(items.front().key == "op/config");
+            };
         callbacks.call_failed = [this](const std::string&) {
             this->failures += 1;
         };
--- a/src/greengagedrum/gossip/dispatch_codec.cpp
+++ b/src/greengagedrum/gossip/dispatch_codec.cpp
@@ -12,12 +12,12 @@
 using dispatch::send_status;
 
 constexpr std::array send_statuses = {send_status::first_event,
-                                     send_status::completed,
-                                     send_status::error_answer,
-                                     send_status::not_sent,
-                                     send_status::rejected_full,
-                                     send_status::misdirected,
-                                     send_status::connection_broken};
+                                      send_status::completed,
+                                      send_status::error_answer,
+                                      send_status::not_sent,
+                                      send_status::rejected_full,
+                                      send_status::misdirected,
+                                      send_status::connection_broken};
 
 // Reasons for which a place is declined; any other is told as the last.
 constexpr std::array decline_reasons = {base::reason::limit_reached,
@@ -177,9 +177,10 @@
     }
     if (const auto* list = from.news()) {
         for (const wire::SendNews* one : *list)
-            out.status_updates.push_back({one->number(),
-                                {base::request_id{one->request()}, one->send()},
-                                value_at(send_statuses, one->what())});
+            out.status_updates.push_back(
+                {one->number(),
+                 {base::request_id{one->request()}, one->send()},
+                 value_at(send_statuses, one->what())});
     }
     return out;
 }
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -61,8 +61,8 @@
     for (const wire::Use* one : list) {
         const std::size_t at = out.size();
         traffic::upstream_load use{base::upstream_id(one->upstream()),
-                                  one->requests(),
-                                  one->prompt_tokens()};
+                                   one->requests(),
+                                   one->prompt_tokens()};
         use.event_gap = std::chrono::microseconds(number_at(gaps, at));
         out.push_back(use);
     }
@@ -155,7 +155,8 @@
     std::vector<wire::Use> uses;
     std::vector<std::uint32_t> gaps;
     for (const auto& one : told.upstream_uses) {
-        uses.emplace_back(one.upstream.value, one.requests, one.pending_prefill_tokens);
+        uses.emplace_back(
+            one.upstream.value, one.requests, one.pending_prefill_tokens);
         gaps.push_back(microseconds_of(one.event_gap));
     }
     std::vector<wire::WaitingLevels> waiting;
@@ -169,8 +170,9 @@
         spent.emplace_back(one.workspace.value, one.sent_total);
         spent_waiting.push_back(one.waiting);
         spent_lately.push_back(one.sent_in_window);
-        spent_by_all.insert(
-            spent_by_all.end(), one.all_sent_in_window.begin(), one.all_sent_in_window.end());
+        spent_by_all.insert(spent_by_all.end(),
+                            one.all_sent_in_window.begin(),
+                            one.all_sent_in_window.end());
     }
     std::vector<wire::Known> known;
     std::vector<wire::Standing> standings;
--- a/src/greengagedrum/gossip/message.hpp
+++ b/src/greengagedrum/gossip/message.hpp
@@ -29,9 +29,9 @@
 };
 
 enum class message_kind : std::uint8_t {
-    load,     // what the sender uses, where each entry places its own
-    report,   // to the entry that places the sender's requests
-    reply,    // and back
+    load,             // what the sender uses, where each entry places its own
+    report,           // to the entry that places the sender's requests
+    reply,            // and back
     dispatcher_query, // asks who places requests where the sender is
     dispatcher_query_reply,
     // The same as a load, from one that places for all of its data centre.
@@ -76,7 +76,7 @@
     std::uint64_t store_revision = 0;
     std::uint64_t change_revision = 0; // as in a message
     base::incarnation incarnation;     // of the sender
-    std::uint64_t change_count = 0;         // of it
+    std::uint64_t change_count = 0;    // of it
     bool complete = false; // all that there is; what is missing was removed
     routing::store_item_list items;
 };
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -35,9 +35,10 @@
 
     bool told(ipv4_address address)
     {
-        auto all = this->table.select_recipients(recipient_group::other_data_centres, this->now);
-        const auto near =
-            this->table.select_recipients(recipient_group::own_data_centre, this->now);
+        auto all = this->table.select_recipients(
+            recipient_group::other_data_centres, this->now);
+        const auto near = this->table.select_recipients(
+            recipient_group::own_data_centre, this->now);
         all.insert(all.end(), near.begin(), near.end());
         return std::find(all.begin(), all.end(), address) != all.end();
     }
@@ -55,7 +56,8 @@
     told.store_age = 120ms;
     told.store_revision = 12;
     told.upstream_uses = {{base::upstream_id("i-1"), 3, 4000, 55ms}};
-    told.waiting_by_service = {{base::upstream_class_id("models"), {1, 2, 3, 4}}};
+    told.waiting_by_service = {
+        {base::upstream_class_id("models"), {1, 2, 3, 4}}};
     told.workspace_uses = {{base::workspace_id("gate"),
                             123456789012,
                             70,
@@ -78,7 +80,8 @@
     CHECK(read->upstream_uses[0].requests == 3);
     CHECK(read->upstream_uses[0].pending_prefill_tokens == 4000);
     CHECK(read->upstream_uses[0].event_gap == 55ms);
-    CHECK(read->waiting_by_service.at(0).lengths == traffic::queue_lengths{1, 2, 3, 4});
+    CHECK(read->waiting_by_service.at(0).lengths ==
+          traffic::queue_lengths{1, 2, 3, 4});
     CHECK(read->workspace_uses.at(0).sent_total == 123456789012);
     CHECK(read->workspace_uses.at(0).waiting == 70);
     CHECK(read->workspace_uses.at(0).sent_in_window == 5'000);
@@ -116,14 +119,16 @@
     told.report.slot_requests = {wanted};
     told.report.running = {
         {{base::request_id{5}, 1}, base::upstream_id("i-2"), 77}};
-    told.report.status_updates = {
-        {12, {base::request_id{6}, 3}, dispatch::send_status::connection_broken}};
+    told.report.status_updates = {{12,
+                                   {base::request_id{6}, 3},
+                                   dispatch::send_status::connection_broken}};
     const auto read = decode_message(encode(told));
     REQUIRE(read);
     CHECK(read->kind == message_kind::report);
     CHECK(read->cpu_millicores == 500);
     CHECK(read->delegating);
-    CHECK(read->known_entries.at(0).data_centre == base::data_centre_id("yard"));
+    CHECK(read->known_entries.at(0).data_centre ==
+          base::data_centre_id("yard"));
     CHECK(read->known_entries.at(0).cpu_millicores == 120);
     REQUIRE(read->report.slot_requests.size() == 1);
     const dispatch::slot_request& got = read->report.slot_requests[0];
@@ -148,7 +153,8 @@
     CHECK(read->report.running.at(0).upstream == base::upstream_id("i-2"));
     CHECK(read->report.running.at(0).unprocessed_prompt_tokens == 77);
     CHECK(read->report.status_updates.at(0).sequence == 12);
-    CHECK(read->report.status_updates.at(0).status == dispatch::send_status::connection_broken);
+    CHECK(read->report.status_updates.at(0).status ==
+          dispatch::send_status::connection_broken);
 
     told.kind = message_kind::reply;
     told.reply.acked_status = 12;
@@ -223,12 +229,16 @@
 TEST_CASE_FIXTURE(peers_fixture, "entries_are_named_to_both_audiences")
 {
     this->table.on_message(message_from(seed, 1, 1), this->now);
-    for (const recipient_group who : {recipient_group::own_data_centre, recipient_group::other_data_centres}) {
+    for (const recipient_group who : {recipient_group::own_data_centre,
+                                      recipient_group::other_data_centres}) {
         REQUIRE(this->table.select_known_entries(who, this->now).size() == 1);
         CHECK(this->table.select_known_entries(who, this->now).empty());
     }
     this->now += 200ms;
-    CHECK(this->table.select_known_entries(recipient_group::other_data_centres, this->now).size() == 1);
+    CHECK(this->table
+              .select_known_entries(recipient_group::other_data_centres,
+                                    this->now)
+              .size() == 1);
 }
 
 TEST_CASE_FIXTURE(peers_fixture, "entries_named_and_never_heard_are_counted")
@@ -285,7 +295,8 @@
     this->table.on_message(old_one, this->now);
     this->table.on_message(new_one, this->now);
     for (std::uint64_t turn = 0; turn < 4; ++turn)
-        CHECK(this->table.newest_store_source(this->now, turn)->address == other);
+        CHECK(this->table.newest_store_source(this->now, turn)->address ==
+              other);
     this->now += 2s;
     CHECK_FALSE(this->table.newest_store_source(this->now, 0));
 }
--- a/src/greengagedrum/platform/documents.cpp
+++ b/src/greengagedrum/platform/documents.cpp
@@ -172,7 +172,8 @@
     out.name = name;
     out.started_unix_ms = read_born(from);
     out.id = routing::incarnation_id(name, out.started_unix_ms);
-    out.service = base::upstream_class_id(from.at("service").get<std::string>());
+    out.service =
+        base::upstream_class_id(from.at("service").get<std::string>());
     const auto address = from.at("address").get<std::string>();
     const auto endpoint = base::parse_endpoint(address);
     if (!endpoint || endpoint->port == 0)
--- a/src/greengagedrum/traffic/choice.cpp
+++ b/src/greengagedrum/traffic/choice.cpp
@@ -285,14 +285,14 @@
     out.suits = chosen->rated.suits;
     out.best_full = offered.best_full;
     out.choice = {{},
-               one.own,
-               one.others,
-               one.slots,
-               this->oldest_load_report(now),
-               placement::duration_of(chosen->expected),
-               placement::duration_of(
-                   this->gap_expected(one, all, asked.prompt_tokens, now)),
-               to_string(chosen->rated.suits)};
+                  one.own,
+                  one.others,
+                  one.slots,
+                  this->oldest_load_report(now),
+                  placement::duration_of(chosen->expected),
+                  placement::duration_of(
+                      this->gap_expected(one, all, asked.prompt_tokens, now)),
+                  to_string(chosen->rated.suits)};
     return out;
 }
 
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -36,13 +36,13 @@
     base::duration objective{0};     // to the first event or the answer
     base::duration gap_objective{0}; // between events
     base::duration time_left{0};     // until the caller or the route gives up
-    bool caller_resumes = false;          // the caller resumes a stream by itself
+    bool caller_resumes = false;     // the caller resumes a stream by itself
     routing::data_centre_constraint homes{}; // not told between entries
     // Of another entry, which asks for a place only: it sends the request, sees
     // what becomes of it and decides what may be sent again.
     bool delegated = false;
-    std::uint32_t prior_sends = 0; // of a delegated one
-    base::duration first_event_timeout{0};     // of it: how long its caller waits
+    std::uint32_t prior_sends = 0;         // of a delegated one
+    base::duration first_event_timeout{0}; // of it: how long its caller waits
 };
 
 // How long a caller waits for the first sign of an answer: of a stream, it
@@ -70,7 +70,7 @@
 };
 
 enum class rejection : std::uint8_t {
-    not_run,        // it did not run the request, whatever its reason
+    not_run,     // it did not run the request, whatever its reason
     misdirected, // another upstream answers at that address
 };
 
@@ -147,13 +147,13 @@
 // What a choice rested on, for the log.
 struct choice_record {
     base::duration waited{0};
-    std::uint32_t own_requests = 0;    // requests there, of this entry
+    std::uint32_t own_requests = 0;  // requests there, of this entry
     std::uint32_t peer_requests = 0; // and of its peers, as they told
     std::uint32_t slots = 0;
-    base::duration peer_report_age{0};    // of the peers' oldest message
+    base::duration peer_report_age{0};      // of the peers' oldest message
     base::duration expected_first_event{0}; // expected
-    base::duration expected_gap{0};         // the longest expected there meanwhile
-    std::string_view suitability;        // a suitability
+    base::duration expected_gap{0}; // the longest expected there meanwhile
+    std::string_view suitability;   // a suitability
 };
 
 struct send_request {
@@ -191,8 +191,8 @@
 struct suspicion_changed {
     base::upstream_id upstream;
     bool suspected = false;
-    std::string_view cause; // what the last bad end was
-    double failure_rate = 0;   // of its last ends
+    std::string_view cause;  // what the last bad end was
+    double failure_rate = 0; // of its last ends
 };
 
 using action = std::variant<send_request,
--- a/src/greengagedrum/traffic/placing.cpp
+++ b/src/greengagedrum/traffic/placing.cpp
@@ -77,7 +77,8 @@
     }
 }
 
-void scheduler::place_service(base::upstream_class_id service, wait_queue& queue)
+void scheduler::place_service(base::upstream_class_id service,
+                              wait_queue& queue)
 {
     // Under load nothing is free most of the time: with all that waits weighed
     // against all upstreams 200 times a second, an entry of a large fleet had
@@ -142,7 +143,8 @@
 
 // What peers told that waits there. A peer's message counts for as long as it
 // takes that peer to tell anew.
-queue_lengths scheduler::waiting_elsewhere(base::upstream_class_id service) const
+queue_lengths
+scheduler::waiting_elsewhere(base::upstream_class_id service) const
 {
     constexpr base::duration load_report_holds = std::chrono::milliseconds(300);
     queue_lengths out{};
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -306,9 +306,9 @@
 }
 
 void scheduler::on_peer_report(base::slot_id peer,
-                          std::span<const upstream_load> uses,
-                          std::span<const queue_report> waiting,
-                          base::instant at)
+                               std::span<const upstream_load> uses,
+                               std::span<const queue_report> waiting,
+                               base::instant at)
 {
     peer_waiting& message = this->waiting_at_peers[peer];
     this->peers_with_queues -= message.services.empty() ? 0 : 1;
--- a/src/greengagedrum/traffic/test/containment_test.cpp
+++ b/src/greengagedrum/traffic/test/containment_test.cpp
@@ -62,7 +62,8 @@
 {
     for (int time = 0; time < 3; ++time) {
         const base::request_id id = this->arrive(this->facts);
-        this->step(answer_interrupted{id, this->sent().send, interruption_cause::malformed});
+        this->step(answer_interrupted{
+            id, this->sent().send, interruption_cause::malformed});
     }
     this->arrive(this->facts);
     CHECK(this->order<send_request>() != nullptr);
--- a/src/greengagedrum/traffic/upstream_pool.cpp
+++ b/src/greengagedrum/traffic/upstream_pool.cpp
@@ -125,14 +125,15 @@
         if (own == nullptr)
             continue;
         own->others -= std::min(own->others, use.requests);
-        own->others_unread -= std::min(own->others_unread, use.pending_prefill_tokens);
+        own->others_unread -=
+            std::min(own->others_unread, use.pending_prefill_tokens);
         own->speed.withdrawn(use.event_gap);
     }
 }
 
 void upstream_pool::on_peer_report(base::slot_id peer,
-                              std::span<const upstream_load> uses,
-                              base::instant now)
+                                   std::span<const upstream_load> uses,
+                                   base::instant now)
 {
     peer_load& message = this->told[peer];
     std::vector<std::pair<base::upstream_id, std::uint32_t>> before;
@@ -299,9 +300,9 @@
     if (!cleared)
         return std::nullopt;
     return suspicion_changed{id,
-                         false,
-                         to_string(own->trust.last_trouble()),
-                         own->trust.failure_rate()};
+                             false,
+                             to_string(own->trust.last_trouble()),
+                             own->trust.failure_rate()};
 }
 
 std::optional<suspicion_changed>
@@ -317,7 +318,8 @@
         all.bad += service_weight * (1 - all.bad);
     if (was || !own->trust.suspected())
         return std::nullopt;
-    return suspicion_changed{id, true, to_string(what), own->trust.failure_rate()};
+    return suspicion_changed{
+        id, true, to_string(what), own->trust.failure_rate()};
 }
 
 void upstream_pool::probe_void(base::upstream_id id)
@@ -357,7 +359,8 @@
     return sum;
 }
 
-bool upstream_pool::any_open(base::upstream_class_id service, base::instant now) const
+bool upstream_pool::any_open(base::upstream_class_id service,
+                             base::instant now) const
 {
     const auto found = this->services.find(service);
     if (found == this->services.end())
@@ -370,7 +373,8 @@
                        });
 }
 
-std::uint32_t upstream_pool::foreign_places(base::upstream_class_id service) const
+std::uint32_t
+upstream_pool::foreign_places(base::upstream_class_id service) const
 {
     const auto found = this->services.find(service);
     if (found == this->services.end())
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -32,7 +32,7 @@
     base::upstream_id upstream;
     std::uint32_t requests = 0;
     std::uint32_t pending_prefill_tokens = 0; // not yet read by it
-    base::duration event_gap{0};     // seen there; zero: nothing lately
+    base::duration event_gap{0}; // seen there; zero: nothing lately
 };
 
 // How well an upstream suits a request, by what is expected there.
@@ -81,8 +81,8 @@
 
     // Replaces all that the peer told before.
     void on_peer_report(base::slot_id peer,
-                   std::span<const upstream_load> uses,
-                   base::instant now);
+                        std::span<const upstream_load> uses,
+                        base::instant now);
     void on_peer_lost(base::slot_id peer);
     // Peers whose message is too old count as lost.
     void forget_silent_peers(base::instant now);
@@ -97,7 +97,8 @@
 
     // Requests that a cold upstream of the service gets in a second; 0: there
     // is no bound.
-    void set_slow_start_rate(base::upstream_class_id service, std::uint32_t sends)
+    void set_slow_start_rate(base::upstream_class_id service,
+                             std::uint32_t sends)
     {
         this->services[service].cold_sends = sends;
     }
@@ -142,7 +143,8 @@
 
     // Requests that the service's sound upstreams run at once.
     std::uint32_t places(base::upstream_class_id service) const;
-    std::uint32_t free_places(base::upstream_class_id service, base::instant now) const;
+    std::uint32_t free_places(base::upstream_class_id service,
+                              base::instant now) const;
     // Any place that could be taken, at a suspect too.
     bool any_open(base::upstream_class_id service, base::instant now) const;
     // Taken by peers.
