--- a/src/greengagedrum/routing/data_centre_constraint.cpp
+++ b/src/greengagedrum/routing/data_centre_constraint.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-bool names(const std::vector<std::string>& regions, const std::string& region)
+bool includes(const std::vector<std::string>& regions,
+              const std::string& region)
 {
     return regions.empty() ||
            std::find(regions.begin(), regions.end(), region) != regions.end();
@@ -16,25 +17,26 @@
 
 } // namespace
 
-bool data_centre_constraint::allows(base::data_centre_id where) const
+bool data_centre_constraint::allows(base::data_centre_id data_centre) const
 {
-    return !this->restricted || std::find(this->data_centres.begin(),
-                                          this->data_centres.end(),
-                                          where) != this->data_centres.end();
+    return !this->restricted ||
+           std::find(this->data_centres.begin(),
+                     this->data_centres.end(),
+                     data_centre) != this->data_centres.end();
 }
 
-data_centre_constraint data_centre_constraint_of(const route& of,
+data_centre_constraint data_centre_constraint_of(const route& matched_route,
                                                  const workspace* owner,
                                                  const region_map& regions)
 {
     data_centre_constraint out;
-    out.restricted =
-        !of.regions.empty() || (owner != nullptr && !owner->regions.empty());
+    out.restricted = !matched_route.regions.empty() ||
+                     (owner != nullptr && !owner->regions.empty());
     if (!out.restricted)
         return out;
     for (const auto& [data_centre, region] : regions) {
-        if (names(of.regions, region) &&
-            (owner == nullptr || names(owner->regions, region)))
+        if (includes(matched_route.regions, region) &&
+            (owner == nullptr || includes(owner->regions, region)))
             out.data_centres.emplace_back(data_centre);
     }
     return out;
--- a/src/greengagedrum/routing/data_centre_constraint.hpp
+++ b/src/greengagedrum/routing/data_centre_constraint.hpp
@@ -21,12 +21,12 @@
     bool restricted = false; // else anywhere
     std::vector<base::data_centre_id> data_centres;
 
-    bool allows(base::data_centre_id where) const;
+    bool allows(base::data_centre_id data_centre) const;
 };
 
 // `owner`: null for a request without a workspace. A data centre whose region
 // is not known is no home.
-data_centre_constraint data_centre_constraint_of(const route& of,
+data_centre_constraint data_centre_constraint_of(const route& matched_route,
                                                  const workspace* owner,
                                                  const region_map& regions);
 
--- a/src/greengagedrum/routing/route_table.cpp
+++ b/src/greengagedrum/routing/route_table.cpp
@@ -10,30 +10,33 @@
 {
 
 // A host can't hold a slash, so host and prefix joined are unambiguous.
-std::string joined(std::string_view host, std::string_view prefix)
+std::string prefix_key(std::string_view host, std::string_view prefix)
 {
     std::string key(host);
     key += prefix;
     return key;
 }
 
-char lower(char letter)
+char to_lower(char character)
 {
-    return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter + 32)
-                                          : letter;
+    return character >= 'A' && character <= 'Z'
+               ? static_cast<char>(character + 32)
+               : character;
 }
 
-void sort_steps(std::vector<std::uint32_t>& steps)
+void sort_unique(std::vector<std::uint32_t>& priorities)
 {
-    std::sort(steps.begin(), steps.end());
-    steps.erase(std::unique(steps.begin(), steps.end()), steps.end());
+    std::sort(priorities.begin(), priorities.end());
+    priorities.erase(std::unique(priorities.begin(), priorities.end()),
+                     priorities.end());
 }
 
-std::uint32_t step_of(const std::vector<std::uint32_t>& steps,
+std::uint32_t rank_of(const std::vector<std::uint32_t>& priorities,
                       std::uint32_t priority)
 {
-    const auto found = std::lower_bound(steps.begin(), steps.end(), priority);
-    return static_cast<std::uint32_t>(found - steps.begin());
+    const auto found =
+        std::lower_bound(priorities.begin(), priorities.end(), priority);
+    return static_cast<std::uint32_t>(found - priorities.begin());
 }
 
 } // namespace
@@ -45,15 +48,16 @@
     if (colon != std::string_view::npos && !bracketed)
         host = host.substr(0, colon);
     std::string out(host);
-    std::transform(out.begin(), out.end(), out.begin(), lower);
+    std::transform(out.begin(), out.end(), out.begin(), to_lower);
     return out;
 }
 
-route_table::route_table(configuration_ptr given) : published(std::move(given))
+route_table::route_table(configuration_ptr config)
+    : published(std::move(config))
 {
     for (const route& one : this->published->routes) {
-        this->by_prefix.emplace(joined(one.host, one.prefix), &one);
-        this->by_kind.emplace(one.id, &one);
+        this->by_prefix.emplace(prefix_key(one.host, one.prefix), &one);
+        this->by_id.emplace(one.id, &one);
     }
     for (const workspace& one : this->published->workspaces) {
         for (const std::string& key : one.keys)
@@ -62,22 +66,25 @@
     for (const service& one : this->published->services)
         this->by_service.emplace(one.id, &one);
     for (const route& one : this->published->routes)
-        this->route_steps.push_back(one.priority);
+        this->route_priorities.push_back(one.priority);
     for (const workspace& one : this->published->workspaces)
-        this->workspace_steps.push_back(one.priority.value_or(0));
-    sort_steps(this->route_steps);
-    sort_steps(this->workspace_steps);
+        this->workspace_priorities.push_back(one.priority.value_or(0));
+    sort_unique(this->route_priorities);
+    sort_unique(this->workspace_priorities);
 }
 
-std::uint32_t route_table::effective_priority(const route& of,
+std::uint32_t route_table::effective_priority(const route& matched_route,
                                               const workspace* owner) const
 {
-    const std::uint32_t own = step_of(this->route_steps, of.priority);
+    const std::uint32_t route_rank =
+        rank_of(this->route_priorities, matched_route.priority);
     if (owner == nullptr)
-        return own;
-    const std::uint32_t first =
-        step_of(this->workspace_steps, owner->priority.value_or(0));
-    return first * static_cast<std::uint32_t>(this->route_steps.size()) + own;
+        return route_rank;
+    const std::uint32_t workspace_rank =
+        rank_of(this->workspace_priorities, owner->priority.value_or(0));
+    return workspace_rank *
+               static_cast<std::uint32_t>(this->route_priorities.size()) +
+           route_rank;
 }
 
 const route* route_table::find_route(std::string_view host,
@@ -87,7 +94,7 @@
     std::size_t end = path.rfind('/');
     while (end != std::string_view::npos) {
         const auto found =
-            this->by_prefix.find(joined(name, path.substr(0, end + 1)));
+            this->by_prefix.find(prefix_key(name, path.substr(0, end + 1)));
         if (found != this->by_prefix.end())
             return found->second;
         if (end == 0)
@@ -99,8 +106,8 @@
 
 const route* route_table::find_route(base::kind_id id) const
 {
-    const auto found = this->by_kind.find(id);
-    return found == this->by_kind.end() ? nullptr : found->second;
+    const auto found = this->by_id.find(id);
+    return found == this->by_id.end() ? nullptr : found->second;
 }
 
 const workspace* route_table::find_workspace(std::string_view key) const
@@ -125,18 +132,19 @@
     return found == this->by_service.end() ? nullptr : found->second;
 }
 
-const route_target& route_table::pick_target(const route& from, double draw)
+const route_target& route_table::pick_target(const route& matched_route,
+                                             double random)
 {
     double sum = 0;
-    for (const route_target& one : from.targets)
+    for (const route_target& one : matched_route.targets)
         sum += one.weight;
-    double mark = draw * sum;
-    for (const route_target& one : from.targets) {
-        mark -= one.weight;
-        if (mark < 0)
+    double remaining = random * sum;
+    for (const route_target& one : matched_route.targets) {
+        remaining -= one.weight;
+        if (remaining < 0)
             return one;
     }
-    return from.targets.back();
+    return matched_route.targets.back();
 }
 
 } // namespace greengagedrum::routing
--- a/src/greengagedrum/routing/route_table.hpp
+++ b/src/greengagedrum/routing/route_table.hpp
@@ -17,7 +17,7 @@
 class route_table
 {
 public:
-    explicit route_table(configuration_ptr given);
+    explicit route_table(configuration_ptr config);
 
     const configuration& config() const { return *this->published; }
 
@@ -36,20 +36,21 @@
     // 0 is the most urgent. A workspace's own priority goes before the
     // route's, which orders the requests of workspaces alike; steps that no
     // workspace or route uses are left out.
-    std::uint32_t effective_priority(const route& of,
+    std::uint32_t effective_priority(const route& matched_route,
                                      const workspace* owner) const;
 
     // `draw` in [0, 1) picks a target by weight.
-    static const route_target& pick_target(const route& from, double draw);
+    static const route_target& pick_target(const route& matched_route,
+                                           double random);
 
 private:
     configuration_ptr published;
     std::unordered_map<std::string, const route*> by_prefix;
-    std::unordered_map<base::kind_id, const route*> by_kind;
+    std::unordered_map<base::kind_id, const route*> by_id;
     std::unordered_map<std::string_view, const workspace*> by_key;
     std::unordered_map<base::upstream_class_id, const service*> by_service;
-    std::vector<std::uint32_t> route_steps;     // priorities in use, sorted
-    std::vector<std::uint32_t> workspace_steps; // the same
+    std::vector<std::uint32_t> route_priorities; // priorities in use, sorted
+    std::vector<std::uint32_t> workspace_priorities; // the same
 };
 
 using route_table_ptr = std::shared_ptr<const route_table>;
--- a/src/greengagedrum/routing/test/routing_test.cpp
+++ b/src/greengagedrum/routing/test/routing_test.cpp
@@ -29,13 +29,14 @@
     return out;
 }
 
-workspace workspace_named(const char* name, std::optional<std::uint32_t> own)
+workspace workspace_named(const char* name,
+                          std::optional<std::uint32_t> priority)
 {
     workspace out;
     out.name = name;
     out.id = base::workspace_id(out.name);
     out.keys = {out.name + "-key"};
-    out.priority = own;
+    out.priority = priority;
     return out;
 }
 
@@ -69,8 +70,8 @@
     return out;
 }
 
-published_upstream life_at(std::uint64_t started_unix_ms,
-                           std::uint64_t revision)
+published_upstream incarnation_at(std::uint64_t started_unix_ms,
+                                  std::uint64_t revision)
 {
     published_upstream out = upstream_at("i-1", revision);
     out.started_unix_ms = started_unix_ms;
@@ -78,14 +79,14 @@
     return out;
 }
 
-base::instant at(base::duration passed)
+base::instant time_at(base::duration elapsed)
 {
-    return base::instant(1h + passed);
+    return base::instant(1h + elapsed);
 }
 
 } // namespace
 
-TEST_CASE_FIXTURE(table_fixture, "path_below_two_prefixes_takes_the_longer")
+TEST_CASE_FIXTURE(table_fixture, "path_matching_two_prefixes_takes_the_longest")
 {
     const route_table table = this->table();
     CHECK(table.find_route("hall.example", "/a/b/c")->prefix == "/a/b/");
@@ -104,7 +105,8 @@
 // Every workspace was given priority 1, meant to order workspaces among each
 // other. Taken in place of the route's, it made dossiers wait behind shift
 // notes in each burst.
-TEST_CASE_FIXTURE(table_fixture, "workspaces_alike_leave_order_to_routes")
+TEST_CASE_FIXTURE(table_fixture,
+                  "workspaces_of_equal_priority_ordered_by_route")
 {
     const route_table table = this->table();
     const workspace* owner = table.find_workspace("gate-key");
@@ -115,7 +117,7 @@
     CHECK(table.effective_priority(routes[1], owner) == 2);
 }
 
-TEST_CASE_FIXTURE(table_fixture, "workspace_priority_goes_before_the_routes")
+TEST_CASE_FIXTURE(table_fixture, "workspace_priority_precedes_route_priority")
 {
     this->config.workspaces[1].priority = 3;
     const route_table table = this->table();
@@ -136,133 +138,135 @@
 
 // An upstream says that it leaves; a report of it from before is written late.
 // Believed, it would bring work to an upstream that is about to go.
-TEST_CASE("upstream_that_leaves_and_reports_late_stays_out")
+TEST_CASE("leaving_upstream_reports_late_stays_unusable")
 {
-    upstream_directory tested;
+    upstream_directory directory;
     published_upstream entry = upstream_at("i-1", 5);
-    CHECK(tested.update(entry) == upstream_change::joined);
+    CHECK(directory.update(entry) == upstream_change::joined);
     entry.leaving = true;
     entry.revision = 8;
-    CHECK(tested.update(entry) == upstream_change::left);
+    CHECK(directory.update(entry) == upstream_change::left);
     entry.leaving = false;
     entry.revision = 9;
-    CHECK(tested.update(entry) == upstream_change::none);
-    CHECK(tested.find_usable(entry.id) == nullptr);
+    CHECK(directory.update(entry) == upstream_change::none);
+    CHECK(directory.find_usable(entry.id) == nullptr);
 }
 
-TEST_CASE("older_news_of_a_removed_upstream_changes_nothing")
+TEST_CASE("removed_upstream_older_update_ignored")
 {
-    upstream_directory tested;
-    CHECK(tested.remove("i-1", 7, std::nullopt) == upstream_change::none);
-    CHECK(tested.update(upstream_at("i-1", 6)) == upstream_change::none);
-    CHECK(tested.usable_count() == 0);
-    CHECK(tested.update(upstream_at("i-1", 8)) == upstream_change::joined);
+    upstream_directory directory;
+    CHECK(directory.remove("i-1", 7, std::nullopt) == upstream_change::none);
+    CHECK(directory.update(upstream_at("i-1", 6)) == upstream_change::none);
+    CHECK(directory.usable_count() == 0);
+    CHECK(directory.update(upstream_at("i-1", 8)) == upstream_change::joined);
 }
 
 // An upstream crashes and starts again under its name. What was learnt of it
 // before (it hung, it was slow, six requests run there) is not true of it now.
-TEST_CASE("upstream_that_starts_again_is_another_to_those_who_send")
+TEST_CASE("restarted_upstream_has_a_new_id")
 {
-    upstream_directory tested;
-    const published_upstream first = life_at(1'000, 5);
-    const published_upstream second = life_at(2'000, 9);
+    upstream_directory directory;
+    const published_upstream first = incarnation_at(1'000, 5);
+    const published_upstream second = incarnation_at(2'000, 9);
     CHECK(first.id != second.id);
-    CHECK(tested.update(first) == upstream_change::joined);
-    CHECK(tested.update(second) == upstream_change::restarted);
-    CHECK(tested.find_usable(first.id) == nullptr);
-    REQUIRE(tested.find_usable(second.id) != nullptr);
-    CHECK(tested.find_usable(second.id)->name == first.name);
-    CHECK(tested.usable_count() == 1);
+    CHECK(directory.update(first) == upstream_change::joined);
+    CHECK(directory.update(second) == upstream_change::restarted);
+    CHECK(directory.find_usable(first.id) == nullptr);
+    REQUIRE(directory.find_usable(second.id) != nullptr);
+    CHECK(directory.find_usable(second.id)->name == first.name);
+    CHECK(directory.usable_count() == 1);
 }
 
 // It said that it leaves, ended, and starts again: the new one is to get work.
-TEST_CASE("upstream_that_left_returns_with_its_next_life")
+TEST_CASE("upstream_that_left_returns_as_new_incarnation")
 {
-    upstream_directory tested;
-    published_upstream leaving = life_at(1'000, 5);
+    upstream_directory directory;
+    published_upstream leaving = incarnation_at(1'000, 5);
     leaving.leaving = true;
-    tested.update(leaving);
-    CHECK(tested.update(life_at(1'000, 6)) == upstream_change::none);
-    CHECK(tested.update(life_at(2'000, 8)) == upstream_change::joined);
+    directory.update(leaving);
+    CHECK(directory.update(incarnation_at(1'000, 6)) == upstream_change::none);
+    CHECK(directory.update(incarnation_at(2'000, 8)) ==
+          upstream_change::joined);
     // A last report of the life before, written late.
-    CHECK(tested.update(life_at(1'000, 9)) == upstream_change::none);
-    CHECK(tested.find_usable(life_at(2'000, 8).id) != nullptr);
+    CHECK(directory.update(incarnation_at(1'000, 9)) == upstream_change::none);
+    CHECK(directory.find_usable(incarnation_at(2'000, 8).id) != nullptr);
 }
 
 // News of three lives, their leaving and a removal come from the store and from
 // peers, in any order and some of them twice. All entries end with the same.
-TEST_CASE("news_of_lives_in_any_order_ends_alike")
+TEST_CASE("updates_in_any_order_end_in_same_state")
 {
-    std::mt19937_64 dice(7);
+    std::mt19937_64 random(7);
     for (int round = 0; round < 2'000; ++round) {
-        std::vector<published_upstream> told;
-        std::uint64_t removed_at = 0;
+        std::vector<published_upstream> updates;
+        std::uint64_t removal_revision = 0;
         for (std::uint64_t revision = 1; revision <= 8; ++revision) {
-            if (dice() % 8 == 0) {
-                removed_at = revision;
+            if (random() % 8 == 0) {
+                removal_revision = revision;
                 continue;
             }
-            told.push_back(life_at(1'000 + dice() % 3, revision));
-            told.back().leaving = dice() % 6 == 0;
+            updates.push_back(incarnation_at(1'000 + random() % 3, revision));
+            updates.back().leaving = random() % 6 == 0;
         }
-        const auto play = [&] {
-            upstream_directory tested;
-            std::shuffle(told.begin(), told.end(), dice);
-            const std::size_t removal = dice() % (told.size() + 1);
-            for (std::size_t at = 0; at <= told.size(); ++at) {
-                if (at == removal && removed_at > 0)
-                    tested.remove("i-1", removed_at, std::nullopt);
-                if (at < told.size())
-                    tested.update(told[at]);
-                if (at < told.size() && dice() % 3 == 0)
-                    tested.update(told[dice() % (at + 1)]);
+        const auto apply_shuffled = [&] {
+            upstream_directory directory;
+            std::shuffle(updates.begin(), updates.end(), random);
+            const std::size_t removal = random() % (updates.size() + 1);
+            for (std::size_t time_at = 0; time_at <= updates.size();
+                 ++time_at) {
+                if (time_at == removal && removal_revision > 0)
+                    directory.remove("i-1", removal_revision, std::nullopt);
+                if (time_at < updates.size())
+                    directory.update(updates[time_at]);
+                if (time_at < updates.size() && random() % 3 == 0)
+                    directory.update(updates[random() % (time_at + 1)]);
             }
             std::string out;
-            tested.for_each_usable([&](const published_upstream& one) {
+            directory.for_each_usable([&](const published_upstream& one) {
                 out += std::to_string(*one.started_unix_ms) + '@' +
                        std::to_string(one.revision) + ' ';
             });
             return out;
         };
-        const std::string first = play();
-        REQUIRE(play() == first);
-        REQUIRE(play() == first);
+        const std::string first = apply_shuffled();
+        REQUIRE(apply_shuffled() == first);
+        REQUIRE(apply_shuffled() == first);
     }
 }
 
 // The store was away for longer than the upstreams' leases. On its return all
 // entries are gone, though their upstreams live and report within two seconds.
-TEST_CASE("lapse_in_an_outage_is_waited_for_and_then_believed")
+TEST_CASE("item_expired_in_outage_removed_after_keep_until")
 {
-    upstream_directory tested;
-    tested.update(upstream_at("i-1", 5));
-    tested.update(upstream_at("i-2", 6));
-    CHECK(tested.remove("i-1", 9, at(2s)) == upstream_change::none);
-    CHECK(tested.remove("i-2", 9, at(2s)) == upstream_change::none);
-    CHECK(tested.usable_count() == 2);
-    tested.update(upstream_at("i-1", 12));
-    std::vector<std::string> gone;
-    tested.remove_expired(at(1999ms), gone);
-    CHECK(gone.empty());
-    tested.remove_expired(at(2s), gone);
-    CHECK(gone == std::vector<std::string>{"i-2"});
-    CHECK(tested.usable_count() == 1);
+    upstream_directory directory;
+    directory.update(upstream_at("i-1", 5));
+    directory.update(upstream_at("i-2", 6));
+    CHECK(directory.remove("i-1", 9, time_at(2s)) == upstream_change::none);
+    CHECK(directory.remove("i-2", 9, time_at(2s)) == upstream_change::none);
+    CHECK(directory.usable_count() == 2);
+    directory.update(upstream_at("i-1", 12));
+    std::vector<std::string> removed_names;
+    directory.remove_expired(time_at(1999ms), removed_names);
+    CHECK(removed_names.empty());
+    directory.remove_expired(time_at(2s), removed_names);
+    CHECK(removed_names == std::vector<std::string>{"i-2"});
+    CHECK(directory.usable_count() == 1);
 }
 
 // Another service answers at the address of an upstream that is gone. It gets
 // nothing more until it is published anew.
-TEST_CASE("upstream_whose_address_is_anothers_is_out_until_published")
+TEST_CASE("misdirected_upstream_unusable_until_published")
 {
-    upstream_directory tested;
+    upstream_directory directory;
     const published_upstream entry = upstream_at("i-1", 5);
-    tested.update(entry);
-    CHECK(tested.mark_misdirected(entry.id) == upstream_change::left);
-    CHECK(tested.find_usable(entry.id) == nullptr);
-    CHECK(tested.update(upstream_at("i-1", 6)) == upstream_change::joined);
+    directory.update(entry);
+    CHECK(directory.mark_misdirected(entry.id) == upstream_change::left);
+    CHECK(directory.find_usable(entry.id) == nullptr);
+    CHECK(directory.update(upstream_at("i-1", 6)) == upstream_change::joined);
 }
 
 // Where route and workspace both name regions, both bind.
-TEST_CASE("homes_are_where_route_and_workspace_allow")
+TEST_CASE("regions_of_route_and_workspace_both_restrict")
 {
     const region_map regions = {{"hall", "west"},
                                 {"yard", "west"},
@@ -270,21 +274,26 @@
                                 {"mill", "north"}};
     const base::data_centre_id hall("hall");
     const base::data_centre_id quay("quay");
-    route of;
+    route matched_route;
     workspace owner;
-    CHECK(data_centre_constraint_of(of, &owner, regions).allows(hall));
-    CHECK(data_centre_constraint_of(of, nullptr, {}).allows(hall));
-    of.regions = {"west", "east"};
-    CHECK(data_centre_constraint_of(of, nullptr, regions).allows(hall));
-    CHECK_FALSE(data_centre_constraint_of(of, nullptr, regions)
+    CHECK(
+        data_centre_constraint_of(matched_route, &owner, regions).allows(hall));
+    CHECK(data_centre_constraint_of(matched_route, nullptr, {}).allows(hall));
+    matched_route.regions = {"west", "east"};
+    CHECK(data_centre_constraint_of(matched_route, nullptr, regions)
+              .allows(hall));
+    CHECK_FALSE(data_centre_constraint_of(matched_route, nullptr, regions)
                     .allows(base::data_centre_id("mill")));
     owner.regions = {"east", "north"};
-    CHECK(data_centre_constraint_of(of, &owner, regions).allows(quay));
-    CHECK_FALSE(data_centre_constraint_of(of, &owner, regions).allows(hall));
+    CHECK(
+        data_centre_constraint_of(matched_route, &owner, regions).allows(quay));
+    CHECK_FALSE(
+        data_centre_constraint_of(matched_route, &owner, regions).allows(hall));
     owner.regions = {"nowhere"};
-    CHECK_FALSE(data_centre_constraint_of(of, &owner, regions).allows(quay));
+    CHECK_FALSE(
+        data_centre_constraint_of(matched_route, &owner, regions).allows(quay));
     // A data centre that the settings don't name is no home.
-    CHECK_FALSE(data_centre_constraint_of(of, nullptr, regions)
+    CHECK_FALSE(data_centre_constraint_of(matched_route, nullptr, regions)
                     .allows(base::data_centre_id("new")));
 }
 
--- a/src/greengagedrum/routing/upstream_directory.cpp
+++ b/src/greengagedrum/routing/upstream_directory.cpp
@@ -18,30 +18,33 @@
 std::optional<base::upstream_id>
 upstream_directory::latest_incarnation(std::string_view name) const
 {
-    const auto found = this->states.find(std::string(name));
-    if (found == this->states.end() || found->second.entry.id.empty())
+    const auto found = this->records.find(std::string(name));
+    if (found == this->records.end() || found->second.published.id.empty())
         return std::nullopt;
-    return found->second.entry.id;
+    return found->second.published.id;
 }
 
-const upstream_directory::state*
+const upstream_directory::upstream_record*
 upstream_directory::find_incarnation(base::upstream_id id) const
 {
-    const auto name = this->names.find(id);
-    return name == this->names.end() ? nullptr : &this->states.at(name->second);
+    const auto name = this->names_by_id.find(id);
+    return name == this->names_by_id.end() ? nullptr
+                                           : &this->records.at(name->second);
 }
 
-bool upstream_directory::alive(const state& of)
+bool upstream_directory::is_alive(const upstream_record& record)
 {
-    const bool older_life =
-        of.newest_start && of.entry.started_unix_ms < of.newest_start;
-    return !of.gone && !older_life && of.leaving_incarnation != of.entry.id;
+    const bool outdated =
+        record.newest_start_unix_ms &&
+        record.published.started_unix_ms < record.newest_start_unix_ms;
+    return !record.removed && !outdated &&
+           record.leaving_incarnation != record.published.id;
 }
 
-bool upstream_directory::usable(const state& of) const
+bool upstream_directory::is_usable(const upstream_record& record) const
 {
-    return alive(of) &&
-           !this->evacuated_data_centres.contains(of.entry.data_centre);
+    return is_alive(record) &&
+           !this->evacuated_data_centres.contains(record.published.data_centre);
 }
 
 // Nothing here depends on the order in which entries and removals come: of the
@@ -49,44 +52,46 @@
 //
 // Failures guarded against: a report of an older life, or one from before a
 // life said that it leaves, is written late and has the highest revision.
-void upstream_directory::note(state& own, const published_upstream& entry)
+void upstream_directory::apply(upstream_record& record,
+                               const published_upstream& published)
 {
-    own.newest_start = std::max(own.newest_start, entry.started_unix_ms);
-    if (entry.started_unix_ms < own.newest_start)
+    record.newest_start_unix_ms =
+        std::max(record.newest_start_unix_ms, published.started_unix_ms);
+    if (published.started_unix_ms < record.newest_start_unix_ms)
         return;
-    if (entry.leaving)
-        own.leaving_incarnation = entry.id;
-    const bool same_life = own.entry.id == entry.id;
-    if (entry.revision <= own.removed_at ||
-        (same_life && entry.revision <= own.entry.revision))
+    if (published.leaving)
+        record.leaving_incarnation = published.id;
+    const bool same_incarnation = record.published.id == published.id;
+    if (published.revision <= record.removal_revision ||
+        (same_incarnation && published.revision <= record.published.revision))
         return;
-    this->names.erase(own.entry.id);
-    this->names[entry.id] = entry.name;
-    own.entry = entry;
-    own.gone = false;
-    own.lapses_at.reset();
+    this->names_by_id.erase(record.published.id);
+    this->names_by_id[published.id] = published.name;
+    record.published = published;
+    record.removed = false;
+    record.expires_at.reset();
 }
 
-upstream_change upstream_directory::update(const published_upstream& entry)
+upstream_change upstream_directory::update(const published_upstream& published)
 {
-    state& own = this->states[entry.name];
-    const bool was_usable = this->usable(own);
-    const published_upstream before = own.entry;
-    this->note(own, entry);
-    const bool is_usable = this->usable(own);
+    upstream_record& record = this->records[published.name];
+    const bool was_usable = this->is_usable(record);
+    const published_upstream previous = record.published;
+    this->apply(record, published);
+    const bool is_usable = this->is_usable(record);
     if (was_usable != is_usable)
         return is_usable ? upstream_change::joined : upstream_change::left;
     if (!is_usable)
         return upstream_change::none;
-    if (before.id != own.entry.id)
+    if (previous.id != record.published.id)
         return upstream_change::restarted;
-    const bool moved =
-        before.address != own.entry.address ||
-        before.slots != own.entry.slots ||
-        before.service != own.entry.service ||
-        (entry.id == own.entry.id && entry.revision == own.entry.revision &&
-         before.warmup != own.entry.warmup);
-    return moved ? upstream_change::updated : upstream_change::none;
+    const bool updated = previous.address != record.published.address ||
+                         previous.slots != record.published.slots ||
+                         previous.service != record.published.service ||
+                         (published.id == record.published.id &&
+                          published.revision == record.published.revision &&
+                          previous.warmup != record.published.warmup);
+    return updated ? upstream_change::updated : upstream_change::none;
 }
 
 // Remembered also of an unknown one, so that older news of it from a peer finds
@@ -94,64 +99,66 @@
 upstream_change
 upstream_directory::remove(std::string_view name,
                            std::uint64_t revision,
-                           std::optional<base::instant> lapse_bound)
+                           std::optional<base::instant> keep_until)
 {
-    state& own = this->states[std::string(name)];
-    own.removed_at = std::max(own.removed_at, revision);
-    if (own.gone || own.entry.revision > revision)
+    upstream_record& record = this->records[std::string(name)];
+    record.removal_revision = std::max(record.removal_revision, revision);
+    if (record.removed || record.published.revision > revision)
         return upstream_change::none;
-    const bool was_usable = this->usable(own);
-    if (lapse_bound && alive(own)) {
-        own.lapses_at = lapse_bound;
-        this->may_lapse = true;
+    const bool was_usable = this->is_usable(record);
+    if (keep_until && is_alive(record)) {
+        record.expires_at = keep_until;
+        this->any_may_expire = true;
         return upstream_change::none;
     }
-    own.gone = true;
+    record.removed = true;
     return was_usable ? upstream_change::left : upstream_change::none;
 }
 
 upstream_change upstream_directory::mark_misdirected(base::upstream_id id)
 {
-    const auto name = this->names.find(id);
-    if (name == this->names.end())
+    const auto name = this->names_by_id.find(id);
+    if (name == this->names_by_id.end())
         return upstream_change::none;
-    state& own = this->states.at(name->second);
-    if (!alive(own))
+    upstream_record& record = this->records.at(name->second);
+    if (!is_alive(record))
         return upstream_change::none;
-    const bool was_usable = this->usable(own);
-    own.gone = true;
+    const bool was_usable = this->is_usable(record);
+    record.removed = true;
     return was_usable ? upstream_change::left : upstream_change::none;
 }
 
 void upstream_directory::remove_expired(base::instant now,
-                                        std::vector<std::string>& gone)
+                                        std::vector<std::string>& removed_names)
 {
-    if (!this->may_lapse)
+    if (!this->any_may_expire)
         return;
-    this->may_lapse = false;
-    for (auto& [name, own] : this->states) {
-        this->may_lapse =
-            this->may_lapse || (own.lapses_at && *own.lapses_at > now);
-        if (!own.lapses_at || *own.lapses_at > now)
+    this->any_may_expire = false;
+    for (auto& [name, record] : this->records) {
+        this->any_may_expire = this->any_may_expire ||
+                               (record.expires_at && *record.expires_at > now);
+        if (!record.expires_at || *record.expires_at > now)
             continue;
-        own.lapses_at.reset();
-        own.gone = true;
-        gone.push_back(name);
+        record.expires_at.reset();
+        record.removed = true;
+        removed_names.push_back(name);
     }
 }
 
 const published_upstream*
 upstream_directory::find_usable(base::upstream_id id) const
 {
-    const state* own = this->find_incarnation(id);
-    return own != nullptr && this->usable(*own) ? &own->entry : nullptr;
+    const upstream_record* record = this->find_incarnation(id);
+    return record != nullptr && this->is_usable(*record) ? &record->published
+                                                         : nullptr;
 }
 
 const published_upstream*
 upstream_directory::find_alive(base::upstream_id id) const
 {
-    const state* own = this->find_incarnation(id);
-    return own != nullptr && alive(*own) ? &own->entry : nullptr;
+    const upstream_record* record = this->find_incarnation(id);
+    return record != nullptr && is_alive(*record) ? &record->published
+                                                  : nullptr;
 }
 
 std::vector<published_upstream>
@@ -164,27 +171,27 @@
     std::vector<published_upstream> out;
     if (!changed)
         return out;
-    for (const auto& [name, own] : this->states) {
-        if (own.entry.data_centre == data_centre && alive(own))
-            out.push_back(own.entry);
+    for (const auto& [name, record] : this->records) {
+        if (record.published.data_centre == data_centre && is_alive(record))
+            out.push_back(record.published);
     }
     return out;
 }
 
 void upstream_directory::for_each_usable(
-    const std::function<void(const published_upstream&)>& take) const
+    const std::function<void(const published_upstream&)>& visit) const
 {
-    for (const auto& [name, own] : this->states) {
-        if (this->usable(own))
-            take(own.entry);
+    for (const auto& [name, record] : this->records) {
+        if (this->is_usable(record))
+            visit(record.published);
     }
 }
 
 std::size_t upstream_directory::usable_count() const
 {
     return static_cast<std::size_t>(std::count_if(
-        this->states.begin(), this->states.end(), [this](const auto& one) {
-            return this->usable(one.second);
+        this->records.begin(), this->records.end(), [this](const auto& one) {
+            return this->is_usable(one.second);
         }));
 }
 
--- a/src/greengagedrum/routing/upstream_directory.hpp
+++ b/src/greengagedrum/routing/upstream_directory.hpp
@@ -60,7 +60,7 @@
 {
 public:
     // Takes one published entry.
-    upstream_change update(const published_upstream& entry);
+    upstream_change update(const published_upstream& published);
 
     // The entry was removed at that revision. While the store was away, or
     // for a while after, it may only have lapsed: its upstream is then kept
@@ -71,13 +71,14 @@
     // requests fail until each has reported again.
     upstream_change remove(std::string_view name,
                            std::uint64_t revision,
-                           std::optional<base::instant> lapse_bound);
+                           std::optional<base::instant> keep_until);
 
     // Something else answers at its address: gone until published anew.
     upstream_change mark_misdirected(base::upstream_id id);
 
     // Takes out those whose lapse bound has passed; appends their names.
-    void remove_expired(base::instant now, std::vector<std::string>& gone);
+    void remove_expired(base::instant now,
+                        std::vector<std::string>& removed_names);
 
     // The life of that name that was published last; none while unknown.
     std::optional<base::upstream_id>
@@ -100,30 +101,30 @@
     }
 
     void for_each_usable(
-        const std::function<void(const published_upstream&)>& take) const;
+        const std::function<void(const published_upstream&)>& visit) const;
 
     std::size_t usable_count() const;
 
 private:
-    struct state {
-        published_upstream entry; // of the newest life published
-        bool gone = true;
-        std::optional<base::instant> lapses_at;
-        std::uint64_t removed_at = 0; // revision of the last removal
-        std::optional<std::uint64_t> newest_start;
+    struct upstream_record {
+        published_upstream published; // of the newest life published
+        bool removed = true;
+        std::optional<base::instant> expires_at;
+        std::uint64_t removal_revision = 0; // revision of the last removal
+        std::optional<std::uint64_t> newest_start_unix_ms;
         std::optional<base::upstream_id>
             leaving_incarnation; // that said it leaves
     };
 
-    static bool alive(const state& of);
-    bool usable(const state& of) const;
-    const state* find_incarnation(base::upstream_id id) const;
-    void note(state& own, const published_upstream& entry);
+    static bool is_alive(const upstream_record& record);
+    bool is_usable(const upstream_record& record) const;
+    const upstream_record* find_incarnation(base::upstream_id id) const;
+    void apply(upstream_record& record, const published_upstream& published);
 
-    std::unordered_map<std::string, state> states; // by name
-    bool may_lapse = false; // else there is nothing to look for
+    std::unordered_map<std::string, upstream_record> records; // by name
+    bool any_may_expire = false; // else there is nothing to look for
     // Of each name's last life.
-    std::unordered_map<base::upstream_id, std::string> names;
+    std::unordered_map<base::upstream_id, std::string> names_by_id;
     std::set<std::string> evacuated_data_centres;
 };
 
