--- a/src/greengagedrum/quarantine/crash_record.cpp
+++ b/src/greengagedrum/quarantine/crash_record.cpp
@@ -9,33 +9,33 @@
 {
 
 // Crashes of one request that are kept.
-constexpr std::size_t crashes_kept = 8;
+constexpr std::size_t max_crashes = 8;
 
 // From the last crash to the next trial: ten times as long after each crash.
-constexpr base::duration first_pause = std::chrono::seconds(60);
-constexpr base::duration longest_pause = std::chrono::hours(24);
-constexpr std::int64_t pause_growth = 10;
+constexpr base::duration first_trial_delay = std::chrono::seconds(60);
+constexpr base::duration max_trial_delay = std::chrono::hours(24);
+constexpr std::int64_t trial_delay_factor = 10;
 // For so long a trial is waited for before there may be another.
-constexpr base::duration trial_takes = std::chrono::seconds(30);
+constexpr base::duration trial_timeout = std::chrono::seconds(30);
 
 // Ages are read a message's way later than they were written: what is later by
 // less than this is no news.
-constexpr base::duration same_time = std::chrono::milliseconds(400);
+constexpr base::duration age_tolerance = std::chrono::milliseconds(400);
 
-base::duration pause_after(std::size_t crashes)
+base::duration trial_delay_after(std::size_t crashes)
 {
-    base::duration out = first_pause;
-    for (std::size_t at = crashes_allowed; at < crashes; ++at)
-        out = std::min(out * pause_growth, longest_pause);
+    base::duration out = first_trial_delay;
+    for (std::size_t at = quarantine_threshold; at < crashes; ++at)
+        out = std::min(out * trial_delay_factor, max_trial_delay);
     return out;
 }
 
 // True when it was later than what is known.
-bool take_later(std::optional<base::instant>& known,
-                const std::optional<base::duration>& age,
-                base::instant now)
+bool update_if_later(std::optional<base::instant>& known,
+                     const std::optional<base::duration>& age,
+                     base::instant now)
 {
-    if (!age || (known && now - *age <= *known + same_time))
+    if (!age || (known && now - *age <= *known + age_tolerance))
         return false;
     known = now - *age;
     return true;
@@ -60,11 +60,11 @@
 
 // ---- Standing -------------------------------------------------------------
 
-std::size_t crash_record::count() const
+std::size_t crash_record::crash_count() const
 {
     const auto counts = [this](const auto& one) {
         return !this->answered_at ||
-               one.second.at > *this->answered_at + answer_holds;
+               one.second.at > *this->answered_at + answer_validity;
     };
     return static_cast<std::size_t>(
         std::count_if(this->crashes.begin(), this->crashes.end(), counts));
@@ -78,25 +78,27 @@
     return last;
 }
 
-base::instant crash_record::trial_from(double offset) const
+base::instant crash_record::trial_due_at(double trial_jitter) const
 {
-    const base::duration pause = pause_after(this->count());
-    const auto later =
-        static_cast<std::int64_t>(offset * static_cast<double>(pause.count()));
-    return this->last_crash() + pause + base::duration(later);
+    const base::duration delay = trial_delay_after(this->crash_count());
+    const auto jitter = static_cast<std::int64_t>(
+        trial_jitter * static_cast<double>(delay.count()));
+    return this->last_crash() + delay + base::duration(jitter);
 }
 
-quarantine_state crash_record::state_at(base::instant now, double offset) const
+quarantine_state crash_record::state_at(base::instant now,
+                                        double trial_jitter) const
 {
-    const std::size_t crashed = this->count();
-    if (crashed == 0)
+    const std::size_t crash_count = this->crash_count();
+    if (crash_count == 0)
         return quarantine_state::clear;
-    if (crashed < crashes_allowed)
+    if (crash_count < quarantine_threshold)
         return quarantine_state::suspected;
     const bool trying =
         this->trial_at &&
-        now<*this->trial_at + trial_takes&&* this->trial_at> this->last_crash();
-    return trying || now < this->trial_from(offset)
+        now<*this->trial_at + trial_timeout&&* this->trial_at> this
+            ->last_crash();
+    return trying || now < this->trial_due_at(trial_jitter)
                ? quarantine_state::quarantined
                : quarantine_state::trial_due;
 }
@@ -107,11 +109,11 @@
                        base::instant at,
                        bool confirmed)
 {
-    const auto [found, fresh] =
+    const auto [found, inserted] =
         this->crashes.try_emplace(upstream, crash{at, confirmed});
-    if (!fresh)
+    if (!inserted)
         return confirmed && this->confirm(upstream);
-    if (this->crashes.size() > crashes_kept)
+    if (this->crashes.size() > max_crashes)
         this->crashes.erase(
             std::min_element(this->crashes.begin(),
                              this->crashes.end(),
@@ -135,7 +137,7 @@
     return this->crashes.erase(upstream) > 0;
 }
 
-bool crash_record::answered(base::instant at)
+bool crash_record::record_answer(base::instant at)
 {
     if (this->answered_at && *this->answered_at >= at)
         return false;
@@ -147,17 +149,17 @@
                                base::instant now)
 {
     const bool answer =
-        take_later(this->answered_at, received.answered_age, now);
-    const bool trial = take_later(this->trial_at, received.trial_age, now);
+        update_if_later(this->answered_at, received.answered_age, now);
+    const bool trial = update_if_later(this->trial_at, received.trial_age, now);
     return answer || trial;
 }
 
 // Of crashes those that were confirmed: connections that were reset would be
 // taken for one by all.
-suspect_report crash_record::report(const base::request_digest& request,
-                                    base::instant now) const
+suspect_report crash_record::make_report(const base::request_digest& request,
+                                         base::instant now) const
 {
-    suspect_report out{request, this->owner, {}, {}, {}};
+    suspect_report out{request, this->workspace_id, {}, {}, {}};
     for (const auto& [upstream, one] : this->crashes) {
         if (one.confirmed)
             out.crashes.push_back({upstream, now - one.at});
--- a/src/greengagedrum/quarantine/crash_record.hpp
+++ b/src/greengagedrum/quarantine/crash_record.hpp
@@ -15,36 +15,39 @@
 {
 
 // Crashes after which a request is not sent.
-inline constexpr std::size_t crashes_allowed = 2;
+inline constexpr std::size_t quarantine_threshold = 2;
 
 // An answer speaks for its request for so long.
-inline constexpr base::duration answer_holds = std::chrono::seconds(10);
+inline constexpr base::duration answer_validity = std::chrono::seconds(10);
 
 class crash_record
 {
 public:
-    explicit crash_record(base::workspace_id workspace) : owner(workspace) {}
+    explicit crash_record(base::workspace_id workspace)
+        : workspace_id(workspace)
+    {
+    }
 
-    base::workspace_id workspace() const { return this->owner; }
-    std::size_t count() const;
+    base::workspace_id workspace() const { return this->workspace_id; }
+    std::size_t crash_count() const;
     base::instant last_crash() const; // of any
 
     // `offset`: a part of the pause, zero to one, by which a trial here is
     // later than the first of all entries.
-    quarantine_state state_at(base::instant now, double offset) const;
-    base::instant trial_from(double offset) const;
+    quarantine_state state_at(base::instant now, double trial_jitter) const;
+    base::instant trial_due_at(double trial_jitter) const;
 
     // True when that was not known.
     bool add(base::upstream_id upstream, base::instant at, bool confirmed);
     bool confirm(base::upstream_id upstream);
     bool remove(base::upstream_id upstream);
-    bool answered(base::instant at);
-    void trial_sent(base::instant at) { this->trial_at = at; }
+    bool record_answer(base::instant at);
+    void record_trial(base::instant at) { this->trial_at = at; }
     // All but the crashes, which the owner may know better.
     bool merge_times(const suspect_report& received, base::instant now);
 
-    suspect_report report(const base::request_digest& request,
-                          base::instant now) const;
+    suspect_report make_report(const base::request_digest& request,
+                               base::instant now) const;
 
 private:
     struct crash {
@@ -52,7 +55,7 @@
         bool confirmed = false; // the upstream was gone
     };
 
-    base::workspace_id owner;
+    base::workspace_id workspace_id;
     std::map<base::upstream_id, crash> crashes;
     std::optional<base::instant> answered_at;
     std::optional<base::instant> trial_at;
--- a/src/greengagedrum/quarantine/recent_answers.hpp
+++ b/src/greengagedrum/quarantine/recent_answers.hpp
@@ -20,10 +20,10 @@
 
     // The last one's time, while it is known.
     std::optional<base::instant>
-    last(const base::request_digest& request) const;
+    last_answer(const base::request_digest& request) const;
 
 private:
-    std::deque<std::pair<base::request_digest, base::instant>> order;
+    std::deque<std::pair<base::request_digest, base::instant>> oldest_first;
     std::unordered_map<base::request_digest, base::instant> times;
 };
 
--- a/src/greengagedrum/quarantine/suspect_table.hpp
+++ b/src/greengagedrum/quarantine/suspect_table.hpp
@@ -59,7 +59,8 @@
     // ---- What peers see
 
     // What is new, and beside it, with `rest`, a part of all else by turns.
-    std::vector<suspect_report> collect_reports(base::instant now, bool rest);
+    std::vector<suspect_report> collect_reports(base::instant now,
+                                                bool include_unchanged);
     changes merge(std::span<const suspect_report> received, base::instant now);
 
     // Drops what has lapsed.
@@ -71,46 +72,47 @@
     changes list_quarantined(base::instant now) const;
 
 private:
-    struct entry {
-        crash_record known;
+    struct request_record {
+        crash_record crashes;
         base::instant changed_at;
     };
-    using entry_map = std::map<base::request_digest, entry>;
+    using record_map = std::map<base::request_digest, request_record>;
 
-    entry& find_or_add(const base::request_digest& request,
-                       base::workspace_id workspace);
-    bool has_room_for(const suspect_report& received) const;
+    request_record& find_or_add(const base::request_digest& request,
+                                base::workspace_id workspace);
+    bool may_record(const suspect_report& received) const;
     void make_room(base::workspace_id workspace);
-    void drop_least(base::workspace_id workspace);
-    void erase(entry_map::iterator which);
-    bool
-    merge_one(entry& own, const suspect_report& received, base::instant now);
-    double offset(const base::request_digest& request) const;
+    void evict_least_suspect(base::workspace_id workspace);
+    void erase(record_map::iterator record);
+    bool merge_one(request_record& record,
+                   const suspect_report& received,
+                   base::instant now);
+    double trial_jitter(const base::request_digest& request) const;
     // Adds the quarantine state to `out` if it differs from `before`.
-    void note_change(const base::request_digest& request,
-                     const entry& of,
-                     quarantine_state before,
-                     base::instant now,
-                     changes& out) const;
+    void append_if_changed(const base::request_digest& request,
+                           const request_record& record,
+                           quarantine_state before,
+                           base::instant now,
+                           changes& out) const;
     template <class Change>
     changes change_all(base::instant now, const Change& apply);
-    void add_by_turns(base::instant now,
-                      bool wanted_barred,
-                      std::size_t most,
-                      base::request_digest& last,
-                      std::vector<suspect_report>& out) const;
+    void add_round_robin(base::instant now,
+                         bool quarantined_only,
+                         std::size_t limit,
+                         base::request_digest& last,
+                         std::vector<suspect_report>& out) const;
 
     std::uint64_t salt;
-    base::instant swept_at;
-    entry_map records;
-    std::map<base::workspace_id, std::size_t> by_workspace;
+    base::instant cleaned_up_at;
+    record_map records;
+    std::map<base::workspace_id, std::size_t> record_counts;
     // Upstreams counted as crashed, and those that turned out to live.
     std::unordered_map<base::upstream_id, base::instant> presumed_gone;
-    std::unordered_map<base::upstream_id, base::instant> found_alive;
+    std::unordered_map<base::upstream_id, base::instant> known_alive;
     recent_answers answers;
     // Where the reports by turns go on.
-    base::request_digest last_barred;
-    base::request_digest last_others;
+    base::request_digest last_reported_quarantined;
+    base::request_digest last_reported_other;
 };
 
 } // namespace greengagedrum::quarantine
--- a/src/greengagedrum/quarantine/test/suspect_table_test.cpp
+++ b/src/greengagedrum/quarantine/test/suspect_table_test.cpp
@@ -14,7 +14,7 @@
 
 struct table_fixture {
     base::instant now{1h};
-    suspect_table tested{1};
+    suspect_table table{1};
     suspect_table peer{2};
     base::workspace_id shop{"shop"};
     base::request_digest request = body(0);
@@ -27,9 +27,9 @@
 
     suspect_table::changes crash(const base::request_digest& what, int upstream)
     {
-        auto out = this->tested.on_crash(
+        auto out = this->table.on_crash(
             what, this->shop, this->upstream(upstream), this->now);
-        this->tested.on_upstream_gone(this->upstream(upstream), this->now);
+        this->table.on_upstream_gone(this->upstream(upstream), this->now);
         return out;
     }
 
@@ -47,7 +47,7 @@
 
     quarantine_state is() const
     {
-        return this->tested.state_of(this->request, this->now);
+        return this->table.state_of(this->request, this->now);
     }
 
     void quarantine()
@@ -71,7 +71,7 @@
     REQUIRE(change.size() == 1);
     CHECK(change.front().state == quarantine_state::suspected);
     CHECK(this->is() == quarantine_state::suspected);
-    CHECK(this->tested.time_until_trial(this->request, this->now) == 0s);
+    CHECK(this->table.time_until_trial(this->request, this->now) == 0s);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "request_crashes_two_upstreams_quarantined")
@@ -81,13 +81,13 @@
     REQUIRE(change.size() == 1);
     CHECK(change.front().state == quarantine_state::quarantined);
     CHECK(change.front().crashes == 2);
-    CHECK(this->tested.time_until_trial(this->request, this->now) >= 60s);
-    CHECK(this->tested.list_quarantined(this->now).size() == 1);
+    CHECK(this->table.time_until_trial(this->request, this->now) >= 60s);
+    CHECK(this->table.list_quarantined(this->now).size() == 1);
 }
 
 // Two requests that broke with one upstream are two sights of one crash.
 TEST_CASE_FIXTURE(table_fixture,
-                  "request_broken_twice_on_one_life_counted_once")
+                  "request_lost_twice_on_one_incarnation_counted_once")
 {
     this->crash(this->request, 1);
     CHECK(this->crash(this->request, 1).empty());
@@ -97,16 +97,16 @@
 TEST_CASE_FIXTURE(table_fixture, "request_answered_cleared")
 {
     this->quarantine();
-    const auto change = this->tested.clear_suspicion(this->request, this->now);
+    const auto change = this->table.clear_suspicion(this->request, this->now);
     REQUIRE(change.size() == 1);
     CHECK(change.front().state == quarantine_state::clear);
     CHECK(this->is() == quarantine_state::clear);
 }
 
 // A body that many callers send runs on each upstream that ever crashes.
-TEST_CASE_FIXTURE(table_fixture, "request_answered_lately_not_suspected")
+TEST_CASE_FIXTURE(table_fixture, "request_answered_recently_not_suspected")
 {
-    this->tested.clear_suspicion(this->request, this->now);
+    this->table.clear_suspicion(this->request, this->now);
     this->now += 9s;
     CHECK(this->crash(this->request, 1).empty());
     CHECK(this->crash(this->request, 2).empty());
@@ -116,43 +116,43 @@
 }
 
 // Connections that are reset look like a crash until their upstream answers.
-TEST_CASE_FIXTURE(table_fixture, "upstream_answers_its_crash_taken_back")
+TEST_CASE_FIXTURE(table_fixture, "upstream_answers_its_crash_retracted")
 {
     this->quarantine();
-    const std::vector<suspect_report> told =
-        this->tested.collect_reports(this->now, false);
-    this->tested.on_upstream_answered(this->upstream(1), this->now + 50ms);
+    const std::vector<suspect_report> reports =
+        this->table.collect_reports(this->now, false);
+    this->table.on_upstream_answered(this->upstream(1), this->now + 50ms);
     CHECK(this->is() ==
           quarantine_state::quarantined); // written before its end
-    this->tested.on_upstream_answered(this->upstream(1), this->now + 150ms);
+    this->table.on_upstream_answered(this->upstream(1), this->now + 150ms);
     CHECK(this->is() == quarantine_state::suspected);
     this->now += 200ms;
-    this->tested.merge(told, this->now);
+    this->table.merge(reports, this->now);
     CHECK(this->is() == quarantine_state::suspected);
 }
 
 // Connections that were reset are no crash, at once and for all entries.
-TEST_CASE_FIXTURE(table_fixture, "upstream_takes_connections_crash_taken_back")
+TEST_CASE_FIXTURE(table_fixture, "upstream_accepts_connection_crash_retracted")
 {
     for (const int number : {1, 2})
-        this->tested.on_crash(
+        this->table.on_crash(
             this->request, this->shop, upstream(number), this->now);
     REQUIRE(this->is() == quarantine_state::quarantined);
     const auto change =
-        this->tested.on_upstream_reachable(upstream(1), this->now + 20ms);
+        this->table.on_upstream_reachable(upstream(1), this->now + 20ms);
     REQUIRE(change.size() == 1);
     CHECK(change.front().state == quarantine_state::suspected);
 }
 
-TEST_CASE_FIXTURE(table_fixture, "crash_not_confirmed_not_told_to_peers")
+TEST_CASE_FIXTURE(table_fixture, "crash_not_confirmed_not_reported_to_peers")
 {
-    this->tested.on_crash(this->request, this->shop, upstream(1), this->now);
-    this->tell(this->tested, this->peer);
+    this->table.on_crash(this->request, this->shop, upstream(1), this->now);
+    this->tell(this->table, this->peer);
     CHECK(this->peer.state_of(this->request, this->now) ==
           quarantine_state::clear);
     this->now += 300ms;
-    this->tested.on_upstream_gone(upstream(1), this->now);
-    this->tell(this->tested, this->peer);
+    this->table.on_upstream_gone(upstream(1), this->now);
+    this->tell(this->table, this->peer);
     CHECK(this->peer.state_of(this->request, this->now) ==
           quarantine_state::suspected);
 }
@@ -164,16 +164,16 @@
     CHECK(this->is() == quarantine_state::quarantined);
     this->now += 62s;
     CHECK(this->is() == quarantine_state::trial_due);
-    this->tested.on_sent(this->request, this->now);
+    this->table.on_sent(this->request, this->now);
     CHECK(this->is() == quarantine_state::quarantined);
-    CHECK(this->tested.time_until_trial(this->request, this->now) > 0s);
+    CHECK(this->table.time_until_trial(this->request, this->now) > 0s);
 }
 
-TEST_CASE_FIXTURE(table_fixture, "trial_crashes_next_pause_ten_times_as_long")
+TEST_CASE_FIXTURE(table_fixture, "trial_crashes_next_delay_ten_times_as_long")
 {
     this->quarantine();
     this->now += 121s;
-    this->tested.on_sent(this->request, this->now);
+    this->table.on_sent(this->request, this->now);
     this->now += 1s;
     this->crash(this->request, 3);
     this->now += 590s;
@@ -182,23 +182,23 @@
     CHECK(this->is() == quarantine_state::trial_due);
 }
 
-TEST_CASE_FIXTURE(table_fixture, "trial_never_ends_another_may_be_made")
+TEST_CASE_FIXTURE(table_fixture, "trial_never_ends_another_allowed")
 {
     this->quarantine();
     this->now += 121s;
-    this->tested.on_sent(this->request, this->now);
+    this->table.on_sent(this->request, this->now);
     this->now += 31s;
     CHECK(this->is() == quarantine_state::trial_due);
 }
 
-TEST_CASE_FIXTURE(table_fixture, "trial_of_a_peer_told_no_second_one_here")
+TEST_CASE_FIXTURE(table_fixture, "trial_reported_by_peer_none_here")
 {
     this->quarantine();
-    this->tell(this->tested, this->peer);
+    this->tell(this->table, this->peer);
     this->now += 125s;
     this->peer.on_sent(this->request, this->now);
     REQUIRE(this->is() == quarantine_state::trial_due);
-    this->tell(this->peer, this->tested);
+    this->tell(this->peer, this->table);
     CHECK(this->is() == quarantine_state::quarantined);
 }
 
@@ -207,98 +207,98 @@
 {
     this->crash(this->request, 1);
     this->crash_at_peer(1);
-    this->tell(this->peer, this->tested);
+    this->tell(this->peer, this->table);
     CHECK(this->is() == quarantine_state::suspected);
     this->crash_at_peer(2);
-    this->tell(this->peer, this->tested);
+    this->tell(this->peer, this->table);
     CHECK(this->is() == quarantine_state::quarantined);
-    this->tell(this->peer, this->tested);
-    CHECK(this->tested.list_quarantined(this->now).front().crashes == 2);
+    this->tell(this->peer, this->table);
+    CHECK(this->table.list_quarantined(this->now).front().crashes == 2);
 }
 
 // Two entries repeat to each other what they know: it is no news to either.
-TEST_CASE_FIXTURE(table_fixture, "report_of_known_crashes_not_passed_on_again")
+TEST_CASE_FIXTURE(table_fixture, "report_of_known_crashes_not_repeated")
 {
     this->quarantine();
-    this->tell(this->tested, this->peer);
+    this->tell(this->table, this->peer);
     CHECK(this->peer.collect_reports(this->now, false).size() == 1);
     this->now += 500ms;
-    this->tell(this->tested, this->peer, true);
+    this->tell(this->table, this->peer, true);
     CHECK(this->peer.collect_reports(this->now, false).empty());
 }
 
-TEST_CASE_FIXTURE(table_fixture, "answer_at_a_peer_told_cleared_here")
+TEST_CASE_FIXTURE(table_fixture, "answer_reported_by_peer_clears_request")
 {
     this->quarantine();
-    this->tell(this->tested, this->peer);
+    this->tell(this->table, this->peer);
     this->now += 1s;
     this->peer.clear_suspicion(this->request, this->now);
-    this->tell(this->peer, this->tested);
+    this->tell(this->peer, this->table);
     CHECK(this->is() == quarantine_state::clear);
 }
 
 // A peer has answered the same request, and hears that it is suspected.
-TEST_CASE_FIXTURE(table_fixture, "suspicion_told_to_one_that_answered_cleared")
+TEST_CASE_FIXTURE(table_fixture,
+                  "suspicion_reported_to_peer_that_answered_cleared")
 {
     this->peer.clear_suspicion(this->request, this->now);
     this->now += 1s;
     this->quarantine();
-    this->tell(this->tested, this->peer);
-    this->tell(this->peer, this->tested);
+    this->tell(this->table, this->peer);
+    this->tell(this->peer, this->table);
     CHECK(this->is() == quarantine_state::clear);
 }
 
 // A process that starts anew learns what is no longer news to the others.
 TEST_CASE_FIXTURE(table_fixture,
-                  "old_quarantine_told_by_turns_to_a_fresh_entry")
+                  "old_records_reported_round_robin_to_a_new_entry")
 {
     this->quarantine();
     this->now += 30s;
     for (std::uint64_t number = 1; number <= 40; ++number)
         this->crash(body(number), 9);
     this->now += 5s;
-    CHECK(this->tested.collect_reports(this->now, false).empty());
-    this->tell(this->tested, this->peer, true);
+    CHECK(this->table.collect_reports(this->now, false).empty());
+    this->tell(this->table, this->peer, true);
     CHECK(this->peer.state_of(this->request, this->now) ==
           quarantine_state::quarantined);
     for (int turn = 0; turn < 10; ++turn)
-        this->tell(this->tested, this->peer, true);
+        this->tell(this->table, this->peer, true);
     CHECK(this->peer.size() == 41);
 }
 
 // One workspace sends thousands of different requests that crash upstreams.
-TEST_CASE_FIXTURE(table_fixture,
-                  "records_of_one_workspace_leave_those_of_others")
+TEST_CASE_FIXTURE(table_fixture, "records_of_one_workspace_do_not_evict_others")
 {
     this->quarantine();
     const base::workspace_id hostile("hostile");
     for (std::uint64_t number = 1; number <= 5000; ++number) {
         this->now += 1ms;
         const int upstream = 10 + static_cast<int>(number);
-        this->tested.on_crash(
+        this->table.on_crash(
             body(number), hostile, this->upstream(upstream), this->now);
-        this->tested.on_crash(
+        this->table.on_crash(
             body(number), hostile, this->upstream(-upstream), this->now);
     }
-    CHECK(this->tested.size() <= 513);
+    CHECK(this->table.size() <= 513);
     CHECK(this->is() == quarantine_state::quarantined);
-    CHECK(this->tested.state_of(body(5000), this->now) ==
+    CHECK(this->table.state_of(body(5000), this->now) ==
           quarantine_state::quarantined);
-    CHECK(this->tested.collect_reports(this->now, true).size() <= 28);
+    CHECK(this->table.collect_reports(this->now, true).size() <= 28);
 }
 
-TEST_CASE_FIXTURE(table_fixture, "single_crash_lapses_quarantine_stays")
+TEST_CASE_FIXTURE(table_fixture, "single_crash_expires_quarantine_stays")
 {
     const base::request_digest other = body(7);
     this->crash(other, 1);
     this->quarantine();
     this->now += 11min;
-    this->tested.remove_expired(this->now);
-    CHECK(this->tested.state_of(other, this->now) == quarantine_state::clear);
-    CHECK(this->tested.size() == 1);
+    this->table.remove_expired(this->now);
+    CHECK(this->table.state_of(other, this->now) == quarantine_state::clear);
+    CHECK(this->table.size() == 1);
     this->now += 49h;
-    this->tested.remove_expired(this->now);
-    CHECK(this->tested.empty());
+    this->table.remove_expired(this->now);
+    CHECK(this->table.empty());
 }
 
 } // namespace greengagedrum::quarantine
