--- a/src/greengagedrum/quota/fading_rate.hpp
+++ b/src/greengagedrum/quota/decaying_rate.hpp
@@ -9,29 +9,29 @@
 namespace greengagedrum::quota
 {
 
-class fading_rate
+class decaying_rate
 {
 public:
     void add(double amount, base::instant now)
     {
-        this->sum = this->faded(now) + amount;
+        this->sum = this->decayed_sum(now) + amount;
         this->last = now;
     }
 
     double per_second(base::instant now) const
     {
-        return this->faded(now) / memory;
+        return this->decayed_sum(now) / time_constant_s;
     }
 
 private:
     // Seconds. Long enough that a dozen requests of several thousand tokens
     // each weigh alike, short enough that a caller's burst shows.
-    static constexpr double memory = 4;
+    static constexpr double time_constant_s = 4;
 
-    double faded(base::instant now) const
+    double decayed_sum(base::instant now) const
     {
-        return this->sum *
-               std::exp(-placement::seconds_of(now - this->last) / memory);
+        return this->sum * std::exp(-placement::seconds_of(now - this->last) /
+                                    time_constant_s);
     }
 
     double sum = 0;
--- /dev/null
+++ b/src/greengagedrum/quota/peer_usage.cpp
@@ -0,0 +1,156 @@
+// What peers tell a limiter of their uses, and what it keeps of those that are
+// gone.
+#include <greengagedrum/quota/usage_limiter.hpp>
+
+#include <algorithm>
+#include <numeric>
+#include <utility>
+#include <vector>
+
+namespace greengagedrum::quota
+{
+
+void usage_limiter::on_peer_report(base::slot_id peer,
+                                   base::incarnation incarnation,
+                                   std::span<const workspace_usage> usage,
+                                   bool stopping,
+                                   base::instant now)
+{
+    const auto [found, first_heard] = this->peers.try_emplace(peer);
+    peer_state& known = found->second;
+    const bool was_restarted = !first_heard && known.incarnation != incarnation;
+    if (was_restarted) {
+        this->drop_waiting(known);
+        known = peer_state();
+        this->silent_peer_shares.on_restart(peer);
+    }
+    known.incarnation = incarnation;
+    known.reported_at = now;
+    const bool silent_until_now =
+        this->silent_peer_shares.on_heard(peer, stopping, now);
+    const bool returned =
+        std::exchange(known.forgotten, false) || silent_until_now;
+    // Of what was before this process a peer tells once, when it is first
+    // heard.
+    const bool merge_report = first_heard && this->started_within_window(now);
+    for (const workspace_usage& one : usage) {
+        peer_usage& known_usage = known.usage[one.workspace];
+        if (merge_report) {
+            known_usage.sent = static_cast<double>(one.sent_total);
+            this->merge_history(one, now);
+        }
+        this->count_peer_usage(peer,
+                               known_usage,
+                               one,
+                               first_heard || was_restarted || returned,
+                               now);
+    }
+}
+
+// Of a peer that is heard for the first time, or again after a silence, what it
+// let through within the window counts; all of it as of now, since its times
+// are not told.
+void usage_limiter::count_peer_usage(base::slot_id peer,
+                                     peer_usage& known,
+                                     const workspace_usage& reported,
+                                     bool first_report,
+                                     base::instant now)
+{
+    const auto used = static_cast<double>(reported.sent_total);
+    // Most messages tell of most workspaces what is known.
+    if (!first_report && used == known.sent &&
+        reported.waiting == known.waiting)
+        return;
+    const double more = std::max(0.0, used - known.sent);
+    const double counted =
+        first_report ? std::min<double>(more, reported.sent_in_window) : more;
+    const double waiting_more = reported.waiting - known.waiting;
+    known = {used, static_cast<double>(reported.waiting)};
+    const auto found = this->limits.find(reported.workspace);
+    if (found == this->limits.end())
+        return;
+    workspace_limit& limit = found->second;
+    const limit_rules current_rules = this->rules(now);
+    limit.refill(current_rules, now);
+    limit.drop_expired(this->tolerated.window, now);
+    limit.peers_waiting = std::max(0.0, limit.peers_waiting + waiting_more);
+    limit.all_window.add(counted, now);
+    this->silent_peer_shares.on_peer_usage(
+        peer, reported.workspace, counted, now);
+    // What it let through before it was heard is no debt of the bucket.
+    if (!first_report)
+        limit.refund(-(counted + waiting_more), current_rules, now);
+}
+
+// An entry restarts in a busy workspace's window: each peer tells what it let
+// through itself, and all of them together what this entry's former process
+// did. Each counts once.
+void usage_limiter::merge_history(const workspace_usage& reported,
+                                  base::instant now)
+{
+    const auto found = this->limits.find(reported.workspace);
+    if (found == this->limits.end())
+        return;
+    workspace_limit& limit = found->second;
+    const double all = std::accumulate(reported.all_sent_in_window.begin(),
+                                       reported.all_sent_in_window.end(),
+                                       0.0);
+    const double unknown =
+        all > 0 ? std::max(0.0, 1 - limit.counted_history / all) : 0;
+    const auto parts = static_cast<int>(reported.all_sent_in_window.size());
+    // Each part as of its end: counted for its length too long, never too
+    // short.
+    for (int at = 0; at < parts; ++at)
+        limit.all_window.add_at(
+            unknown * reported.all_sent_in_window[static_cast<std::size_t>(at)],
+            now - at * this->tolerated.window / parts);
+    limit.counted_history = std::max(limit.counted_history, all);
+    limit.reported_by_peers += reported.sent_in_window;
+    limit.all_window.add(
+        std::max(0.0, limit.reported_by_peers - limit.counted_history), now);
+    limit.counted_history =
+        std::max(limit.counted_history, limit.reported_by_peers);
+}
+
+void usage_limiter::drop_waiting(peer_state& peer)
+{
+    for (auto& [workspace, known_usage] : peer.usage) {
+        const auto found = this->limits.find(workspace);
+        if (found != this->limits.end())
+            found->second.peers_waiting = std::max(
+                0.0, found->second.peers_waiting - known_usage.waiting);
+        known_usage.waiting = 0;
+    }
+}
+
+// A dispatcher that stops is heard until its own requests have ended. What was
+// counted of it is kept as long as the window holds it, and only what is new
+// counts, or each of its messages would count its whole window once more.
+void usage_limiter::forget_peer(base::slot_id peer)
+{
+    const auto found = this->peers.find(peer);
+    if (found == this->peers.end() || found->second.forgotten)
+        return;
+    this->drop_waiting(found->second);
+    found->second.forgotten = true;
+    this->silent_peer_shares.forget(peer);
+}
+
+void usage_limiter::remove_forgotten(base::instant now)
+{
+    std::erase_if(this->peers, [&](const auto& entry) {
+        const peer_state& one = entry.second;
+        return one.forgotten && now - one.reported_at > this->tolerated.window;
+    });
+}
+
+void usage_limiter::forget_peers()
+{
+    std::vector<base::slot_id> known;
+    for (const auto& [peer, state] : this->peers)
+        known.push_back(peer);
+    for (const base::slot_id peer : known)
+        this->forget_peer(peer);
+}
+
+} // namespace greengagedrum::quota
--- a/src/greengagedrum/quota/absent_peers.cpp
+++ b/src/greengagedrum/quota/silent_peers.cpp
@@ -1,4 +1,4 @@
-#include <greengagedrum/quota/absent_peers.hpp>
+#include <greengagedrum/quota/silent_peers.hpp>
 
 #include <algorithm>
 
@@ -10,36 +10,38 @@
 
 // An entry tells five times a second at least: two of its messages in a row
 // were lost, or it is gone.
-constexpr base::duration silent_after = std::chrono::milliseconds(450);
+constexpr base::duration silence_timeout = std::chrono::milliseconds(450);
 
 // An entry that was lost for good is not heard of again either. Its part of the
 // limits is kept from the others for so long: more than twice the longest cut
 // that the limits were tried with (12 s).
-constexpr base::duration assumed_for = std::chrono::seconds(30);
+constexpr base::duration reservation_time = std::chrono::seconds(30);
 
 // Of the entries that report: fewer are lost one by one.
-constexpr double new_cut = 0.1;
+constexpr double new_partition_threshold = 0.1;
 
 } // namespace
 
-void absent_peers::own_used(base::workspace_id workspace,
-                            double amount,
-                            base::instant now)
+void silent_peers::on_own_usage(base::workspace_id workspace,
+                                double amount,
+                                base::instant now)
 {
-    this->own[workspace].add(amount, now);
+    this->own_rates[workspace].add(amount, now);
 }
 
-void absent_peers::used(base::slot_id peer,
-                        base::workspace_id workspace,
-                        double amount,
-                        base::instant now)
+void silent_peers::on_peer_usage(base::slot_id peer,
+                                 base::workspace_id workspace,
+                                 double amount,
+                                 base::instant now)
 {
     this->peers[peer].rates[workspace].add(amount, now);
 }
 
-bool absent_peers::heard(base::slot_id peer, bool stopping, base::instant now)
+bool silent_peers::on_heard(base::slot_id peer,
+                            bool stopping,
+                            base::instant now)
 {
-    state& one = this->peers[peer];
+    peer_state& one = this->peers[peer];
     const bool was_silent = one.silent;
     one.heard_at = now;
     one.stopping = stopping;
@@ -48,16 +50,17 @@
     return was_silent;
 }
 
-void absent_peers::restarted(base::slot_id peer)
+void silent_peers::on_restart(base::slot_id peer)
 {
     this->peers.erase(peer);
 }
 
-double absent_peers::all_rates(base::workspace_id workspace,
-                               base::instant now) const
+double silent_peers::total_rate(base::workspace_id workspace,
+                                base::instant now) const
 {
     double sum = 0;
-    if (const auto found = this->own.find(workspace); found != this->own.end())
+    if (const auto found = this->own_rates.find(workspace);
+        found != this->own_rates.end())
         sum += found->second.per_second(now);
     for (const auto& [id, one] : this->peers) {
         const auto found = one.rates.find(workspace);
@@ -68,17 +71,17 @@
     return sum;
 }
 
-void absent_peers::fall_silent(state& peer,
-                               const std::vector<limited>& limits,
+void silent_peers::mark_silent(peer_state& peer,
+                               const std::vector<workspace_rate>& limits,
                                base::instant now)
 {
     peer.silent = true;
     const auto entries =
-        static_cast<double>(this->peers.size() + this->unheard + 1);
-    for (const limited& one : limits) {
+        static_cast<double>(this->peers.size() + this->never_heard + 1);
+    for (const workspace_rate& one : limits) {
         if (one.per_second <= 0)
             continue;
-        const double all = this->all_rates(one.workspace, now);
+        const double all = this->total_rate(one.workspace, now);
         const auto found = peer.rates.find(one.workspace);
         const double rate = found == peer.rates.end()
                                 ? 0
@@ -91,20 +94,22 @@
 }
 
 std::vector<base::slot_id>
-absent_peers::notice(const std::vector<limited>& limits, base::instant now)
+silent_peers::detect_silent(const std::vector<workspace_rate>& limits,
+                            base::instant now)
 {
     std::vector<base::slot_id> out;
     for (auto& [id, one] : this->peers) {
-        if (one.silent || now - one.heard_at <= silent_after)
+        if (one.silent || now - one.heard_at <= silence_timeout)
             continue;
-        this->fall_silent(one, limits, now);
+        this->mark_silent(one, limits, now);
         out.push_back(id);
     }
     // One that said that it stops has ended; one that was silent for long is
     // taken to be gone.
     std::erase_if(this->peers, [&](const auto& entry) {
-        const state& one = entry.second;
-        return one.silent && (one.stopping || now - one.heard_at > assumed_for);
+        const peer_state& one = entry.second;
+        return one.silent &&
+               (one.stopping || now - one.heard_at > reservation_time);
     });
     return out;
 }
@@ -112,18 +117,18 @@
 // Failure guarded against: an entry starts anew behind a cut and has heard
 // nobody. Of those that its settings name each is assumed to need an equal
 // part, for as long as one that fell silent.
-double absent_peers::unheard_share(base::instant now) const
+double silent_peers::never_heard_share(base::instant now) const
 {
-    if (this->unheard == 0 || now - this->started > assumed_for)
+    if (this->never_heard == 0 || now - this->started > reservation_time)
         return 0;
-    return static_cast<double>(this->unheard) /
-           static_cast<double>(this->peers.size() + this->unheard + 1);
+    return static_cast<double>(this->never_heard) /
+           static_cast<double>(this->peers.size() + this->never_heard + 1);
 }
 
 // More of them than so is another cut.
-void absent_peers::set_unreported(double part, base::instant now)
+void silent_peers::set_unreported_share(double part, base::instant now)
 {
-    if (part > this->unreported + new_cut)
+    if (part > this->unreported + new_partition_threshold)
         this->unreported_since = now;
     this->unreported = part;
 }
@@ -131,20 +136,21 @@
 // Failure guarded against: two parts of a data centre can't hear each other,
 // each has a dispatcher, and each of them gives out what the data centre may
 // use. `own_part`: of the limit, what heard entries and this one have.
-double absent_peers::unreported_share(double own_part) const
+double silent_peers::unreported_share(double heard_share) const
 {
-    const auto heard =
+    const auto heard_count =
         std::count_if(this->peers.begin(),
                       this->peers.end(),
                       [](const auto& entry) { return !entry.second.silent; });
-    return this->unreported * own_part / static_cast<double>(heard + 1);
+    return this->unreported * heard_share /
+           static_cast<double>(heard_count + 1);
 }
 
-assumed_use absent_peers::of(base::workspace_id workspace,
-                             base::instant now) const
+assumed_usage silent_peers::assumed_usage_of(base::workspace_id workspace,
+                                             base::instant now) const
 {
-    assumed_use out;
-    out.share = this->unheard_share(now);
+    assumed_usage out;
+    out.share = this->never_heard_share(now);
     out.since = out.share > 0 ? this->started : now;
     for (const auto& [id, one] : this->peers) {
         const auto found = one.shares.find(workspace);
--- a/src/greengagedrum/quota/absent_peers.hpp
+++ b/src/greengagedrum/quota/silent_peers.hpp
@@ -11,7 +11,7 @@
 
 #include <greengagedrum/base/ids.hpp>
 #include <greengagedrum/base/time.hpp>
-#include <greengagedrum/quota/fading_rate.hpp>
+#include <greengagedrum/quota/decaying_rate.hpp>
 
 #include <optional>
 #include <unordered_map>
@@ -21,68 +21,70 @@
 {
 
 // Assumed of all silent peers together, for one workspace.
-struct assumed_use {
+struct assumed_usage {
     double share = 0; // of the limit, from `since` on
     base::instant since;
 };
 
-class absent_peers
+class silent_peers
 {
 public:
-    explicit absent_peers(base::instant started) : started(started) {}
+    explicit silent_peers(base::instant started) : started(started) {}
 
     // A peer let so much through since it was last heard.
-    void used(base::slot_id peer,
-              base::workspace_id workspace,
-              double amount,
-              base::instant now);
-    void
-    own_used(base::workspace_id workspace, double amount, base::instant now);
+    void on_peer_usage(base::slot_id peer,
+                       base::workspace_id workspace,
+                       double amount,
+                       base::instant now);
+    void on_own_usage(base::workspace_id workspace,
+                      double amount,
+                      base::instant now);
 
     // True when it was silent until now: its shares end.
-    bool heard(base::slot_id peer, bool stopping, base::instant now);
+    bool on_heard(base::slot_id peer, bool stopping, base::instant now);
     // Another process in its place has used nothing yet.
-    void restarted(base::slot_id peer);
+    void on_restart(base::slot_id peer);
 
     void forget(base::slot_id peer) { this->peers.erase(peer); }
 
     // Entries that are known of and were never heard.
-    void set_unheard(std::size_t count) { this->unheard = count; }
+    void set_never_heard_count(std::size_t count) { this->never_heard = count; }
     // Of the entries that this one counts for, the part that does not report:
     // another one may count for them where neither can be heard.
-    void set_unreported(double part, base::instant now);
+    void set_unreported_share(double part, base::instant now);
 
     // One workspace's limit.
-    struct limited {
+    struct workspace_rate {
         base::workspace_id workspace;
         double per_second = 0;
     };
     // Finds out who has fallen silent, or ended, since the last call.
-    std::vector<base::slot_id> notice(const std::vector<limited>& limits,
-                                      base::instant now);
+    std::vector<base::slot_id>
+    detect_silent(const std::vector<workspace_rate>& limits, base::instant now);
 
-    assumed_use of(base::workspace_id workspace, base::instant now) const;
+    assumed_usage assumed_usage_of(base::workspace_id workspace,
+                                   base::instant now) const;
 
 private:
-    struct state {
+    struct peer_state {
         base::instant heard_at;
         bool stopping = false;
         bool silent = false;
-        std::unordered_map<base::workspace_id, fading_rate> rates;
+        std::unordered_map<base::workspace_id, decaying_rate> rates;
         std::unordered_map<base::workspace_id, double> shares;
     };
 
-    void fall_silent(state& peer,
-                     const std::vector<limited>& limits,
+    void mark_silent(peer_state& peer,
+                     const std::vector<workspace_rate>& limits,
                      base::instant now);
-    double all_rates(base::workspace_id workspace, base::instant now) const;
-    double unheard_share(base::instant now) const;
-    double unreported_share(double own_part) const;
+    double total_rate(base::workspace_id workspace, base::instant now) const;
+    double never_heard_share(base::instant now) const;
+    double unreported_share(double heard_share) const;
 
     base::instant started;
-    std::unordered_map<base::slot_id, state> peers;
-    std::unordered_map<base::workspace_id, fading_rate> own;
-    std::size_t unheard = 0;
+    std::unordered_map<base::slot_id, peer_state> peers;
+    std::unordered_map<base::workspace_id, decaying_rate> own_rates;
+    std::size_t never_heard = 0;
     double unreported = 0;
     base::instant unreported_since;
 };
--- a/src/greengagedrum/quota/test/entries_run.cpp
+++ b/src/greengagedrum/quota/test/fleet_simulation.cpp
@@ -1,4 +1,4 @@
-#include "entries_run.hpp"
+#include "fleet_simulation.hpp"
 
 #include <algorithm>
 #include <string>
@@ -13,11 +13,11 @@
 
 const base::workspace_id busy("busy");
 constexpr base::duration step = 10ms;
-constexpr base::duration message_gap = 50ms;
-constexpr base::duration message_way = 10ms;
+constexpr base::duration message_interval = 50ms;
+constexpr base::duration message_delay = 10ms;
 constexpr base::duration window = 8s;
 // A change is in force everywhere within this.
-constexpr base::duration change_takes = 2s;
+constexpr base::duration change_bound = 2s;
 
 base::slot_id name_of(std::size_t entry)
 {
@@ -26,30 +26,30 @@
 
 } // namespace
 
-run_plan random_plan(std::uint64_t seed)
+simulation_plan random_plan(std::uint64_t seed)
 {
-    std::mt19937_64 dice(seed);
+    std::mt19937_64 random(seed);
     const auto draw = [&](double low, double high) {
-        return std::uniform_real_distribution<double>(low, high)(dice);
+        return std::uniform_real_distribution<double>(low, high)(random);
     };
-    run_plan out;
+    simulation_plan out;
     out.seed = seed;
-    out.entries = 2 + dice() % 8;
+    out.entries = 2 + random() % 8;
     out.usual_demand = draw(0.1, 1.2);
     out.busy_demand = draw(1, 8);
     out.busy_from = draw(0, 20);
     out.busy_for = draw(1, 15);
-    out.uneven = draw(0, 1) < 0.5;
-    out.waits_most = draw(0, 3);
-    out.refused_late = draw(0, 0.9);
+    out.half_at_one_entry = draw(0, 1) < 0.5;
+    out.longest_wait = draw(0, 3);
+    out.refused_after_wait = draw(0, 0.9);
     if (draw(0, 1) < 0.7) {
-        out.cut_from = draw(0, 25);
-        out.cut_for = draw(0.3, 13);
-        out.cut_off = 1 + dice() % out.entries;
+        out.isolated_from = draw(0, 25);
+        out.isolated_for = draw(0.3, 13);
+        out.isolated_entries = 1 + random() % out.entries;
     }
     if (draw(0, 1) < 0.4) {
-        out.halves_from = draw(0, 25);
-        out.halves_for = draw(0.3, 13);
+        out.split_from = draw(0, 25);
+        out.split_for = draw(0.3, 13);
     }
     if (draw(0, 1) < 0.5)
         out.restarts.push_back(draw(0, 30));
@@ -59,30 +59,30 @@
     return out;
 }
 
-entries_run::entries_run(const run_plan& plan)
-    : plan(plan), dice(plan.seed), begun(1h), now(1h)
+fleet_simulation::fleet_simulation(const simulation_plan& plan)
+    : plan(plan), random(plan.seed), started_at(1h), now(1h)
 {
     this->factors.emplace_back(this->now - 1h, 1.0);
     for (std::size_t at = 0; at < plan.entries; ++at) {
         // The whole system has run for a while.
         this->entries.push_back({usage_limiter(this->now - 1min),
-                                 base::incarnation{this->next_life++},
+                                 base::incarnation{this->next_incarnation++},
                                  1});
         this->configure(this->entries.back());
     }
 }
 
-double entries_run::seconds() const
+double fleet_simulation::seconds() const
 {
-    return static_cast<double>((this->now - this->begun).count()) / 1e6;
+    return static_cast<double>((this->now - this->started_at).count()) / 1e6;
 }
 
-double entries_run::draw()
+double fleet_simulation::draw()
 {
-    return std::uniform_real_distribution<double>(0, 1)(this->dice);
+    return std::uniform_real_distribution<double>(0, 1)(this->random);
 }
 
-void entries_run::configure(entry& one)
+void fleet_simulation::configure(entry& one)
 {
     one.limiter.set_tolerance({window, this->plan.overshoot, this->plan.slack});
     routing::configuration config;
@@ -96,7 +96,7 @@
 }
 
 // Each entry learns of it at some time of its own within the bound.
-void entries_run::change_limits()
+void fleet_simulation::change_limits()
 {
     if (this->next_limit < this->plan.limits.size() &&
         this->seconds() >= this->plan.limits[this->next_limit].first) {
@@ -107,7 +107,7 @@
     const auto& [published, factor] = this->factors.back();
     for (entry& one : this->entries) {
         const bool due =
-            this->now - published >= change_takes || this->draw() < 0.01;
+            this->now - published >= change_bound || this->draw() < 0.01;
         if (one.factor == factor || !due)
             continue;
         one.factor = factor;
@@ -115,17 +115,17 @@
     }
 }
 
-void entries_run::restart_due()
+void fleet_simulation::restart_entries()
 {
     if (this->next_restart >= this->plan.restarts.size() ||
         this->seconds() < this->plan.restarts[this->next_restart])
         return;
     this->next_restart += 1;
     const std::size_t at =
-        (this->plan.in_turn ? this->next_restart : this->dice()) %
+        (this->plan.restart_in_turn ? this->next_restart : this->random()) %
         this->entries.size();
     entry fresh{usage_limiter(this->now),
-                base::incarnation{this->next_life++},
+                base::incarnation{this->next_incarnation++},
                 this->factors.back().second};
     // Its settings name some of the others.
     fresh.limiter.set_never_heard_peer_count(
@@ -134,63 +134,73 @@
     this->configure(this->entries[at]);
 }
 
-bool entries_run::connected(std::size_t from, std::size_t to) const
+bool fleet_simulation::connected(std::size_t from, std::size_t to) const
 {
     const double at = this->seconds();
-    const bool cut = at >= this->plan.cut_from &&
-                     at < this->plan.cut_from + this->plan.cut_for;
-    if (cut && (from < this->plan.cut_off || to < this->plan.cut_off))
+    const bool isolated =
+        at >= this->plan.isolated_from &&
+        at < this->plan.isolated_from + this->plan.isolated_for;
+    if (isolated && (from < this->plan.isolated_entries ||
+                     to < this->plan.isolated_entries))
         return false;
-    const bool halves = at >= this->plan.halves_from &&
-                        at < this->plan.halves_from + this->plan.halves_for;
-    return !halves || from % 2 == to % 2;
+    const bool split = at >= this->plan.split_from &&
+                       at < this->plan.split_from + this->plan.split_for;
+    return !split || from % 2 == to % 2;
 }
 
-void entries_run::send_messages()
+void fleet_simulation::send_messages()
 {
     for (std::size_t from = 0; from < this->entries.size(); ++from) {
         entry& one = this->entries[from];
-        const auto uses = one.limiter.own_usage(this->now);
+        const auto usage = one.limiter.own_usage(this->now);
         for (std::size_t to = 0; to < this->entries.size(); ++to) {
             if (to != from && this->connected(from, to))
-                this->messages.push_back(
-                    {this->now + message_way, from, to, one.life, uses});
+                this->messages.push_back({this->now + message_delay,
+                                          from,
+                                          to,
+                                          one.incarnation,
+                                          usage});
         }
     }
 }
 
-void entries_run::deliver_messages()
+void fleet_simulation::deliver_messages()
 {
     while (!this->messages.empty() &&
            this->messages.front().arrives <= this->now) {
-        const message told = std::move(this->messages.front());
+        const message reported = std::move(this->messages.front());
         this->messages.pop_front();
-        if (told.life != this->entries[told.from].life)
+        if (reported.incarnation != this->entries[reported.from].incarnation)
             continue; // of a process that has ended
-        usage_limiter& to = this->entries[told.to].limiter;
+        usage_limiter& to = this->entries[reported.to].limiter;
         to.set_never_heard_peer_count(0);
-        to.on_peer_report(
-            name_of(told.from), told.life, told.uses, false, this->now);
+        to.on_peer_report(name_of(reported.from),
+                          reported.incarnation,
+                          reported.usage,
+                          false,
+                          this->now);
     }
 }
 
-void entries_run::ask_at(std::size_t at, double cost)
+void fleet_simulation::submit_at(std::size_t at, double cost)
 {
     entry& one = this->entries[at];
-    this->result.asked += cost;
-    this->asked_by_time.emplace_back(this->now, cost);
+    this->result.requested += cost;
+    this->requested_by_time.emplace_back(this->now, cost);
     if (one.limiter.try_acquire(busy, cost, 0, this->now)) {
         this->result.refused += cost;
         return;
     }
-    const double wait = this->draw() * this->draw() * this->plan.waits_most;
+    const double wait = this->draw() * this->draw() * this->plan.longest_wait;
     const base::instant until =
         this->now + base::duration(static_cast<std::int64_t>(wait * 1e6));
-    const bool sent = wait < 0.05 || this->draw() >= this->plan.refused_late;
-    this->waiting.push_back({this->now, until, at, one.life, cost, sent});
+    const bool sent =
+        wait < 0.05 || this->draw() >= this->plan.refused_after_wait;
+    this->waiting.push_back(
+        {this->now, until, at, one.incarnation, cost, sent});
 }
 
-void entries_run::ask()
+void fleet_simulation::submit_requests()
 {
     const double at = this->seconds();
     const bool is_busy = at >= this->plan.busy_from &&
@@ -205,59 +215,62 @@
         due -= cost;
         if (due < 0 && this->draw() > (due + cost) / cost)
             return;
-        const bool first = this->plan.uneven && this->draw() < 0.5;
-        this->ask_at(first ? 0 : this->dice() % this->entries.size(), cost);
+        const bool first = this->plan.half_at_one_entry && this->draw() < 0.5;
+        this->submit_at(first ? 0 : this->random() % this->entries.size(),
+                        cost);
     }
 }
 
-void entries_run::end_waiting()
+void fleet_simulation::finish_waiting()
 {
     std::erase_if(this->waiting, [&](const waiting_request& one) {
         if (one.until > this->now)
             return false;
         entry& of = this->entries[one.at];
-        if (of.life != one.life)
+        if (of.incarnation != one.incarnation)
             return true; // its process has ended
         if (!one.sent) {
             of.limiter.refund_unsent(busy, one.cost, this->now);
             return true;
         }
         of.limiter.on_sent(busy, one.cost, this->now);
-        this->ran.push_back({one.taken, this->now, one.cost});
-        this->result.let += one.cost;
+        this->sent_requests.push_back({one.admitted_at, this->now, one.cost});
+        this->result.admitted += one.cost;
         return true;
     });
 }
 
-run_result entries_run::play()
+simulation_result fleet_simulation::run()
 {
     base::instant messages_at = this->now;
     while (this->seconds() < this->plan.seconds) {
         this->now += step;
         this->change_limits();
-        this->restart_due();
+        this->restart_entries();
         this->deliver_messages();
         for (entry& one : this->entries)
             one.limiter.update_silent_peers(this->now);
-        this->ask();
-        this->end_waiting();
+        this->submit_requests();
+        this->finish_waiting();
         if (this->now < messages_at)
             continue;
-        messages_at += message_gap;
+        messages_at += message_interval;
         this->send_messages();
     }
-    this->judge(this->result);
+    this->measure_windows(this->result);
     return this->result;
 }
 
 // Until a cut is noticed each entry behind it goes by what it last heard.
-double entries_run::asked_unnoticed(base::instant until) const
+double fleet_simulation::requested_before_detection(base::instant until) const
 {
     double sum = 0;
-    for (const auto& [at, cost] : this->asked_by_time) {
-        for (const double cut : {this->plan.cut_from, this->plan.halves_from}) {
+    for (const auto& [at, cost] : this->requested_by_time) {
+        for (const double isolated :
+             {this->plan.isolated_from, this->plan.split_from}) {
             const double after =
-                static_cast<double>((at - this->begun).count()) / 1e6 - cut;
+                static_cast<double>((at - this->started_at).count()) / 1e6 -
+                isolated;
             if (after >= 0 && after < 0.5 && at > until - window && at <= until)
                 sum += cost;
         }
@@ -267,36 +280,36 @@
 
 // The highest limit that was in force anywhere within the window, with the time
 // that a lower one takes, and one window more, in which it need not bind yet.
-double entries_run::tolerated(base::instant until) const
+double fleet_simulation::tolerated_usage(base::instant until) const
 {
-    const base::instant from = until - window - window - change_takes;
-    double most = 0;
+    const base::instant from = until - window - window - change_bound;
+    double highest = 0;
     for (std::size_t at = 0; at < this->factors.size(); ++at) {
         const bool ended =
             at + 1 < this->factors.size() && this->factors[at + 1].first < from;
         if (!ended && this->factors[at].first <= until)
-            most = std::max(most, this->factors[at].second);
+            highest = std::max(highest, this->factors[at].second);
     }
-    const double limit = most * this->plan.rate * (8 + 1); // and its burst
+    const double limit = highest * this->plan.rate * (8 + 1); // and its burst
     return limit * (1 + this->plan.overshoot) + this->plan.slack +
-           this->asked_unnoticed(until);
+           this->requested_before_detection(until);
 }
 
 // Those that were both asked for and sent within the window.
-void entries_run::judge(run_result& out) const
+void fleet_simulation::measure_windows(simulation_result& out) const
 {
-    for (base::instant until = this->begun + window; until <= this->now;
+    for (base::instant until = this->started_at + window; until <= this->now;
          until += 100ms) {
         double sum = 0;
-        for (const let_through& one : this->ran) {
-            if (one.taken > until - window && one.sent <= until)
+        for (const admitted_request& one : this->sent_requests) {
+            if (one.admitted_at > until - window && one.sent <= until)
                 sum += one.cost;
         }
-        const double share = sum / this->tolerated(until);
-        if (share > out.worst_share) {
-            out.worst_share = share;
-            out.worst_at =
-                static_cast<double>((until - this->begun).count()) / 1e6;
+        const double share = sum / this->tolerated_usage(until);
+        if (share > out.highest_share) {
+            out.highest_share = share;
+            out.highest_at =
+                static_cast<double>((until - this->started_at).count()) / 1e6;
         }
     }
 }
--- a/src/greengagedrum/quota/test/handover_test.cpp
+++ b/src/greengagedrum/quota/test/handover_test.cpp
@@ -18,53 +18,53 @@
 // one day).
 TEST_CASE_FIXTURE(limiter_fixture, "peer_forgotten_and_heard_again_counts_once")
 {
-    CHECK(this->take(this->peer, 400));
+    CHECK(this->try_send(this->peer, 400));
     for (int message = 0; message < 30; ++message) {
         this->now += 100ms;
-        this->hear_peer(this->peer.own_usage(this->now), true);
+        this->receive_peer_report(this->peer.own_usage(this->now), true);
         this->own.forget_peer(base::slot_id("peer"));
     }
-    CHECK(this->take(this->own, 490));
-    CHECK_FALSE(this->take(this->own, 20));
+    CHECK(this->try_send(this->own, 490));
+    CHECK_FALSE(this->try_send(this->own, 20));
 }
 
 // The same entry places again a moment later, for the one that followed it died
 // too. What it has let through since counts in full.
-TEST_CASE_FIXTURE(limiter_fixture, "peer_that_places_again_counts_what_is_new")
+TEST_CASE_FIXTURE(limiter_fixture, "peer_dispatching_again_new_usage_counts")
 {
-    CHECK(this->take(this->peer, 400));
-    this->hear_peer(this->peer.own_usage(this->now), false);
+    CHECK(this->try_send(this->peer, 400));
+    this->receive_peer_report(this->peer.own_usage(this->now), false);
     this->own.forget_peer(base::slot_id("peer"));
     this->now += 100ms;
     this->peer.set_tolerance({8s, 0.25, 0});
     this->peer.restart(this->now);
-    CHECK(this->take(this->peer, 20));
-    this->hear_peer(this->peer.own_usage(this->now), false);
-    CHECK_FALSE(this->take(this->own, 490));
-    CHECK(this->take(this->own, 470));
+    CHECK(this->try_send(this->peer, 20));
+    this->receive_peer_report(this->peer.own_usage(this->now), false);
+    CHECK_FALSE(this->try_send(this->own, 490));
+    CHECK(this->try_send(this->own, 470));
 }
 
 // The entry that places for a data centre dies, and the next one takes over
 // with what it was told last: its buckets stand where the former's did.
-TEST_CASE_FIXTURE(limiter_fixture, "process_that_takes_over_knows_the_window")
+TEST_CASE_FIXTURE(limiter_fixture, "successor_takes_over_known_window")
 {
-    CHECK(this->take(this->peer, 500));
+    CHECK(this->try_send(this->peer, 500));
     this->now += 2s;
     usage_limiter next = this->fresh_limiter({8s, 0, 0});
     next.take_over(base::slot_id("peer"),
                    base::incarnation{2},
                    this->peer.window_usage(this->now),
                    this->now);
-    CHECK(this->take(next, 390));
-    CHECK_FALSE(this->take(next, 20));
+    CHECK(this->try_send(next, 390));
+    CHECK_FALSE(this->try_send(next, 20));
     // The former's use leaves the window when it would have left it there.
     this->now += 6250ms;
-    CHECK(this->take(next, 490));
+    CHECK(this->try_send(next, 490));
 }
 
 // Requests that wait at a dispatcher as it dies are asked for at the next one,
 // where they are counted anew.
-TEST_CASE_FIXTURE(limiter_fixture, "requests_waiting_at_the_former_are_no_use")
+TEST_CASE_FIXTURE(limiter_fixture, "requests_waiting_at_former_not_counted")
 {
     CHECK_FALSE(this->peer.try_acquire(planning, 400, 0, this->now));
     usage_limiter next = this->fresh_limiter({8s, 0, 0});
@@ -72,15 +72,15 @@
                    base::incarnation{2},
                    this->peer.window_usage(this->now),
                    this->now);
-    CHECK(this->take(next, 800));
+    CHECK(this->try_send(next, 800));
 }
 
 // Of another entry it hears for the first time what it knows already.
-TEST_CASE_FIXTURE(limiter_fixture, "uses_handed_over_count_once")
+TEST_CASE_FIXTURE(limiter_fixture, "usage_handed_over_counts_once")
 {
-    CHECK(this->take(this->own, 300));
-    this->talk();
-    CHECK(this->take(this->peer, 200));
+    CHECK(this->try_send(this->own, 300));
+    this->exchange_reports();
+    CHECK(this->try_send(this->peer, 200));
     usage_limiter next = this->fresh_limiter({8s, 0, 0});
     next.take_over(base::slot_id("peer"),
                    base::incarnation{2},
@@ -91,37 +91,37 @@
                         this->own.own_usage(this->now),
                         false,
                         this->now);
-    CHECK(this->take(next, 310));
-    CHECK_FALSE(this->take(next, 20));
+    CHECK(this->try_send(next, 310));
+    CHECK_FALSE(this->try_send(next, 20));
 }
 
 // Members report to another dispatcher behind a cut, and both give out the
 // same.
-TEST_CASE_FIXTURE(limiter_fixture, "part_of_unreported_members_is_kept")
+TEST_CASE_FIXTURE(limiter_fixture, "unreported_members_share_reserved")
 {
     this->own.set_unreported_member_share(0.5, this->now);
     this->own.update_silent_peers(this->now);
-    CHECK(this->take(this->own, 400));
-    CHECK_FALSE(this->take(this->own, 60));
+    CHECK(this->try_send(this->own, 400));
+    CHECK_FALSE(this->try_send(this->own, 60));
     this->own.set_unreported_member_share(0, this->now);
     this->own.update_silent_peers(this->now);
     this->now += 9s;
-    CHECK(this->take(this->own, 800));
+    CHECK(this->try_send(this->own, 800));
 }
 
 // The same where another data centre's dispatcher is heard: its part is its
 // own.
 TEST_CASE_FIXTURE(limiter_fixture,
-                  "part_of_unreported_members_leaves_peers_theirs")
+                  "unreported_members_share_leaves_peer_shares")
 {
-    this->talk();
+    this->exchange_reports();
     this->own.set_unreported_member_share(0.5, this->now);
     this->own.update_silent_peers(this->now);
-    CHECK(this->take(this->own, 600));
-    CHECK_FALSE(this->take(this->own, 60));
+    CHECK(this->try_send(this->own, 600));
+    CHECK_FALSE(this->try_send(this->own, 60));
 }
 
-TEST_CASE("workspaces_nearest_to_their_limits_are_handed_over")
+TEST_CASE("workspaces_closest_to_limits_handed_over")
 {
     constexpr std::uint64_t workspaces = 2000;
     const base::workspace_id busy(std::uint64_t{1234});
@@ -142,10 +142,10 @@
         REQUIRE_FALSE(former.try_acquire(one.id, cost, 0, now));
         former.on_sent(one.id, cost, now);
     }
-    const std::vector<workspace_usage> told = former.window_usage(now);
-    CHECK(told.size() == 300);
-    CHECK(
-        std::any_of(told.begin(), told.end(), [&](const workspace_usage& one) {
+    const std::vector<workspace_usage> reported = former.window_usage(now);
+    CHECK(reported.size() == 300);
+    CHECK(std::any_of(
+        reported.begin(), reported.end(), [&](const workspace_usage& one) {
             return one.workspace == busy && one.sent_in_window == 800;
         }));
 }
--- a/src/greengagedrum/quota/test/limit_bound_test.cpp
+++ b/src/greengagedrum/quota/test/limit_bound_test.cpp
@@ -1,95 +1,95 @@
 // What all entries together let through of one limit, whatever befalls them.
-#include "entries_run.hpp"
+#include "fleet_simulation.hpp"
 #include <doctest/doctest.h>
 
 namespace greengagedrum::quota
 {
 
-using test::entries_run;
+using test::fleet_simulation;
 using test::random_plan;
-using test::run_plan;
-using test::run_result;
+using test::simulation_plan;
+using test::simulation_result;
 
 // A third of the entries is cut off from all others. Three seconds later a
 // workspace sends six times its usual, which nobody has seen before the cut.
 // Each entry behind it would give it the whole limit once more.
-TEST_CASE("burst_behind_a_cut_keeps_one_limit")
+TEST_CASE("burst_behind_partition_keeps_one_limit")
 {
-    run_plan plan;
+    simulation_plan plan;
     plan.entries = 9;
-    plan.cut_from = 1;
-    plan.cut_for = 12;
-    plan.cut_off = 3;
+    plan.isolated_from = 1;
+    plan.isolated_for = 12;
+    plan.isolated_entries = 3;
     plan.busy_from = 4;
     plan.busy_for = 11;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         plan.seed = seed;
-        const run_result got = entries_run(plan).play();
+        const simulation_result got = fleet_simulation(plan).run();
         CAPTURE(seed);
-        CHECK(got.worst_share < 1);
+        CHECK(got.highest_share < 1);
         // The parts of the entries cut off are not lost either.
-        CHECK(got.let > 0.75 * plan.rate * plan.seconds * 0.7);
+        CHECK(got.admitted > 0.75 * plan.rate * plan.seconds * 0.7);
     }
 }
 
 // Each entry by itself, or any group of them, and any other trouble beside it:
 // no window of the operator's holds more than is tolerated.
-TEST_CASE("random_troubles_keep_every_window")
+TEST_CASE("random_failures_no_window_exceeded")
 {
     constexpr std::uint64_t seeds = 400;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const run_result got = entries_run(random_plan(seed)).play();
+        const simulation_result got = fleet_simulation(random_plan(seed)).run();
         CAPTURE(seed);
-        CAPTURE(got.worst_at);
-        REQUIRE(got.worst_share <= 1);
+        CAPTURE(got.highest_at);
+        REQUIRE(got.highest_share <= 1);
     }
 }
 
 // The usual load is three fifths of the limit, half of it at one entry, and the
 // entries fall apart for ten seconds. What is within the limit is let through.
-TEST_CASE("usual_load_behind_a_cut_is_let_through")
+TEST_CASE("usual_demand_behind_partition_admitted")
 {
-    run_plan plan;
+    simulation_plan plan;
     plan.entries = 9;
     plan.usual_demand = 0.55;
     plan.busy_for = 0;
-    plan.uneven = true;
-    plan.cut_from = 12;
-    plan.cut_for = 10;
-    plan.cut_off = 3;
+    plan.half_at_one_entry = true;
+    plan.isolated_from = 12;
+    plan.isolated_for = 10;
+    plan.isolated_entries = 3;
     double refused = 0;
-    double asked = 0;
+    double requested = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         plan.seed = seed;
-        const run_result got = entries_run(plan).play();
+        const simulation_result got = fleet_simulation(plan).run();
         refused += got.refused;
-        asked += got.asked;
+        requested += got.requested;
     }
-    CHECK(refused < 0.01 * asked);
+    CHECK(refused < 0.01 * requested);
 }
 
 // The entries are stopped and started in turn, one every two seconds, while a
 // workspace uses three fifths of its limit. Each fresh process hears from all
 // others what was let through; none of it may be counted twice or for longer
 // than the window.
-TEST_CASE("entries_restarted_in_turn_refuse_nothing_within_the_limit")
+TEST_CASE("entries_restarted_in_turn_demand_within_limit_admitted")
 {
-    run_plan plan;
+    simulation_plan plan;
     plan.entries = 9;
     plan.usual_demand = 0.55;
     plan.busy_for = 0;
-    plan.in_turn = true;
+    plan.restart_in_turn = true;
     for (double at = 2; at < 36; at += 2)
         plan.restarts.push_back(at);
     double refused = 0;
-    double asked = 0;
+    double requested = 0;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         plan.seed = seed;
-        const run_result got = entries_run(plan).play();
+        const simulation_result got = fleet_simulation(plan).run();
         refused += got.refused;
-        asked += got.asked;
+        requested += got.requested;
     }
-    CHECK(refused < 0.002 * asked);
+    CHECK(refused < 0.002 * requested);
 }
 
 } // namespace greengagedrum::quota
--- a/src/greengagedrum/quota/test/limiter_fixture.hpp
+++ b/src/greengagedrum/quota/test/limiter_fixture.hpp
@@ -28,35 +28,35 @@
         this->now += std::chrono::minutes(2); // the buckets are full
     }
 
-    void limit_to(double per_second, double most_at_once = burst)
+    void limit_to(double per_second, double burst_size = burst)
     {
         routing::configuration config;
         routing::workspace one;
         one.name = "planning";
         one.id = planning;
-        one.limit = {per_second, most_at_once, true, 0};
+        one.limit = {per_second, burst_size, true, 0};
         config.workspaces.push_back(one);
         this->own.set_limits(config, this->now);
         this->peer.set_limits(config, this->now);
     }
 
     // Of a process that starts now, under the usual limit.
-    usage_limiter fresh_limiter(const tolerance& allowed,
+    usage_limiter fresh_limiter(const tolerance& tolerated_usage,
                                 double per_second = rate,
-                                double most_at_once = burst) const
+                                double burst_size = burst) const
     {
         usage_limiter out(this->now);
-        out.set_tolerance(allowed);
+        out.set_tolerance(tolerated_usage);
         routing::configuration config;
         routing::workspace one;
         one.id = planning;
-        one.limit = {per_second, most_at_once, true, 0};
+        one.limit = {per_second, burst_size, true, 0};
         config.workspaces.push_back(one);
         out.set_limits(config, this->now);
         return out;
     }
 
-    bool take(usage_limiter& from, double cost)
+    bool try_send(usage_limiter& from, double cost)
     {
         if (from.try_acquire(planning, cost, 0, this->now))
             return false;
@@ -64,17 +64,18 @@
         return true;
     }
 
-    void hear_peer(const std::vector<workspace_usage>& uses, bool stopping)
+    void receive_peer_report(const std::vector<workspace_usage>& usage,
+                             bool stopping)
     {
         this->own.on_peer_report(base::slot_id("peer"),
                                  base::incarnation{2},
-                                 uses,
+                                 usage,
                                  stopping,
                                  this->now);
     }
 
     // Each tells the other all that it let through.
-    void talk()
+    void exchange_reports()
     {
         this->own.on_peer_report(base::slot_id("peer"),
                                  base::incarnation{2},
--- a/src/greengagedrum/quota/test/priority_test.cpp
+++ b/src/greengagedrum/quota/test/priority_test.cpp
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 
 constexpr double per_second = 1000; // tokens
-constexpr double most_at_once = 1000;
+constexpr double burst_size = 1000;
 constexpr std::uint32_t dossier = 0;
 constexpr std::uint32_t note = 2;
 
@@ -22,41 +22,43 @@
     std::uint32_t priority = 0;
     double cost = 0;
     double demand = 0; // of the limit's rate
-    double due = 0;
-    double asked = 0;
-    double let = 0; // of `asked`, both as cost
+    double due_cost = 0;
+    double requested = 0;
+    double admitted = 0; // of `asked`, both as cost
 
-    double served() const { return this->let / this->asked; }
+    double served() const { return this->admitted / this->requested; }
 };
 
 struct priority_fixture : limiter_fixture {
     priority_fixture()
     {
-        this->limit_to(per_second, most_at_once);
+        this->limit_to(per_second, burst_size);
         this->now += 1min; // the bucket is full
     }
 
     // Plays both for so long, a step every ten milliseconds.
-    void play(series& first, series& second, base::duration time)
+    void run(series& first, series& second, base::duration time)
     {
         constexpr base::duration step = std::chrono::milliseconds(10);
         for (base::duration passed{0}; passed < time; passed += step) {
-            this->ask(first, step);
-            this->ask(second, step);
+            this->submit_requests(first, step);
+            this->submit_requests(second, step);
             this->now += step;
         }
     }
 
-    void ask(series& of, base::duration step)
+    void submit_requests(series& requests, base::duration step)
     {
-        of.due += of.demand * per_second * placement::seconds_of(step);
-        for (; of.due >= of.cost; of.due -= of.cost) {
-            of.asked += of.cost;
+        requests.due_cost +=
+            requests.demand * per_second * placement::seconds_of(step);
+        for (; requests.due_cost >= requests.cost;
+             requests.due_cost -= requests.cost) {
+            requests.requested += requests.cost;
             if (this->own.try_acquire(
-                    planning, of.cost, of.priority, this->now))
+                    planning, requests.cost, requests.priority, this->now))
                 continue;
-            this->own.on_sent(planning, of.cost, this->now);
-            of.let += of.cost;
+            this->own.on_sent(planning, requests.cost, this->now);
+            requests.admitted += requests.cost;
         }
     }
 };
@@ -64,77 +66,79 @@
 } // namespace
 
 // A workspace's notes use the limit that its dossiers are refused for.
-TEST_CASE_FIXTURE(priority_fixture, "dossiers_beyond_a_limit_go_before_notes")
+TEST_CASE_FIXTURE(priority_fixture, "dossiers_beyond_limit_precede_notes")
 {
     series dossiers{dossier, 40, 0.8};
     series notes{note, 10, 2.5};
-    this->play(dossiers, notes, 5s);
-    dossiers.asked = 0;
-    dossiers.let = 0;
-    notes.let = 0;
-    this->play(dossiers, notes, 20s);
+    this->run(dossiers, notes, 5s);
+    dossiers.requested = 0;
+    dossiers.admitted = 0;
+    notes.admitted = 0;
+    this->run(dossiers, notes, 20s);
     CHECK(dossiers.served() >= 0.95);
-    const double all = dossiers.let + notes.let;
-    CHECK(all <= 1.125 * 20 * per_second + most_at_once);
+    const double all = dossiers.admitted + notes.admitted;
+    CHECK(all <= 1.125 * 20 * per_second + burst_size);
     CHECK(all >= 20 * per_second);
 }
 
 // The same with more dossiers than the limit allows: notes are not starved.
-TEST_CASE_FIXTURE(priority_fixture, "notes_behind_too_many_dossiers_get_a_part")
+TEST_CASE_FIXTURE(priority_fixture, "notes_below_excess_dossiers_not_starved")
 {
     series dossiers{dossier, 40, 2};
     series notes{note, 10, 1};
-    this->play(dossiers, notes, 20s);
+    this->run(dossiers, notes, 20s);
     CHECK(dossiers.served() > notes.served());
-    const double of_all =
-        (dossiers.let + notes.let) / (dossiers.asked + notes.asked);
-    CHECK(notes.served() >= 0.25 * of_all);
+    const double served_of_all = (dossiers.admitted + notes.admitted) /
+                                 (dossiers.requested + notes.requested);
+    CHECK(notes.served() >= 0.25 * served_of_all);
 }
 
 // Pings that cost next to nothing are refused for the sake of dossiers.
-TEST_CASE_FIXTURE(priority_fixture, "pings_beside_dossiers_are_let_through")
+TEST_CASE_FIXTURE(priority_fixture, "pings_beside_dossiers_admitted")
 {
     series dossiers{dossier, 40, 1.6};
     series pings{note, 0.6, 0.05};
-    this->play(dossiers, pings, 20s);
+    this->run(dossiers, pings, 20s);
     CHECK(pings.served() >= 0.8);
 }
 
 // A workspace within its limit has notes refused.
-TEST_CASE_FIXTURE(priority_fixture, "notes_within_a_limit_are_let_through")
+TEST_CASE_FIXTURE(priority_fixture, "notes_within_limit_admitted")
 {
     series dossiers{dossier, 40, 0.5};
     series notes{note, 10, 0.4};
-    this->play(dossiers, notes, 20s);
+    this->run(dossiers, notes, 20s);
     CHECK(dossiers.served() == 1);
     CHECK(notes.served() == 1);
     // A moment's burst of notes, no more than what is published.
     series more_notes{note, 10, 8};
-    this->play(dossiers, more_notes, 100ms);
+    this->run(dossiers, more_notes, 100ms);
     CHECK(more_notes.served() == 1);
 }
 
 // A process that has just begun to count hears what busy peers let through, and
 // takes the limit for exceeded.
-TEST_CASE_FIXTURE(priority_fixture, "notes_within_a_limit_pass_a_fresh_process")
+TEST_CASE_FIXTURE(priority_fixture,
+                  "notes_within_limit_admitted_by_new_process")
 {
     series elsewhere{dossier, 40, 0.6};
-    const auto peer_goes_on = [&] {
-        elsewhere.due += elsewhere.demand * per_second * 0.01;
-        for (; elsewhere.due >= elsewhere.cost; elsewhere.due -= elsewhere.cost)
-            CHECK(this->take(this->peer, elsewhere.cost));
+    const auto peer_continues = [&] {
+        elsewhere.due_cost += elsewhere.demand * per_second * 0.01;
+        for (; elsewhere.due_cost >= elsewhere.cost;
+             elsewhere.due_cost -= elsewhere.cost)
+            CHECK(this->try_send(this->peer, elsewhere.cost));
     };
     for (int step = 0; step < 800; ++step) {
-        peer_goes_on();
+        peer_continues();
         this->now += 10ms;
     }
-    this->own = this->fresh_limiter({8s, 0.25, 0}, per_second, most_at_once);
+    this->own = this->fresh_limiter({8s, 0.25, 0}, per_second, burst_size);
     series dossiers{dossier, 40, 0.12};
     series notes{note, 10, 0.2};
     for (int step = 0; step < 200; ++step) {
-        peer_goes_on();
-        this->talk();
-        this->play(dossiers, notes, 10ms);
+        peer_continues();
+        this->exchange_reports();
+        this->run(dossiers, notes, 10ms);
     }
     CHECK(dossiers.served() == 1);
     CHECK(notes.served() == 1);
--- a/src/greengagedrum/quota/test/usage_limiter_test.cpp
+++ b/src/greengagedrum/quota/test/usage_limiter_test.cpp
@@ -14,31 +14,31 @@
 // A planner sends a week's dossiers at once and then nothing for a while. All
 // of it is within what the operator counts, rate times window plus burst, and
 // none of it may be refused.
-TEST_CASE_FIXTURE(limiter_fixture, "burst_is_let_through_at_once_and_no_more")
+TEST_CASE_FIXTURE(limiter_fixture, "burst_admitted_at_once_and_no_more")
 {
-    CHECK(this->take(this->own, burst));
-    CHECK_FALSE(this->take(this->own, 1));
+    CHECK(this->try_send(this->own, burst));
+    CHECK_FALSE(this->try_send(this->own, 1));
     // What the window may hold comes evenly from then on.
-    constexpr double pace = rate + burst / window_seconds;
+    constexpr double refill_rate = rate + burst / window_seconds;
     this->now += 100ms;
-    CHECK(this->take(this->own, pace / 10));
-    CHECK_FALSE(this->take(this->own, 1));
+    CHECK(this->try_send(this->own, refill_rate / 10));
+    CHECK_FALSE(this->try_send(this->own, 1));
 }
 
 // Whatever comes, no window holds more than rate times window plus burst.
-TEST_CASE_FIXTURE(limiter_fixture, "steady_overload_keeps_every_window")
+TEST_CASE_FIXTURE(limiter_fixture, "steady_overload_no_window_exceeded")
 {
-    std::deque<std::pair<base::instant, double>> let;
+    std::deque<std::pair<base::instant, double>> admitted;
     double sum = 0;
     for (int step = 0; step < 4000; ++step) {
         this->now += 10ms;
-        if (this->take(this->own, 7)) {
-            let.emplace_back(this->now, 7);
+        if (this->try_send(this->own, 7)) {
+            admitted.emplace_back(this->now, 7);
             sum += 7;
         }
-        while (!let.empty() && this->now - let.front().first >= 8s) {
-            sum -= let.front().second;
-            let.pop_front();
+        while (!admitted.empty() && this->now - admitted.front().first >= 8s) {
+            sum -= admitted.front().second;
+            admitted.pop_front();
         }
         REQUIRE(sum <= rate * window_seconds + burst);
     }
@@ -47,89 +47,88 @@
 
 // The operator lowers a limit. What was let through under the old one is no
 // debt: work goes on at the new rate at once.
-TEST_CASE_FIXTURE(limiter_fixture,
-                  "lowered_limit_lets_its_rate_through_at_once")
+TEST_CASE_FIXTURE(limiter_fixture, "lowered_limit_admits_new_rate_at_once")
 {
-    this->talk();
-    CHECK(this->take(this->own, 760));
-    CHECK(this->take(this->peer, 90));
-    this->talk();
+    this->exchange_reports();
+    CHECK(this->try_send(this->own, 760));
+    CHECK(this->try_send(this->peer, 90));
+    this->exchange_reports();
     CHECK(this->own.status_of(planning, this->now).bucket_level < 0);
     this->limit_to(50, 100);
-    CHECK_FALSE(this->take(this->own, 30));
+    CHECK_FALSE(this->try_send(this->own, 30));
     this->now += 1s;
-    CHECK(this->take(this->own, 45));
+    CHECK(this->try_send(this->own, 45));
 }
 
-TEST_CASE_FIXTURE(limiter_fixture, "uses_of_peers_count_once")
+TEST_CASE_FIXTURE(limiter_fixture, "peer_usage_reported_twice_counts_once")
 {
-    CHECK(this->take(this->peer, 600));
-    this->talk();
-    this->talk();
-    CHECK(this->take(this->own, 300));
-    CHECK_FALSE(this->take(this->own, 50));
+    CHECK(this->try_send(this->peer, 600));
+    this->exchange_reports();
+    this->exchange_reports();
+    CHECK(this->try_send(this->own, 300));
+    CHECK_FALSE(this->try_send(this->own, 50));
 }
 
-TEST_CASE_FIXTURE(limiter_fixture, "refused_request_says_when_there_is_room")
+TEST_CASE_FIXTURE(limiter_fixture, "refused_request_admitted_after_retry_delay")
 {
-    CHECK(this->take(this->own, burst));
+    CHECK(this->try_send(this->own, burst));
     const auto wait = this->own.try_acquire(planning, 50, 0, this->now);
     REQUIRE(wait);
     this->now += *wait + 1ms;
-    CHECK(this->take(this->own, 50));
+    CHECK(this->try_send(this->own, 50));
 }
 
-TEST_CASE_FIXTURE(limiter_fixture, "cost_of_a_request_not_run_is_given_back")
+TEST_CASE_FIXTURE(limiter_fixture, "unsent_request_cost_refunded")
 {
-    CHECK(this->take(this->own, 500));
+    CHECK(this->try_send(this->own, 500));
     CHECK_FALSE(this->own.try_acquire(planning, 300, 0, this->now));
     this->own.refund_unsent(planning, 300, this->now);
-    CHECK(this->take(this->own, 310));
+    CHECK(this->try_send(this->own, 310));
     CHECK(this->own.own_usage(this->now).front().sent_total == 810);
 }
 
 // Two data centres are cut off from each other while one workspace sends at
 // its limit, half of it on each side. Each side must not take the silence of
 // the other for idleness: together they would let twice the limit through.
-TEST_CASE_FIXTURE(limiter_fixture, "silent_peer_is_taken_to_go_on_as_before")
+TEST_CASE_FIXTURE(limiter_fixture, "silent_peer_assumed_to_go_on_as_before")
 {
     constexpr double per_second = 100;
     this->limit_to(per_second, per_second);
     for (int step = 0; step < 500; ++step) {
         this->now += 20ms;
-        this->take(this->own, 1);
-        this->take(this->peer, 1);
-        this->talk();
+        this->try_send(this->own, 1);
+        this->try_send(this->peer, 1);
+        this->exchange_reports();
     }
-    double let = 0;
+    double admitted = 0;
     for (int step = 0; step < 400; ++step) {
         this->now += 20ms;
         this->own.update_silent_peers(this->now);
         this->peer.update_silent_peers(this->now);
-        let += this->take(this->own, 4) ? 4 : 0;
-        let += this->take(this->peer, 4) ? 4 : 0;
+        admitted += this->try_send(this->own, 4) ? 4 : 0;
+        admitted += this->try_send(this->peer, 4) ? 4 : 0;
     }
-    CHECK(let <= 1.48 * per_second * (window_seconds + 1));
+    CHECK(admitted <= 1.48 * per_second * (window_seconds + 1));
 }
 
 // Killed with the whole fleet, those before may have used up the window.
-TEST_CASE_FIXTURE(limiter_fixture, "fresh_process_has_no_part_of_the_slack")
+TEST_CASE_FIXTURE(limiter_fixture, "new_process_gets_no_slack")
 {
     constexpr double slack = 400;
     this->own.set_tolerance({8s, 0, slack});
-    CHECK(this->take(this->own, burst + 0.25 * slack));
-    CHECK_FALSE(this->take(this->own, 1));
+    CHECK(this->try_send(this->own, burst + 0.25 * slack));
+    CHECK_FALSE(this->try_send(this->own, 1));
 
     usage_limiter fresh = this->fresh_limiter({8s, 0.25, slack});
-    CHECK(this->take(fresh, burst / 4));
-    CHECK_FALSE(this->take(fresh, 1));
+    CHECK(this->try_send(fresh, burst / 4));
+    CHECK_FALSE(this->try_send(fresh, 1));
     usage_limiter strict = this->fresh_limiter({8s, 0, 0});
-    CHECK_FALSE(this->take(strict, 1));
+    CHECK_FALSE(this->try_send(strict, 1));
 }
 
 // An entry that starts anew hears of all that its peers let through since
 // their start, hours ago. None of it belongs into the window.
-TEST_CASE_FIXTURE(limiter_fixture, "history_of_peers_is_no_use_of_now")
+TEST_CASE_FIXTURE(limiter_fixture, "peer_history_not_counted_in_window")
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0.25, 0});
     const workspace_usage long_ago[] = {{planning, 5'000'000}};
@@ -138,44 +137,44 @@
                          long_ago,
                          false,
                          this->now);
-    CHECK(this->take(fresh, burst / 4));
+    CHECK(this->try_send(fresh, burst / 4));
 }
 
 // All entries are killed at once and start again a second later, in the middle
 // of a busy workspace's window. What they let through before is forgotten; with
 // the whole window given anew, it would have its limit twice.
-TEST_CASE_FIXTURE(limiter_fixture, "fresh_process_gives_no_second_window")
+TEST_CASE_FIXTURE(limiter_fixture, "new_process_admits_no_second_window")
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0, 0});
-    double let = 0;
+    double admitted = 0;
     for (int step = 0; step < 400; ++step) {
         this->now += 20ms;
-        let += this->take(fresh, 7) ? 7 : 0;
+        admitted += this->try_send(fresh, 7) ? 7 : 0;
         if (step == 0)
-            CHECK_FALSE(this->take(fresh, 200));
+            CHECK_FALSE(this->try_send(fresh, 200));
     }
     // The rate alone, for whoever was there before may have used the rest.
-    CHECK(let <= rate * window_seconds);
-    CHECK(let > 0.9 * rate * window_seconds);
+    CHECK(admitted <= rate * window_seconds);
+    CHECK(admitted > 0.9 * rate * window_seconds);
     this->now += 82s;
-    CHECK(this->take(fresh, 800));
+    CHECK(this->try_send(fresh, 800));
 }
 
 // All entries are killed in a busy workspace's window, and once more three
 // seconds later. Nobody remembers what was let through, and each time the fresh
 // ones have a part of the burst and the rate to give.
-TEST_CASE_FIXTURE(limiter_fixture, "limit_holds_when_all_are_killed_twice")
+TEST_CASE_FIXTURE(limiter_fixture, "all_entries_killed_twice_limit_holds")
 {
     constexpr double per_second = 100;
     constexpr double bound = 1.25 * per_second * (window_seconds + 1);
     const auto greedy = [&](usage_limiter& from, int steps) {
-        double let = 0;
+        double admitted = 0;
         for (int step = 0; step < steps; ++step) {
             this->now += 20ms;
-            while (this->take(from, 5))
-                let += 5;
+            while (this->try_send(from, 5))
+                admitted += 5;
         }
-        return let;
+        return admitted;
     };
     // The first ones begin with a whole burst, and are asked for all that they
     // give in the last moments before they are killed.
@@ -183,45 +182,45 @@
         CAPTURE(steps_before);
         this->limit_to(per_second, per_second);
         this->now += 60s;
-        double let = greedy(this->own, steps_before);
-        for (int life = 0; life < 2; ++life) {
+        double admitted = greedy(this->own, steps_before);
+        for (int incarnation = 0; incarnation < 2; ++incarnation) {
             usage_limiter fresh =
                 this->fresh_limiter({8s, 0.25, 0}, per_second, per_second);
-            let += greedy(fresh, steps_before < 400 ? 150 : 0);
+            admitted += greedy(fresh, steps_before < 400 ? 150 : 0);
         }
-        CHECK(let <= bound);
+        CHECK(admitted <= bound);
     }
 }
 
 // A busy workspace's requests wait two seconds for a place and are refused in
 // the end. Their cost is theirs to use again; but as their time leaves the
 // window it must not make room for a second time.
-TEST_CASE_FIXTURE(limiter_fixture, "cost_given_back_late_makes_room_once")
+TEST_CASE_FIXTURE(limiter_fixture, "cost_refunded_late_makes_room_once")
 {
     CHECK_FALSE(this->own.try_acquire(planning, 800, 0, this->now));
     this->now += 2s;
     this->own.refund_unsent(planning, 800, this->now);
-    CHECK(this->take(this->own, 800));
+    CHECK(this->try_send(this->own, 800));
     this->now += 7s;
-    double let = 0;
-    while (this->take(this->own, 10))
-        let += 10;
+    double admitted = 0;
+    while (this->try_send(this->own, 10))
+        admitted += 10;
     // The bucket's rate of seven seconds, and not the 800 as well.
-    CHECK(let <= 160);
+    CHECK(admitted <= 160);
 }
 
 // The operator's changes follow each other; each lowers the limit a little and
 // raises it again. A workspace in debt must not be given its burst each time.
-TEST_CASE_FIXTURE(limiter_fixture, "changes_in_quick_succession_forgive_once")
+TEST_CASE_FIXTURE(limiter_fixture, "repeated_limit_changes_admit_one_burst")
 {
-    double let = 0;
+    double admitted = 0;
     for (int change = 0; change < 10; ++change) {
         this->limit_to(change % 2 == 0 ? 0.9 * rate : rate);
-        while (this->take(this->own, 10))
-            let += 10;
+        while (this->try_send(this->own, 10))
+            admitted += 10;
         this->now += 300ms;
     }
-    CHECK(let <= rate * window_seconds + burst + 10);
+    CHECK(admitted <= rate * window_seconds + burst + 10);
 }
 
 // An entry has been behind a cut since its start. When the cut heals it hears
@@ -231,77 +230,82 @@
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0, 0});
     this->now += 90s;
-    const workspace_usage told[] = {{planning, 5'000'000, 0, 300}};
-    fresh.on_peer_report(
-        base::slot_id("peer"), base::incarnation{2}, told, false, this->now);
-    CHECK(this->take(fresh, 590));
-    CHECK_FALSE(this->take(fresh, 110));
+    const workspace_usage reported[] = {{planning, 5'000'000, 0, 300}};
+    fresh.on_peer_report(base::slot_id("peer"),
+                         base::incarnation{2},
+                         reported,
+                         false,
+                         this->now);
+    CHECK(this->try_send(fresh, 590));
+    CHECK_FALSE(this->try_send(fresh, 110));
 }
 
 // An entry restarts while a workspace has used up its window, two thirds of it
 // through this very entry. Its peers remember that, and it counts at once.
-TEST_CASE_FIXTURE(limiter_fixture, "fresh_process_learns_the_window_of_peers")
+TEST_CASE_FIXTURE(limiter_fixture,
+                  "new_process_counts_window_reported_by_peers")
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0.25, 0});
-    const workspace_usage told[] = {{planning, 300, 0, 300, {900}}};
-    fresh.on_peer_report(
-        base::slot_id("peer"), base::incarnation{2}, told, false, this->now);
-    CHECK_FALSE(this->take(fresh, 10));
+    const workspace_usage reported[] = {{planning, 300, 0, 300, {900}}};
+    fresh.on_peer_report(base::slot_id("peer"),
+                         base::incarnation{2},
+                         reported,
+                         false,
+                         this->now);
+    CHECK_FALSE(this->try_send(fresh, 10));
 }
 
 // A peer has requests that wait as it falls silent. Of what is left each side
 // uses its part, and theirs is part of the peer's.
 TEST_CASE_FIXTURE(limiter_fixture,
-                  "waiting_requests_of_a_silent_peer_are_its_own")
+                  "silent_peer_waiting_requests_count_to_its_share")
 {
-    this->hear_peer({{planning, 0, 400, 0}}, false);
+    this->receive_peer_report({{planning, 0, 400, 0}}, false);
     this->now += 500ms;
     this->own.update_silent_peers(this->now);
-    CHECK(this->take(this->own, 400));
-    CHECK_FALSE(this->take(this->own, 100));
+    CHECK(this->try_send(this->own, 400));
+    CHECK_FALSE(this->try_send(this->own, 100));
 }
 
 // An entry said that it stops, and is silent then: it uses nothing.
-TEST_CASE_FIXTURE(limiter_fixture,
-                  "peer_that_stopped_leaves_the_limit_to_others")
+TEST_CASE_FIXTURE(limiter_fixture, "stopped_peer_frees_its_share")
 {
-    this->hear_peer({{planning, 100, 0, 100}}, true);
+    this->receive_peer_report({{planning, 100, 0, 100}}, true);
     this->now += 500ms;
     this->own.update_silent_peers(this->now);
-    CHECK(this->take(this->own, 790));
+    CHECK(this->try_send(this->own, 790));
 }
 
 // An instance is lost for good. Its part of the limits is kept from the others
 // for half a minute, and not for ever.
-TEST_CASE_FIXTURE(limiter_fixture, "peer_lost_for_good_gives_its_part_back")
+TEST_CASE_FIXTURE(limiter_fixture, "lost_peer_share_freed_after_reservation")
 {
-    this->hear_peer({{planning, 100, 0, 100}}, false);
+    this->receive_peer_report({{planning, 100, 0, 100}}, false);
     this->now += 20s;
     this->own.update_silent_peers(this->now);
-    CHECK_FALSE(this->take(this->own, 800));
+    CHECK_FALSE(this->try_send(this->own, 800));
     this->now += 11s;
     this->own.update_silent_peers(this->now);
     // It had used all of the limit: the bucket is filled from then on.
     this->now += 82s;
-    CHECK(this->take(this->own, 800));
+    CHECK(this->try_send(this->own, 800));
 }
 
 // A peer's requests wait and are refused there: what they would have cost is
 // free again, though the peer has sent nothing meanwhile.
-TEST_CASE_FIXTURE(limiter_fixture,
-                  "waiting_requests_that_end_at_a_peer_are_free")
+TEST_CASE_FIXTURE(limiter_fixture, "peer_waiting_requests_end_cost_freed")
 {
-    this->hear_peer({{planning, 100, 700, 100}}, false);
-    CHECK_FALSE(this->take(this->own, 300));
-    this->hear_peer({{planning, 100, 0, 100}}, false);
-    CHECK(this->take(this->own, 300));
+    this->receive_peer_report({{planning, 100, 700, 100}}, false);
+    CHECK_FALSE(this->try_send(this->own, 300));
+    this->receive_peer_report({{planning, 100, 0, 100}}, false);
+    CHECK(this->try_send(this->own, 300));
 }
 
 // Of a workspace that was refused the log tells what the limit went by.
-TEST_CASE_FIXTURE(limiter_fixture, "view_of_a_limit_shows_what_it_goes_by")
+TEST_CASE_FIXTURE(limiter_fixture, "limit_status_shows_counted_usage")
 {
-    CHECK(this->take(this->own, 300));
-    this->hear_peer({{planning, 200, 50, 200}}, false);
+    CHECK(this->try_send(this->own, 300));
+    this->receive_peer_report({{planning, 200, 50, 200}}, false);
     const limit_status seen = this->own.status_of(planning, this->now);
     CHECK(seen.own_sent == 300);
     CHECK(seen.all_sent == 500);
@@ -315,12 +319,12 @@
 // Each comes back when it was told to, and is let through: told when there is
 // room for one of them, all but one would be refused again.
 TEST_CASE_FIXTURE(limiter_fixture,
-                  "refused_callers_come_back_when_there_is_room")
+                  "refused_callers_admitted_at_their_retry_times")
 {
     this->limit_to(100, 100);
     for (int step = 0; step < 900; ++step) {
         this->now += 10ms;
-        this->take(this->own, 2);
+        this->try_send(this->own, 2);
     }
     std::multimap<base::instant, double> returns;
     for (int caller = 0; caller < 10; ++caller) {
@@ -332,30 +336,28 @@
     int refused_again = 0;
     for (const auto& [at, cost] : returns) {
         this->now = at + 1ms;
-        refused_again += this->take(this->own, cost) ? 0 : 1;
+        refused_again += this->try_send(this->own, cost) ? 0 : 1;
     }
     CHECK(refused_again == 0);
 }
 
 // The bucket has a caller's cost sooner than the window has room for it. Told
 // the first of these times, it came back after 21 ms and was refused again.
-TEST_CASE_FIXTURE(limiter_fixture,
-                  "return_is_not_sooner_than_the_window_allows")
+TEST_CASE_FIXTURE(limiter_fixture, "retry_delay_covers_window_and_bucket")
 {
-    this->hear_peer({{planning, 5'000'000, 0, 850}}, false);
+    this->receive_peer_report({{planning, 5'000'000, 0, 850}}, false);
     const auto wait = this->own.try_acquire(planning, 102, 0, this->now);
     REQUIRE(wait);
     CHECK(*wait >= 7900ms);
     this->now += *wait + 1ms;
-    this->hear_peer({{planning, 5'000'000, 0, 0}}, false);
-    CHECK(this->take(this->own, 102));
+    this->receive_peer_report({{planning, 5'000'000, 0, 0}}, false);
+    CHECK(this->try_send(this->own, 102));
 }
 
 // Whatever was refused before, after a window all that is counted has left.
-TEST_CASE_FIXTURE(limiter_fixture,
-                  "nobody_is_told_to_wait_longer_than_a_window")
+TEST_CASE_FIXTURE(limiter_fixture, "retry_delay_at_most_one_window")
 {
-    CHECK(this->take(this->own, burst));
+    CHECK(this->try_send(this->own, burst));
     for (int caller = 0; caller < 500; ++caller) {
         const auto wait = this->own.try_acquire(planning, 50, 0, this->now);
         REQUIRE(wait);
--- a/src/greengagedrum/quota/usage_limiter.hpp
+++ b/src/greengagedrum/quota/usage_limiter.hpp
@@ -17,7 +17,7 @@
 
 #include <greengagedrum/base/ids.hpp>
 #include <greengagedrum/base/time.hpp>
-#include <greengagedrum/quota/absent_peers.hpp>
+#include <greengagedrum/quota/silent_peers.hpp>
 #include <greengagedrum/quota/workspace_limit.hpp>
 #include <greengagedrum/routing/configuration.hpp>
 
@@ -58,11 +58,11 @@
 {
 public:
     explicit usage_limiter(base::instant started)
-        : started(started), absent(started)
+        : started(started), silent_peer_shares(started)
     {
     }
 
-    void set_tolerance(const tolerance& given) { this->allowed = given; }
+    void set_tolerance(const tolerance& given) { this->tolerated = given; }
     // Forgets all that was counted, as a process does that starts now: others
     // counted for this entry meanwhile.
     void restart(base::instant now);
@@ -70,8 +70,8 @@
     // The same, and goes on with what another process knew of all entries when
     // it told so last: this one counts in its place.
     void take_over(base::slot_id former,
-                   base::incarnation life,
-                   std::span<const workspace_usage> uses,
+                   base::incarnation incarnation,
+                   std::span<const workspace_usage> usage,
                    base::instant now);
 
     void set_limits(const routing::configuration& config, base::instant now);
@@ -99,8 +99,8 @@
                         base::instant now);
 
     void on_peer_report(base::slot_id peer,
-                        base::incarnation life,
-                        std::span<const workspace_usage> uses,
+                        base::incarnation incarnation,
+                        std::span<const workspace_usage> usage,
                         bool stopping,
                         base::instant now);
 
@@ -130,44 +130,44 @@
                                         base::instant now) const;
 
 private:
-    struct peer_use {
+    struct peer_usage {
         double sent = 0;
         double waiting = 0;
     };
 
     struct peer_state {
-        base::incarnation life;
-        base::instant told_at;
+        base::incarnation incarnation;
+        base::instant reported_at;
         bool forgotten = false;
-        std::unordered_map<base::workspace_id, peer_use> uses;
+        std::unordered_map<base::workspace_id, peer_usage> usage;
     };
 
-    workspace_limit* find_limited(base::workspace_id workspace);
+    workspace_limit* find_limit(base::workspace_id workspace);
     limit_rules rules(base::instant now) const;
-    bool started_lately(base::instant now) const;
+    bool started_within_window(base::instant now) const;
     bool window_known(base::instant now) const;
-    workspace_usage use_of(base::workspace_id workspace,
-                           const workspace_limit& own,
-                           std::size_t parts,
-                           base::instant now) const;
-    std::vector<std::uint32_t> all_sent_in_window(const workspace_limit& own,
+    workspace_usage usage_of(base::workspace_id workspace,
+                             const workspace_limit& limit,
+                             std::size_t parts,
+                             base::instant now) const;
+    std::vector<std::uint32_t> all_sent_in_window(const workspace_limit& limit,
                                                   std::size_t parts,
                                                   base::instant now) const;
-    void count_peer(base::slot_id peer,
-                    peer_use& known,
-                    const workspace_usage& told,
-                    bool anew,
-                    base::instant now);
-    void learn_history(const workspace_usage& told, base::instant now);
-    void forget_waiting(peer_state& peer);
-    void drop_forgotten(base::instant now);
+    void count_peer_usage(base::slot_id peer,
+                          peer_usage& known,
+                          const workspace_usage& reported,
+                          bool first_report,
+                          base::instant now);
+    void merge_history(const workspace_usage& reported, base::instant now);
+    void drop_waiting(peer_state& peer);
+    void remove_forgotten(base::instant now);
 
     base::instant started;
     bool took_over = false; // what it knows of the window is another's
-    tolerance allowed;
+    tolerance tolerated;
     std::unordered_map<base::workspace_id, workspace_limit> limits;
     std::unordered_map<base::slot_id, peer_state> peers;
-    absent_peers absent;
+    silent_peers silent_peer_shares;
 };
 
 } // namespace greengagedrum::quota
--- a/src/greengagedrum/quota/window_sum.cpp
+++ b/src/greengagedrum/quota/window_sum.cpp
@@ -9,7 +9,7 @@
 {
 
 // Amounts this close are one part, so that a window holds 160 of them at most.
-constexpr base::duration counted_together = std::chrono::milliseconds(50);
+constexpr base::duration merge_interval = std::chrono::milliseconds(50);
 
 } // namespace
 
@@ -18,21 +18,21 @@
 void window_sum::add(double amount, base::instant now)
 {
     this->total += amount;
-    const bool together = !this->parts.empty() &&
-                          now - this->parts.back().begun < counted_together;
+    const bool together =
+        !this->parts.empty() && now - this->parts.back().first < merge_interval;
     if (!together)
         this->parts.push_back({now, now, 0});
     this->parts.back().amount += amount;
     this->parts.back().last = now;
 }
 
-void window_sum::add_earlier(double amount, base::instant at)
+void window_sum::add_at(double amount, base::instant at)
 {
     this->total += amount;
     const auto next =
         std::find_if(this->parts.begin(),
                      this->parts.end(),
-                     [&](const part& one) { return one.begun > at; });
+                     [&](const part& one) { return one.first > at; });
     this->parts.insert(next, {at, at, amount});
 }
 
@@ -49,7 +49,7 @@
     return out;
 }
 
-void window_sum::drop_old(base::duration window, base::instant now)
+void window_sum::drop_expired(base::duration window, base::instant now)
 {
     while (!this->parts.empty() && now - this->parts.front().last > window) {
         this->total -= this->parts.front().amount;
@@ -70,9 +70,9 @@
     return sum;
 }
 
-base::duration window_sum::until_left(double amount,
-                                      base::duration window,
-                                      base::instant now) const
+base::duration window_sum::time_until_left(double amount,
+                                           base::duration window,
+                                           base::instant now) const
 {
     for (const part& one : this->parts) {
         amount -= one.amount;
--- a/src/greengagedrum/quota/window_sum.hpp
+++ b/src/greengagedrum/quota/window_sum.hpp
@@ -15,8 +15,8 @@
 public:
     void add(double amount, base::instant now);
     // Of an earlier time, at the latest.
-    void add_earlier(double amount, base::instant at);
-    void drop_old(base::duration window, base::instant now);
+    void add_at(double amount, base::instant at);
+    void drop_expired(base::duration window, base::instant now);
 
     double sum() const { return this->total; }
     double sum_before(base::instant at) const;
@@ -27,12 +27,13 @@
 
     // How long until `amount` has left the window; the whole window when less
     // than that is in it.
-    base::duration
-    until_left(double amount, base::duration window, base::instant now) const;
+    base::duration time_until_left(double amount,
+                                   base::duration window,
+                                   base::instant now) const;
 
 private:
     struct part {
-        base::instant begun;
+        base::instant first;
         base::instant last;
         double amount = 0;
     };
--- a/src/greengagedrum/quota/workspace_limit.cpp
+++ b/src/greengagedrum/quota/workspace_limit.cpp
@@ -15,94 +15,98 @@
 
 // Parts of the tolerated slack and overshoot that a bucket may be overdrawn by.
 // The rest covers messages under way and processes that start.
-constexpr double slack_part = 0.25;
-constexpr double overshoot_part = 0.4;
+constexpr double bucket_slack_part = 0.25;
+constexpr double bucket_overshoot_part = 0.4;
 
 // A bucket follows what another process knew of the window in as many steps.
-constexpr std::size_t parts_followed = 32;
+constexpr std::size_t replay_steps = 32;
 
 // Beyond the limit, of the bucket: what more urgent requests ask for within
 // this time, and the most that is kept for them.
-constexpr base::duration kept_ahead = std::chrono::milliseconds(500);
-constexpr double kept_most = 0.5;
+constexpr base::duration reserved_time = std::chrono::milliseconds(500);
+constexpr double max_reserved_part = 0.5;
 
 // Of the cost of a more urgent request: next to nothing.
-constexpr double small_part = 0.05;
+constexpr double negligible_cost_ratio = 0.05;
 
 // Of the rate, for callers that an entry refused though it let through nothing.
-constexpr double least_share = 0.02;
+constexpr double min_own_share = 0.02;
 
 } // namespace
 
-workspace_limit::workspace_limit(const routing::usage_limit& limit,
-                                 const tolerance& allowed,
+workspace_limit::workspace_limit(const routing::usage_limit& published,
+                                 const tolerance& tolerated,
                                  base::instant now)
-    : limit(limit), level(std::min(1.0, allowed.overshoot) * limit.burst),
-      filled_at(now)
+    : published(published),
+      bucket_level(std::min(1.0, tolerated.overshoot) * published.burst),
+      refilled_at(now)
 {
 }
 
-double workspace_limit::pace(const limit_rules& rules) const
+double workspace_limit::refill_rate(const limit_rules& rules) const
 {
     if (!rules.window_known)
-        return this->limit.per_second;
-    return this->window_bound(rules) / seconds_of(rules.allowed.window);
+        return this->published.per_second;
+    return this->window_bound(rules) / seconds_of(rules.tolerated.window);
 }
 
 // What absent peers are assumed to use is not given out here.
-void workspace_limit::fill(const limit_rules& rules, base::instant now)
-{
-    const double part = 1 - this->absent.share;
-    const double filled = this->level + part * this->pace(rules) *
-                                            seconds_of(now - this->filled_at);
-    this->level = std::min(part * this->limit.burst, filled);
-    this->filled_at = now;
+void workspace_limit::refill(const limit_rules& rules, base::instant now)
+{
+    const double part = 1 - this->silent_usage.share;
+    const double filled =
+        this->bucket_level +
+        part * this->refill_rate(rules) * seconds_of(now - this->refilled_at);
+    this->bucket_level = std::min(part * this->published.burst, filled);
+    this->refilled_at = now;
 }
 
-void workspace_limit::restore(double amount,
-                              const limit_rules& rules,
-                              base::instant now)
+void workspace_limit::refund(double amount,
+                             const limit_rules& rules,
+                             base::instant now)
 {
-    this->fill(rules, now);
-    this->level = std::min(this->limit.burst, this->level + amount);
+    this->refill(rules, now);
+    this->bucket_level =
+        std::min(this->published.burst, this->bucket_level + amount);
 }
 
-void workspace_limit::follow_window(const limit_rules& rules, base::instant now)
+void workspace_limit::replay_window(const limit_rules& rules, base::instant now)
 {
     const std::vector<double> used =
-        this->recent.by_part(parts_followed, rules.allowed.window, now);
-    const double filled = this->window_bound(rules) / parts_followed;
-    this->level = this->limit.burst;
+        this->all_window.by_part(replay_steps, rules.tolerated.window, now);
+    const double filled = this->window_bound(rules) / replay_steps;
+    this->bucket_level = this->published.burst;
     std::for_each(used.rbegin(), used.rend(), [&](double part) {
-        this->level = std::min(this->limit.burst, this->level + filled) - part;
+        this->bucket_level =
+            std::min(this->published.burst, this->bucket_level + filled) - part;
     });
-    this->filled_at = now;
+    this->refilled_at = now;
 }
 
-void workspace_limit::drop_old(base::duration window, base::instant now)
+void workspace_limit::drop_expired(base::duration window, base::instant now)
 {
-    this->recent.drop_old(window, now);
-    this->own_recent.drop_old(window, now);
+    this->all_window.drop_expired(window, now);
+    this->own_window.drop_expired(window, now);
 }
 
-void workspace_limit::change(const routing::usage_limit& published,
-                             const limit_rules& rules,
-                             base::instant now)
+void workspace_limit::set_published(const routing::usage_limit& published,
+                                    const limit_rules& rules,
+                                    base::instant now)
 {
-    this->fill(rules, now);
-    const bool lowered = published.per_second < this->limit.per_second ||
-                         published.burst < this->limit.burst;
+    this->refill(rules, now);
+    const bool lowered = published.per_second < this->published.per_second ||
+                         published.burst < this->published.burst;
     if (lowered) {
         const double before = this->window_bound(rules);
-        this->earlier_bound = now < this->earlier_until
-                                  ? std::max(this->earlier_bound, before)
-                                  : before;
-        this->earlier_until = now + rules.allowed.window;
+        this->former_bound = now < this->former_bound_until
+                                 ? std::max(this->former_bound, before)
+                                 : before;
+        this->former_bound_until = now + rules.tolerated.window;
         // What was let through under the limit before is no debt.
-        this->level = std::max(this->level, 0.0);
+        this->bucket_level = std::max(this->bucket_level, 0.0);
     }
-    this->limit = published;
-    this->level = std::min(this->level, this->limit.burst);
+    this->published = published;
+    this->bucket_level = std::min(this->bucket_level, this->published.burst);
 }
 
 // A process that knows nothing of the window before its start has no margin:
@@ -111,34 +115,36 @@
 {
     if (!rules.window_known)
         return 0;
-    return slack_part * rules.allowed.slack +
-           overshoot_part * rules.allowed.overshoot * this->limit.burst;
+    return bucket_slack_part * rules.tolerated.slack +
+           bucket_overshoot_part * rules.tolerated.overshoot *
+               this->published.burst;
 }
 
 double workspace_limit::window_bound(const limit_rules& rules) const
 {
-    return this->limit.per_second * seconds_of(rules.allowed.window) +
-           this->limit.burst + this->margin(rules);
+    return this->published.per_second * seconds_of(rules.tolerated.window) +
+           this->published.burst + this->margin(rules);
 }
 
 // What a window of that bound still holds for this entry and those it hears. Of
 // what was left when the others fell silent only its part, since they may use
 // theirs at any moment.
-double workspace_limit::room(double bound) const
+double workspace_limit::window_room(double bound) const
 {
-    const double part = 1 - this->absent.share;
+    const double part = 1 - this->silent_usage.share;
     const double before =
-        part < 1 ? this->recent.sum_before(this->absent.since) : 0;
-    const double since =
-        this->recent.sum() - before + this->own_waiting + this->peers_waiting;
+        part < 1 ? this->all_window.sum_before(this->silent_usage.since) : 0;
+    const double since = this->all_window.sum() - before + this->own_waiting +
+                         this->peers_waiting;
     return part * (bound - before) - since;
 }
 
 double workspace_limit::own_share() const
 {
-    const double all = this->recent.sum();
-    return all > 0 ? std::clamp(this->own_recent.sum() / all, least_share, 1.0)
-                   : 1.0;
+    const double all = this->all_window.sum();
+    return all > 0
+               ? std::clamp(this->own_window.sum() / all, min_own_share, 1.0)
+               : 1.0;
 }
 
 // Failure guarded against: a workspace asks for several times its limit, and
@@ -150,41 +156,45 @@
                                                      base::instant now) const
 {
     const double share = this->own_share();
-    const double urgent_cost = this->demand.urgent_cost(priority, now);
-    if (this->demand.all(now) <= share * this->pace(rules) ||
-        cost <= small_part * urgent_cost)
+    const double higher_priority_cost =
+        this->demand.higher_priority_cost(priority, now);
+    if (this->demand.total_rate(now) <= share * this->refill_rate(rules) ||
+        cost <= negligible_cost_ratio * higher_priority_cost)
         return 0;
-    const double expected = this->demand.more_urgent(priority, now) / share *
-                            seconds_of(kept_ahead);
-    const double kept = std::min(kept_most * this->limit.burst, expected);
-    return this->demand.starved(priority, now) ? std::min(kept, urgent_cost)
-                                               : kept;
+    const double expected = this->demand.higher_priority_rate(priority, now) /
+                            share * seconds_of(reserved_time);
+    const double kept =
+        std::min(max_reserved_part * this->published.burst, expected);
+    return this->demand.is_starved(priority, now)
+               ? std::min(kept, higher_priority_cost)
+               : kept;
 }
 
-base::duration workspace_limit::until_allowed(double cost,
-                                              std::uint32_t priority,
-                                              const limit_rules& rules,
-                                              base::instant now) const
+base::duration workspace_limit::time_until_admitted(double cost,
+                                                    std::uint32_t priority,
+                                                    const limit_rules& rules,
+                                                    base::instant now) const
 {
-    const double part = 1 - this->absent.share;
+    const double part = 1 - this->silent_usage.share;
     const double wanted = cost + part * this->reserved_for_higher_priority(
                                             cost, priority, rules, now);
-    const double missing = wanted - this->level - part * this->margin(rules);
+    const double missing =
+        wanted - this->bucket_level - part * this->margin(rules);
     const double bound = this->window_bound(rules);
-    const double lacking = wanted - this->room(bound);
+    const double lacking = wanted - this->window_room(bound);
     // Failure guarded against: a limit is lowered and raised again and again,
     // or a process starts anew; the bucket then lets its burst through each
     // time. Whatever it says, the window under the highest limit lately holds.
-    const bool lowered_lately = now < this->earlier_until;
+    const bool lowered_recently = now < this->former_bound_until;
     const bool fits =
         lacking <= 0 ||
-        (lowered_lately && wanted <= this->room(this->earlier_bound));
+        (lowered_recently && wanted <= this->window_room(this->former_bound));
     if (missing <= 0 && fits)
         return base::duration{0};
     const base::duration left =
-        this->recent.until_left(lacking, rules.allowed.window, now);
+        this->all_window.time_until_left(lacking, rules.tolerated.window, now);
     const base::duration filled =
-        duration_of(std::max(0.0, missing) / this->pace(rules));
+        duration_of(std::max(0.0, missing) / this->refill_rate(rules));
     return fits ? filled : std::max(filled, left);
 }
 
@@ -193,15 +203,17 @@
 // is told the time after those before it, by the part of the rate that goes
 // through this entry. None waits for longer than a window: by then all that is
 // counted has left it.
-base::duration workspace_limit::promise_return(double cost,
+base::duration workspace_limit::schedule_retry(double cost,
                                                base::duration wait,
                                                base::duration window,
                                                base::instant now)
 {
-    const base::instant at = std::clamp(
-        this->promised_until, now + std::min(wait, window), now + window);
-    this->promised_until =
-        at + duration_of(cost / (this->own_share() * this->limit.per_second));
+    const base::instant at = std::clamp(this->retries_scheduled_until,
+                                        now + std::min(wait, window),
+                                        now + window);
+    this->retries_scheduled_until =
+        at +
+        duration_of(cost / (this->own_share() * this->published.per_second));
     return at - now;
 }
 
