--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -304,7 +304,7 @@
         this->result.kept_for_absent =
             std::max(this->result.kept_for_absent,
                      one->state.limiter.status_of(busy, this->fleet.time())
-                         .absent_share);
+                         .silent_share);
         for (const auto& [id, request] : this->works[number].requests) {
             const bool late = this->fleet.time() - request.arrived > 1s;
             this->result.unanswered += late ? 1 : 0;
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -74,7 +74,7 @@
                            {"sent", seen.all_sent},
                            {"waiting", seen.all_waiting},
                            {"bound", seen.window_bound},
-                           {"absent_share", seen.absent_share},
+                           {"absent_share", seen.silent_share},
                            {"window_known", seen.window_known},
                            {"retry_after_ms", to_milliseconds(retry_after)}});
 }
--- a/src/greengagedrum/quota/test/usage_limiter_test.cpp
+++ b/src/greengagedrum/quota/test/usage_limiter_test.cpp
@@ -311,7 +311,7 @@
     CHECK(seen.all_sent == 500);
     CHECK(seen.all_waiting == 50);
     CHECK(seen.window_bound == rate * window_seconds + burst);
-    CHECK(seen.absent_share == 0);
+    CHECK(seen.silent_share == 0);
     CHECK(seen.window_known);
 }
 
--- a/src/greengagedrum/quota/usage_limiter.cpp
+++ b/src/greengagedrum/quota/usage_limiter.cpp
@@ -287,7 +287,7 @@
     out.all_sent = limit.all_window.sum();
     out.all_waiting = limit.own_waiting + limit.peers_waiting;
     out.window_bound = limit.window_bound(this->rules(now));
-    out.absent_share = limit.silent_usage.share;
+    out.silent_share = limit.silent_usage.share;
     return out;
 }
 
--- a/src/greengagedrum/quota/usage_limiter.hpp
+++ b/src/greengagedrum/quota/usage_limiter.hpp
@@ -50,7 +50,7 @@
     double all_sent = 0;     // within the window, by all entries
     double all_waiting = 0;  // let through and not sent yet, by all entries
     double window_bound = 0; // what a window may hold
-    double absent_share = 0; // of the limit, kept for entries not heard
+    double silent_share = 0; // of the limit, kept for entries not heard
     bool window_known = false;
 };
 
