--- a/src/greengagedrum/routing/data_centre_constraint.hpp
+++ b/src/greengagedrum/routing/data_centre_constraint.hpp
@@ -1,7 +1,7 @@
 // The data centres that a request may run in.
 //
 // The operator names regions for a route, a workspace, or both; a request may
-// run where all of them allow it.
+// run in a data centre whose region both of them allow.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -14,18 +14,18 @@
 namespace greengagedrum::routing
 {
 
-// The region of each data centre, by their names.
+// Names of data centres, with the names of their regions.
 using region_map = std::map<std::string, std::string>;
 
 struct data_centre_constraint {
-    bool restricted = false; // else anywhere
+    bool restricted = false; // if false, all data centres are allowed
     std::vector<base::data_centre_id> data_centres;
 
     bool allows(base::data_centre_id data_centre) const;
 };
 
 // `owner`: null for a request without a workspace. A data centre whose region
-// is not known is no home.
+// isn't known is not allowed.
 data_centre_constraint data_centre_constraint_of(const route& matched_route,
                                                  const workspace* owner,
                                                  const region_map& regions);
--- a/src/greengagedrum/routing/route_table.cpp
+++ b/src/greengagedrum/routing/route_table.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// A host can't hold a slash, so host and prefix joined are unambiguous.
+// A host can't contain a slash, so the joined key is unambiguous.
 std::string prefix_key(std::string_view host, std::string_view prefix)
 {
     std::string key(host);
--- a/src/greengagedrum/routing/store_item.hpp
+++ b/src/greengagedrum/routing/store_item.hpp
@@ -1,5 +1,5 @@
-// One item of the store as it is passed between entries: its meaning is known
-// to the platform's adapter alone.
+// An item of the store as entries pass it on. Only the platform's adapter knows
+// its meaning.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 struct store_item {
     std::string key;
     std::string value;
-    std::uint64_t revision = 0; // of its last change
+    std::uint64_t revision = 0; // of the last change
     bool removed = false;
 };
 
--- a/src/greengagedrum/routing/test/routing_test.cpp
+++ b/src/greengagedrum/routing/test/routing_test.cpp
@@ -1,4 +1,4 @@
-// Which route, workspace and upstream a request may have.
+// Lookup of routes, workspaces and upstreams.
 #include <greengagedrum/routing/data_centre_constraint.hpp>
 #include <greengagedrum/routing/route_table.hpp>
 #include <greengagedrum/routing/upstream_directory.hpp>
@@ -102,9 +102,9 @@
     CHECK(table.find_route("YARD.example:8080", "/x")->host == "yard.example");
 }
 
-// Every workspace was given priority 1, meant to order workspaces among each
-// other. Taken in place of the route's, it made dossiers wait behind shift
-// notes in each burst.
+// An operator gives every workspace priority 1, to order workspaces among each
+// other. If that replaced the routes' priorities, dossiers would queue behind
+// shift notes in every burst.
 TEST_CASE_FIXTURE(table_fixture,
                   "workspaces_of_equal_priority_ordered_by_route")
 {
@@ -136,8 +136,8 @@
     CHECK(route_table::pick_target(from, 0.999999).service_name == "desk");
 }
 
-// An upstream says that it leaves; a report of it from before is written late.
-// Believed, it would bring work to an upstream that is about to go.
+// An upstream announces that it leaves, and an earlier report is written late.
+// If that report counted, the upstream would get requests just before it ends.
 TEST_CASE("leaving_upstream_reports_late_stays_unusable")
 {
     upstream_directory directory;
@@ -161,8 +161,9 @@
     CHECK(directory.update(upstream_at("i-1", 8)) == upstream_change::joined);
 }
 
-// An upstream crashes and starts again under its name. What was learnt of it
-// before (it hung, it was slow, six requests run there) is not true of it now.
+// An upstream crashes and restarts under its name. What is known of the old
+// incarnation (it hung, it was slow, six requests run on it) must not count for
+// the new one.
 TEST_CASE("restarted_upstream_has_a_new_id")
 {
     upstream_directory directory;
@@ -177,7 +178,8 @@
     CHECK(directory.usable_count() == 1);
 }
 
-// It said that it leaves, ended, and starts again: the new one is to get work.
+// An upstream announced that it leaves, ended, and starts again. The new
+// incarnation must get requests.
 TEST_CASE("upstream_that_left_returns_as_new_incarnation")
 {
     upstream_directory directory;
@@ -187,13 +189,14 @@
     CHECK(directory.update(incarnation_at(1'000, 6)) == upstream_change::none);
     CHECK(directory.update(incarnation_at(2'000, 8)) ==
           upstream_change::joined);
-    // A last report of the life before, written late.
+    // The last report of the old incarnation, written late.
     CHECK(directory.update(incarnation_at(1'000, 9)) == upstream_change::none);
     CHECK(directory.find_usable(incarnation_at(2'000, 8).id) != nullptr);
 }
 
-// News of three lives, their leaving and a removal come from the store and from
-// peers, in any order and some of them twice. All entries end with the same.
+// Updates of three incarnations, their leaving and a removal come from the
+// store and from peers, in any order and some of them twice. All entries must
+// end in the same state.
 TEST_CASE("updates_in_any_order_end_in_same_state")
 {
     std::mt19937_64 random(7);
@@ -234,8 +237,9 @@
     }
 }
 
-// The store was away for longer than the upstreams' leases. On its return all
-// entries are gone, though their upstreams live and report within two seconds.
+// An outage of the store outlasts the upstreams' leases. When the store
+// returns, all items have expired, though the upstreams are alive and report
+// within two seconds.
 TEST_CASE("item_expired_in_outage_removed_after_keep_until")
 {
     upstream_directory directory;
@@ -253,8 +257,8 @@
     CHECK(directory.usable_count() == 1);
 }
 
-// Another service answers at the address of an upstream that is gone. It gets
-// nothing more until it is published anew.
+// Another service answers at the address of an upstream that has ended. That
+// service must get no further requests until the upstream is published again.
 TEST_CASE("misdirected_upstream_unusable_until_published")
 {
     upstream_directory directory;
@@ -265,7 +269,7 @@
     CHECK(directory.update(upstream_at("i-1", 6)) == upstream_change::joined);
 }
 
-// Where route and workspace both name regions, both bind.
+// If both the route and the workspace name regions, both restrict.
 TEST_CASE("regions_of_route_and_workspace_both_restrict")
 {
     const region_map regions = {{"hall", "west"},
@@ -292,7 +296,7 @@
     owner.regions = {"nowhere"};
     CHECK_FALSE(
         data_centre_constraint_of(matched_route, &owner, regions).allows(quay));
-    // A data centre that the settings don't name is no home.
+    // A data centre that the settings don't name is not allowed.
     CHECK_FALSE(data_centre_constraint_of(matched_route, nullptr, regions)
                     .allows(base::data_centre_id("new")));
 }
--- a/src/greengagedrum/routing/upstream_directory.cpp
+++ b/src/greengagedrum/routing/upstream_directory.cpp
@@ -47,11 +47,13 @@
            !this->evacuated_data_centres.contains(record.published.data_centre);
 }
 
-// Nothing here depends on the order in which entries and removals come: of the
-// newest life the highest revision counts, if it is above that of any removal.
+// The result does not depend on the order of updates and removals: of the
+// newest incarnation, the highest revision counts, if it is above the revision
+// of every removal.
 //
-// Failures guarded against: a report of an older life, or one from before a
-// life said that it leaves, is written late and has the highest revision.
+// Failures guarded against: a report of an older incarnation, or one from
+// before an incarnation announced that it leaves, is written late and has the
+// highest revision.
 void upstream_directory::apply(upstream_record& record,
                                const published_upstream& published)
 {
@@ -94,8 +96,8 @@
     return updated ? upstream_change::updated : upstream_change::none;
 }
 
-// Remembered also of an unknown one, so that older news of it from a peer finds
-// it gone.
+// A removal of an unknown upstream is recorded too, so that an older update
+// from a peer does not add it.
 upstream_change
 upstream_directory::remove(std::string_view name,
                            std::uint64_t revision,
--- a/src/greengagedrum/routing/upstream_directory.hpp
+++ b/src/greengagedrum/routing/upstream_directory.hpp
@@ -1,17 +1,18 @@
-// Which upstreams exist and may be given work, as published in the store.
+// The upstreams that exist, as published in the store, and which of them may be
+// given requests.
 //
-// It keeps the newest thing known of each upstream by the store's revision, so
-// that news may come in any order, twice, from the store or from peers, and
-// never takes anything back.
+// For each upstream the newest state by the store's revision is kept. So
+// updates may come in any order, repeatedly, from the store or from peers, and
+// an older one never replaces a newer one.
 //
-// An upstream may start again under its name. Each of its lives, told by when
-// it was started, is an upstream of its own for all who send to it: it
-// has another id, so that nothing learnt of one life (by this entry or told by
-// a peer) counts for another. What was published by an older life never
-// replaces a newer one, and a life that said it leaves never returns.
+// An upstream may restart under its name. Each incarnation, identified by its
+// start time, has its own id and counts as an upstream of its own, so that
+// nothing known of one incarnation (from this entry or from peers) is applied
+// to another. An older incarnation's update never replaces a newer one's, and
+// an incarnation that announced that it leaves never returns.
 //
-// Upstreams of an evacuated data centre stay known and may be given no work
-// until their data centre is taken back.
+// Upstreams of an evacuated data centre stay known, but are given no requests
+// until the evacuation ends.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -32,69 +33,73 @@
 
 struct published_upstream {
     std::string name;
-    base::upstream_id id; // of this life, see incarnation_id()
-    std::optional<std::uint64_t>
-        started_unix_ms; // Unix milliseconds, by its own clock
+    base::upstream_id id; // of this incarnation, see incarnation_id()
+    // Start time by the upstream's own clock.
+    std::optional<std::uint64_t> started_unix_ms;
     base::upstream_class_id service;
     base::ip_endpoint address;
     std::string data_centre;
     std::uint32_t slots = 1;
     bool leaving = false;
-    base::duration warmup{0};   // how much longer it is cold
-    std::uint64_t revision = 0; // the store's
+    base::duration warmup{0};   // remaining time for which it is cold
+    std::uint64_t revision = 0; // of the store
 };
 
-// One life of an upstream; without `started_unix_ms` a name has a single one.
+// The id of one incarnation of an upstream. Without a start time a name has a
+// single incarnation.
 base::upstream_id incarnation_id(std::string_view name,
                                  std::optional<std::uint64_t> started_unix_ms);
 
 enum class upstream_change : std::uint8_t {
     none,
     joined,
-    updated,   // address, slots, service, or how long it stays cold
-    left,      // leaving, or no longer published
-    restarted, // the life before is over, another one joined
+    updated,   // address, slots, service or warm-up time
+    left,      // leaving, removed or expired
+    restarted, // a new incarnation replaces the old one
 };
 
 class upstream_directory
 {
 public:
-    // Takes one published entry.
+    // Applies a published upstream.
     upstream_change update(const published_upstream& published);
 
-    // The entry was removed at that revision. While the store was away, or
-    // for a while after, it may only have lapsed: its upstream is then kept
-    // until `lapse_bound`.
+    // Removes the upstream, as of that revision. During an outage of the store
+    // and for a while after it, the item may only have expired: with
+    // `keep_until` the upstream is kept until then, unless it is published
+    // again.
     //
     // Failure guarded against: an outage of the store outlasts the leases of
-    // all entries; with its return every upstream would be gone at once, and
-    // requests fail until each has reported again.
+    // all items. On its return all upstreams would be removed at once, and
+    // requests would fail until each upstream has reported again.
     upstream_change remove(std::string_view name,
                            std::uint64_t revision,
                            std::optional<base::instant> keep_until);
 
-    // Something else answers at its address: gone until published anew.
+    // Another process answers at the upstream's address: removes the upstream
+    // until it is published again.
     upstream_change mark_misdirected(base::upstream_id id);
 
-    // Takes out those whose lapse bound has passed; appends their names.
+    // Removes the upstreams that were kept until `now` or earlier; appends
+    // their names to `removed_names`.
     void remove_expired(base::instant now,
                         std::vector<std::string>& removed_names);
 
-    // The life of that name that was published last; none while unknown.
+    // The incarnation of that name that was published last; none if the name is
+    // unknown.
     std::optional<base::upstream_id>
     latest_incarnation(std::string_view name) const;
 
-    // Null when that incarnation is gone, leaving or evacuated.
+    // Null if that incarnation is removed, leaving or evacuated.
     const published_upstream* find_usable(base::upstream_id id) const;
 
-    // Null when that incarnation is gone or leaving.
+    // Null if that incarnation is removed or leaving.
     const published_upstream* find_alive(base::upstream_id id) const;
 
-    // Returns the upstreams that may be given work because of it, or may no
-    // longer be.
+    // Returns the upstreams that become usable, or cease to be, by this change.
     std::vector<published_upstream>
     set_evacuated(const std::string& data_centre, bool evacuated);
-    // Data centres, by name.
+    // Names of data centres.
     const std::set<std::string>& evacuated() const
     {
         return this->evacuated_data_centres;
@@ -107,13 +112,13 @@
 
 private:
     struct upstream_record {
-        published_upstream published; // of the newest life published
+        published_upstream published; // of the newest incarnation
         bool removed = true;
         std::optional<base::instant> expires_at;
         std::uint64_t removal_revision = 0; // revision of the last removal
         std::optional<std::uint64_t> newest_start_unix_ms;
-        std::optional<base::upstream_id>
-            leaving_incarnation; // that said it leaves
+        // Announced that it leaves.
+        std::optional<base::upstream_id> leaving_incarnation;
     };
 
     static bool is_alive(const upstream_record& record);
@@ -122,8 +127,8 @@
     void apply(upstream_record& record, const published_upstream& published);
 
     std::unordered_map<std::string, upstream_record> records; // by name
-    bool any_may_expire = false; // else there is nothing to look for
-    // Of each name's last life.
+    bool any_may_expire = false; // false: no record has an expiry time
+    // The name of each published incarnation.
     std::unordered_map<base::upstream_id, std::string> names_by_id;
     std::set<std::string> evacuated_data_centres;
 };
