--- a/src/greengagedrum/quarantine/crash_record.cpp
+++ b/src/greengagedrum/quarantine/crash_record.cpp
@@ -8,18 +8,20 @@
 namespace
 {
 
-// Crashes of one request that are kept.
+// Crashes that are kept for one request; the oldest is dropped first.
 constexpr std::size_t max_crashes = 8;
 
-// From the last crash to the next trial: ten times as long after each crash.
+// Delay from the last crash to the next trial: ten times as long after each
+// further crash.
 constexpr base::duration first_trial_delay = std::chrono::seconds(60);
 constexpr base::duration max_trial_delay = std::chrono::hours(24);
 constexpr std::int64_t trial_delay_factor = 10;
-// For so long a trial is waited for before there may be another.
+// A trial that has not ended after this time no longer blocks another one.
 constexpr base::duration trial_timeout = std::chrono::seconds(30);
 
-// Ages are read a message's way later than they were written: what is later by
-// less than this is no news.
+// Ages are relative to the time of sending and are read one network delay
+// later. A time that is later than the known one by less than this counts as
+// the same time, so that it isn't reported again.
 constexpr base::duration age_tolerance = std::chrono::milliseconds(400);
 
 base::duration trial_delay_after(std::size_t crashes)
@@ -30,7 +32,7 @@
     return out;
 }
 
-// True when it was later than what is known.
+// Returns true if the received time is later than the known one.
 bool update_if_later(std::optional<base::instant>& known,
                      const std::optional<base::duration>& age,
                      base::instant now)
@@ -58,8 +60,6 @@
     return "unknown";
 }
 
-// ---- Standing -------------------------------------------------------------
-
 std::size_t crash_record::crash_count() const
 {
     const auto counts = [this](const auto& one) {
@@ -103,8 +103,6 @@
                : quarantine_state::trial_due;
 }
 
-// ---- Changes ----------------------------------------------------------------
-
 bool crash_record::add(base::upstream_id upstream,
                        base::instant at,
                        bool confirmed)
@@ -154,8 +152,8 @@
     return answer || trial;
 }
 
-// Of crashes those that were confirmed: connections that were reset would be
-// taken for one by all.
+// Only confirmed crashes are reported: a connection that was merely reset would
+// be counted as a crash by all peers.
 suspect_report crash_record::make_report(const base::request_digest& request,
                                          base::instant now) const
 {
--- a/src/greengagedrum/quarantine/messages.hpp
+++ b/src/greengagedrum/quarantine/messages.hpp
@@ -1,4 +1,4 @@
-// What entries tell each other of requests under which upstreams ended.
+// What entries report to each other of requests that may crash upstreams.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -13,15 +13,15 @@
 namespace greengagedrum::quarantine
 {
 
-// An incarnation of an upstream whose connection was lost while it ran the
-// request.
+// One incarnation of an upstream whose connection was lost while the request
+// was running on it.
 struct reported_crash {
     base::upstream_id upstream;
     base::duration age{0};
 };
 
-// All that the sender knows of one request. Receivers merge it: crashes by
-// upstream, times by the latest, so that nothing is counted twice.
+// All that the sender knows of one request. Receivers merge it, crashes by
+// upstream and times by the latest, so that nothing is counted twice.
 struct suspect_report {
     base::request_digest request;
     base::workspace_id workspace;
@@ -32,14 +32,14 @@
 
 enum class quarantine_state : std::uint8_t {
     clear,
-    suspected,   // one upstream ended under it: one copy at a time
-    trial_due,   // one copy may be sent, to see whether it is sound by now
-    quarantined, // not sent
+    suspected,   // one crash: one copy runs at a time
+    trial_due,   // quarantined, but one copy may be sent to test it
+    quarantined, // refused
 };
 
 std::string_view to_string(quarantine_state what);
 
-// The quarantine state of a request has changed; for the log.
+// The new state of a request, for the log.
 struct quarantine_state_change {
     base::request_digest request;
     base::workspace_id workspace;
--- a/src/greengagedrum/quarantine/recent_answers.hpp
+++ b/src/greengagedrum/quarantine/recent_answers.hpp
@@ -1,5 +1,5 @@
-// The requests that were answered last, for as long as an answer speaks for
-// its request; a bounded number of them.
+// The times of the last answers, by request. Bounded: the oldest is dropped
+// first, so an answer may be forgotten before `answer_validity` has passed.
 #pragma once
 
 #include <greengagedrum/base/request_digest.hpp>
@@ -18,7 +18,7 @@
 public:
     void add(const base::request_digest& request, base::instant now);
 
-    // The last one's time, while it is known.
+    // The time of the request's last answer; none if it isn't known any more.
     std::optional<base::instant>
     last_answer(const base::request_digest& request) const;
 
--- a/src/greengagedrum/quarantine/suspect_table.cpp
+++ b/src/greengagedrum/quarantine/suspect_table.cpp
@@ -10,10 +10,11 @@
 namespace
 {
 
-// What an upstream wrote before its end may be read so much later.
+// Bytes that an upstream wrote before it ended may be read up to this much
+// later.
 constexpr base::duration late_read_margin = std::chrono::milliseconds(100);
 
-// Records that nothing was added to for so long are dropped.
+// Records are dropped this long after their last crash or change.
 constexpr base::duration suspect_retention = std::chrono::minutes(10);
 constexpr base::duration quarantine_retention = std::chrono::hours(48);
 constexpr base::duration cleanup_interval = std::chrono::seconds(1);
@@ -21,7 +22,8 @@
 constexpr std::size_t max_records = 2048;
 constexpr std::size_t max_records_per_workspace = max_records / 4;
 
-// A change is sent for so long, some messages to each peer.
+// A change is part of every message for this long, so that each peer gets it
+// several times.
 constexpr base::duration report_period = std::chrono::milliseconds(400);
 constexpr std::size_t max_recent_reports = 16;
 constexpr std::size_t quarantined_per_round = 8;
@@ -29,9 +31,8 @@
 
 } // namespace
 
-// ---- Standing -------------------------------------------------------------
-
-// Entries may make their trial one after the other.
+// Spreads the trials of the entries over time: each entry has its own jitter
+// for a request.
 double suspect_table::trial_jitter(const base::request_digest& request) const
 {
     constexpr std::uint64_t steps = 1024;
@@ -76,8 +77,6 @@
                        record.crashes.crash_count()});
 }
 
-// ---- What this entry sees ---------------------------------------------------
-
 suspect_table::changes
 suspect_table::on_crash(const base::request_digest& request,
                         base::workspace_id workspace,
@@ -150,7 +149,7 @@
     return this->on_upstream_reachable(upstream, now);
 }
 
-// Its connections were reset, no more.
+// The connections were reset, but the upstream is alive.
 suspect_table::changes
 suspect_table::on_upstream_reachable(base::upstream_id upstream,
                                      base::instant now)
@@ -168,8 +167,6 @@
         now, [&](crash_record& crashes) { return crashes.confirm(upstream); });
 }
 
-// ---- What peers see ---------------------------------------------------------
-
 std::vector<suspect_report>
 suspect_table::collect_reports(base::instant now, bool include_unchanged)
 {
@@ -247,8 +244,8 @@
     return changed;
 }
 
-// In a full table what a peer repeats of single crashes would only replace one
-// another.
+// In a full table, reports of single crashes would only evict each other again
+// and again.
 bool suspect_table::may_record(const suspect_report& received) const
 {
     if (received.crashes.size() >= quarantine_threshold ||
@@ -260,8 +257,6 @@
             record->second < max_records_per_workspace);
 }
 
-// ---- Bounds -----------------------------------------------------------------
-
 suspect_table::request_record&
 suspect_table::find_or_add(const base::request_digest& request,
                            base::workspace_id workspace)
@@ -294,7 +289,8 @@
     this->evict_least_suspect(largest->first);
 }
 
-// The one with the fewest crashes, the oldest of these.
+// Evicts the workspace's record with the fewest crashes; of several, the one
+// whose last crash is the oldest.
 void suspect_table::evict_least_suspect(base::workspace_id workspace)
 {
     auto least = this->records.end();
--- a/src/greengagedrum/quarantine/suspect_table.hpp
+++ b/src/greengagedrum/quarantine/suspect_table.hpp
@@ -1,15 +1,15 @@
-// Requests under which upstreams ended, and which of them are not to be sent
-// any more (a query of death, a poison message).
+// Requests that upstreams crashed while running (poison messages), and which of
+// them are quarantined, that is, not sent any more.
 //
-// A request is known by its digest, so that it is recognised when it comes
-// again as another attempt, here or at a peer. One that lost its connection to
-// two incarnations of upstreams, and was answered by none, is quarantined.
-// After a pause that grows with each further crash one copy is sent as a trial.
-// An answer of the same request, from any upstream, clears it; an upstream that
-// turns out to live has not crashed. Peers are sent a crash once its upstream
-// was seen to be gone.
+// A request is identified by its digest, so that it is recognised in another
+// attempt, here or at a peer. A request is quarantined once it lost its
+// connection to two incarnations of upstreams and was answered by none. After a
+// delay that grows with each further crash, one copy is sent as a trial. An
+// answer of the same request from any upstream clears it, and an upstream that
+// turns out to be alive has not crashed. A crash is reported to peers once its
+// upstream is known to have ended.
 //
-// Bounded: the records of one workspace can't push out those of others.
+// Bounded: the records of one workspace can't evict those of others.
 #pragma once
 
 #include <greengagedrum/quarantine/crash_record.hpp>
@@ -29,46 +29,47 @@
 public:
     using changes = std::vector<quarantine_state_change>;
 
-    // `salt` differs between entries, so that their trials don't coincide.
+    // `salt` differs between entries and spreads their trials over time.
     explicit suspect_table(std::uint64_t salt) : salt(salt) {}
 
     quarantine_state state_of(const base::request_digest& request,
                               base::instant now) const;
-    // Until a trial may be made; zero for what is not quarantined.
+    // Zero if the request isn't quarantined; else one second at least.
     base::duration time_until_trial(const base::request_digest& request,
                                     base::instant now) const;
 
-    // ---- What this entry sees, and whose quarantine state changes by it
+    // `changes` lists the requests whose state a call changed.
 
     changes on_crash(const base::request_digest& request,
                      base::workspace_id workspace,
                      base::upstream_id upstream,
                      base::instant now);
-    // It was answered, whatever the answer says, or an operator released it.
+    // The request was answered, with any status, or an operator released it.
     changes clear_suspicion(const base::request_digest& request,
                             base::instant now);
-    // A copy of it is sent; a trial, if one is due.
+    // A copy of the request is sent; if a trial is due, that copy is the trial.
     void on_sent(const base::request_digest& request, base::instant now);
-    // An upstream has answered something.
+    // The upstream has answered any request.
     changes on_upstream_answered(base::upstream_id upstream, base::instant now);
-    // After its connections were lost it takes new ones, or does not.
+    // After connections to the upstream were lost, a new connection to it
+    // succeeded, or failed.
     changes on_upstream_reachable(base::upstream_id upstream,
                                   base::instant now);
     changes on_upstream_gone(base::upstream_id upstream, base::instant now);
 
-    // ---- What peers see
-
-    // What is new, and beside it, with `rest`, a part of all else by turns.
+    // Recent changes; with `include_unchanged` also a bounded number of all
+    // other records, round robin over successive calls.
     std::vector<suspect_report> collect_reports(base::instant now,
                                                 bool include_unchanged);
     changes merge(std::span<const suspect_report> received, base::instant now);
 
-    // Drops what has lapsed.
+    // Drops records whose retention time has passed.
     void remove_expired(base::instant now);
 
     bool empty() const { return this->records.empty(); }
     std::size_t size() const { return this->records.size(); }
-    // Those that crashed too many upstreams, for metrics and operators.
+    // All requests with enough crashes to be quarantined, also those whose
+    // trial is due; for metrics and operators.
     changes list_quarantined(base::instant now) const;
 
 private:
@@ -88,7 +89,7 @@
                    const suspect_report& received,
                    base::instant now);
     double trial_jitter(const base::request_digest& request) const;
-    // Adds the quarantine state to `out` if it differs from `before`.
+    // Appends the new state to `out` if it differs from `before`.
     void append_if_changed(const base::request_digest& request,
                            const request_record& record,
                            quarantine_state before,
@@ -106,11 +107,12 @@
     base::instant cleaned_up_at;
     record_map records;
     std::map<base::workspace_id, std::size_t> record_counts;
-    // Upstreams counted as crashed, and those that turned out to live.
+    // Upstreams counted as crashed, and those that turned out to be alive
+    // since.
     std::unordered_map<base::upstream_id, base::instant> presumed_gone;
     std::unordered_map<base::upstream_id, base::instant> known_alive;
     recent_answers answers;
-    // Where the reports by turns go on.
+    // The records at which the last round-robin reports ended.
     base::request_digest last_reported_quarantined;
     base::request_digest last_reported_other;
 };
--- a/src/greengagedrum/quarantine/test/suspect_table_test.cpp
+++ b/src/greengagedrum/quarantine/test/suspect_table_test.cpp
@@ -85,7 +85,7 @@
     CHECK(this->table.list_quarantined(this->now).size() == 1);
 }
 
-// Two requests that broke with one upstream are two sights of one crash.
+// Two requests that were lost with one upstream report the same crash.
 TEST_CASE_FIXTURE(table_fixture,
                   "request_lost_twice_on_one_incarnation_counted_once")
 {
@@ -103,7 +103,8 @@
     CHECK(this->is() == quarantine_state::clear);
 }
 
-// A body that many callers send runs on each upstream that ever crashes.
+// A request that many callers send is running on every upstream that ever
+// crashes, whatever the cause.
 TEST_CASE_FIXTURE(table_fixture, "request_answered_recently_not_suspected")
 {
     this->table.clear_suspicion(this->request, this->now);
@@ -115,15 +116,15 @@
     CHECK(this->crash(this->request, 3).size() == 1);
 }
 
-// Connections that are reset look like a crash until their upstream answers.
+// Reset connections look like a crash until the upstream answers.
 TEST_CASE_FIXTURE(table_fixture, "upstream_answers_its_crash_retracted")
 {
     this->quarantine();
     const std::vector<suspect_report> reports =
         this->table.collect_reports(this->now, false);
     this->table.on_upstream_answered(this->upstream(1), this->now + 50ms);
-    CHECK(this->is() ==
-          quarantine_state::quarantined); // written before its end
+    // May be written before the crash.
+    CHECK(this->is() == quarantine_state::quarantined);
     this->table.on_upstream_answered(this->upstream(1), this->now + 150ms);
     CHECK(this->is() == quarantine_state::suspected);
     this->now += 200ms;
@@ -131,7 +132,7 @@
     CHECK(this->is() == quarantine_state::suspected);
 }
 
-// Connections that were reset are no crash, at once and for all entries.
+// A new connection shows at once that the upstream did not crash.
 TEST_CASE_FIXTURE(table_fixture, "upstream_accepts_connection_crash_retracted")
 {
     for (const int number : {1, 2})
@@ -216,7 +217,8 @@
     CHECK(this->table.list_quarantined(this->now).front().crashes == 2);
 }
 
-// Two entries repeat to each other what they know: it is no news to either.
+// Two entries that repeat known crashes to each other must not take them for
+// changes.
 TEST_CASE_FIXTURE(table_fixture, "report_of_known_crashes_not_repeated")
 {
     this->quarantine();
@@ -237,7 +239,7 @@
     CHECK(this->is() == quarantine_state::clear);
 }
 
-// A peer has answered the same request, and hears that it is suspected.
+// A peer that has answered the request is told that it is quarantined.
 TEST_CASE_FIXTURE(table_fixture,
                   "suspicion_reported_to_peer_that_answered_cleared")
 {
@@ -249,7 +251,8 @@
     CHECK(this->is() == quarantine_state::clear);
 }
 
-// A process that starts anew learns what is no longer news to the others.
+// A process that has just started is told of old records, which are no longer
+// part of the recent changes.
 TEST_CASE_FIXTURE(table_fixture,
                   "old_records_reported_round_robin_to_a_new_entry")
 {
@@ -267,7 +270,8 @@
     CHECK(this->peer.size() == 41);
 }
 
-// One workspace sends thousands of different requests that crash upstreams.
+// One workspace sends thousands of different requests that crash upstreams. Its
+// records must not evict those of others.
 TEST_CASE_FIXTURE(table_fixture, "records_of_one_workspace_do_not_evict_others")
 {
     this->quarantine();
