--- a/src/greengagedrum/quota/decaying_rate.hpp
+++ b/src/greengagedrum/quota/decaying_rate.hpp
@@ -1,4 +1,5 @@
-// How much passes a second lately: each amount fades over `memory`.
+// An exponentially decaying average rate, with the time constant
+// `time_constant_s`.
 #pragma once
 
 #include <greengagedrum/base/time.hpp>
@@ -24,8 +25,8 @@
     }
 
 private:
-    // Seconds. Long enough that a dozen requests of several thousand tokens
-    // each weigh alike, short enough that a caller's burst shows.
+    // Seconds. A dozen requests of several thousand tokens each weigh about
+    // alike, and a caller's burst still shows.
     static constexpr double time_constant_s = 4;
 
     double decayed_sum(base::instant now) const
--- a/src/greengagedrum/quota/peer_usage.cpp
+++ b/src/greengagedrum/quota/peer_usage.cpp
@@ -1,5 +1,5 @@
-// What peers tell a limiter of their uses, and what it keeps of those that are
-// gone.
+// How a limiter counts what its peers report, and what it keeps of peers that
+// have ended.
 #include <greengagedrum/quota/usage_limiter.hpp>
 
 #include <algorithm>
@@ -30,8 +30,8 @@
         this->silent_peer_shares.on_heard(peer, stopping, now);
     const bool returned =
         std::exchange(known.forgotten, false) || silent_until_now;
-    // Of what was before this process a peer tells once, when it is first
-    // heard.
+    // A peer's report of usage before this process started is merged once, when
+    // the peer is first heard.
     const bool merge_report = first_heard && this->started_within_window(now);
     for (const workspace_usage& one : usage) {
         peer_usage& known_usage = known.usage[one.workspace];
@@ -47,9 +47,9 @@
     }
 }
 
-// Of a peer that is heard for the first time, or again after a silence, what it
-// let through within the window counts; all of it as of now, since its times
-// are not told.
+// Of a peer that is heard for the first time, or again after silence, the usage
+// within its window counts. The usage counts as of now, since the report holds
+// no times.
 void usage_limiter::count_peer_usage(base::slot_id peer,
                                      peer_usage& known,
                                      const workspace_usage& reported,
@@ -57,7 +57,7 @@
                                      base::instant now)
 {
     const auto used = static_cast<double>(reported.sent_total);
-    // Most messages tell of most workspaces what is known.
+    // Most reports repeat known amounts for most workspaces.
     if (!first_report && used == known.sent &&
         reported.waiting == known.waiting)
         return;
@@ -77,14 +77,14 @@
     limit.all_window.add(counted, now);
     this->silent_peer_shares.on_peer_usage(
         peer, reported.workspace, counted, now);
-    // What it let through before it was heard is no debt of the bucket.
+    // What the peer sent before it was heard is not taken from the bucket.
     if (!first_report)
         limit.refund(-(counted + waiting_more), current_rules, now);
 }
 
-// An entry restarts in a busy workspace's window: each peer tells what it let
-// through itself, and all of them together what this entry's former process
-// did. Each counts once.
+// When an entry restarts while a workspace's window is in use, each peer
+// reports its own usage, and all peers report the usage of all entries, which
+// includes that of this entry's former process. Each amount counts once.
 void usage_limiter::merge_history(const workspace_usage& reported,
                                   base::instant now)
 {
@@ -98,7 +98,7 @@
     const double unknown =
         all > 0 ? std::max(0.0, 1 - limit.counted_history / all) : 0;
     const auto parts = static_cast<int>(reported.all_sent_in_window.size());
-    // Each part as of its end: counted for its length too long, never too
+    // Each part counts as of its end, so up to one part too long, never too
     // short.
     for (int at = 0; at < parts; ++at)
         limit.all_window.add_at(
@@ -123,9 +123,9 @@
     }
 }
 
-// A dispatcher that stops is heard until its own requests have ended. What was
-// counted of it is kept as long as the window holds it, and only what is new
-// counts, or each of its messages would count its whole window once more.
+// A dispatcher that stops is heard until its own requests have ended. Its
+// counted usage is kept as long as the window, so that only new usage counts;
+// otherwise each of its messages would count its whole window again.
 void usage_limiter::forget_peer(base::slot_id peer)
 {
     const auto found = this->peers.find(peer);
--- a/src/greengagedrum/quota/priority_demand.cpp
+++ b/src/greengagedrum/quota/priority_demand.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-// Of the part that is let through of all: operators call a quarter starving.
+// A priority is starved if the admitted part of its demand is below this ratio
+// of the admitted part of all demand. Operators call a quarter starvation.
 constexpr double starvation_ratio = 0.3;
 
 } // namespace
--- a/src/greengagedrum/quota/priority_demand.hpp
+++ b/src/greengagedrum/quota/priority_demand.hpp
@@ -1,6 +1,6 @@
-// What is asked of one limit and what is let through, by priority. Beyond its
-// limit a workspace's more urgent requests go first, and this tells how much
-// they need.
+// Demand on one limit, and what was admitted of it, by priority. Beyond its
+// limit, a workspace's requests of higher priority go first; this class
+// estimates how much they need.
 #pragma once
 
 #include <greengagedrum/base/time.hpp>
@@ -16,24 +16,26 @@
 class priority_demand
 {
 public:
-    // `cost` is in the limit's unit; priority 0 is the most urgent.
+    // `cost` is in the unit of the limit; priority 0 is the highest.
     void on_requested(std::uint32_t priority, double cost, base::instant now);
     void on_admitted(std::uint32_t priority, double cost, base::instant now);
 
-    // Cost a second that is asked for lately.
+    // Recent demand, as cost a second.
     double total_rate(base::instant now) const;
     double higher_priority_rate(std::uint32_t priority,
                                 base::instant now) const;
 
-    // What one request of those more urgent costs on average; 0: none lately.
+    // Average cost of a recent request of a higher priority; 0 if there is
+    // none.
     double higher_priority_cost(std::uint32_t priority,
                                 base::instant now) const;
 
-    // Much less of it is let through than of all priorities together.
+    // True if much less of this priority's demand was admitted than of all
+    // demand.
     bool is_starved(std::uint32_t priority, base::instant now) const;
 
 private:
-    // Less urgent ones count as the last.
+    // Lower priorities share the last level.
     static constexpr std::size_t max_levels = 12;
 
     struct demand_level {
--- a/src/greengagedrum/quota/silent_peers.cpp
+++ b/src/greengagedrum/quota/silent_peers.cpp
@@ -8,16 +8,17 @@
 namespace
 {
 
-// An entry tells five times a second at least: two of its messages in a row
-// were lost, or it is gone.
+// Entries report at least every 200 ms, so a peer that is silent for this long
+// has ended, or two of its messages in a row were lost.
 constexpr base::duration silence_timeout = std::chrono::milliseconds(450);
 
-// An entry that was lost for good is not heard of again either. Its part of the
-// limits is kept from the others for so long: more than twice the longest cut
-// that the limits were tried with (12 s).
+// How long a share stays reserved for a silent peer. A peer that is lost for
+// good is never heard again, and its share must not be lost with it. Partitions
+// up to 12 s were tested; this is more than twice as long.
 constexpr base::duration reservation_time = std::chrono::seconds(30);
 
-// Of the entries that report: fewer are lost one by one.
+// A share of unreported members that grows by more than this is a new
+// partition; single lost members change it by less.
 constexpr double new_partition_threshold = 0.1;
 
 } // namespace
@@ -64,7 +65,8 @@
         sum += found->second.per_second(now);
     for (const auto& [id, one] : this->peers) {
         const auto found = one.rates.find(workspace);
-        // What a silent one did fades no further: it may still be doing it.
+        // The rate of a silent peer decays no further: the peer may go on as
+        // before.
         if (found != one.rates.end())
             sum += found->second.per_second(one.silent ? one.heard_at : now);
     }
@@ -86,7 +88,7 @@
         const double rate = found == peer.rates.end()
                                 ? 0
                                 : found->second.per_second(peer.heard_at);
-        // Beyond the limit all give way alike.
+        // Beyond the limit all entries are reduced in proportion.
         const double kept = rate / std::max(all, one.per_second);
         const double unused = std::max(0.0, 1 - all / one.per_second);
         peer.shares[one.workspace] = kept + unused / entries;
@@ -104,8 +106,8 @@
         this->mark_silent(one, limits, now);
         out.push_back(id);
     }
-    // One that said that it stops has ended; one that was silent for long is
-    // taken to be gone.
+    // Peers that announced their stop have ended; peers that were silent for
+    // long are taken to be lost.
     std::erase_if(this->peers, [&](const auto& entry) {
         const peer_state& one = entry.second;
         return one.silent &&
@@ -114,9 +116,9 @@
     return out;
 }
 
-// Failure guarded against: an entry starts anew behind a cut and has heard
-// nobody. Of those that its settings name each is assumed to need an equal
-// part, for as long as one that fell silent.
+// Failure guarded against: an entry starts on one side of a partition and has
+// heard nobody. For each peer that its settings name, an equal share is
+// reserved, for as long as for a peer that fell silent.
 double silent_peers::never_heard_share(base::instant now) const
 {
     if (this->never_heard == 0 || now - this->started > reservation_time)
@@ -125,7 +127,7 @@
            static_cast<double>(this->peers.size() + this->never_heard + 1);
 }
 
-// More of them than so is another cut.
+// A large increase is a new partition.
 void silent_peers::set_unreported_share(double part, base::instant now)
 {
     if (part > this->unreported + new_partition_threshold)
@@ -134,8 +136,9 @@
 }
 
 // Failure guarded against: two parts of a data centre can't hear each other,
-// each has a dispatcher, and each of them gives out what the data centre may
-// use. `own_part`: of the limit, what heard entries and this one have.
+// each has a dispatcher, and each of these gives out what the whole data centre
+// may use. `heard_share`: the share of the limit that belongs to heard peers
+// and this entry.
 double silent_peers::unreported_share(double heard_share) const
 {
     const auto heard_count =
--- a/src/greengagedrum/quota/silent_peers.hpp
+++ b/src/greengagedrum/quota/silent_peers.hpp
@@ -1,12 +1,12 @@
-// What entries that can't be heard are assumed to let through of each limit.
+// The share of each limit that is reserved for peers that can't be heard.
 //
-// Failure guarded against: some entries are cut off from the others. Whoever
-// took their silence for idleness would give a busy workspace its whole limit
-// on each side of the cut, and one that went by what they did just before it
-// would know nothing of a burst that begins behind it. So each limit is divided
-// for the time of the silence: an entry keeps the part that it used lately, and
-// what nobody used goes in equal parts to all. All sides divide alike, by what
-// all knew before, so that their parts make one limit.
+// Failure guarded against: a network partition. An entry that takes silence for
+// idleness gives a busy workspace its whole limit on each side of the
+// partition. An entry that goes by the peers' last rates misses a burst that
+// begins behind the partition. So each limit is divided while peers are silent:
+// an entry keeps the share that it used recently, and the unused rest is
+// divided equally among all. All sides compute the shares from what all knew
+// before the partition, so that the shares add up to one limit.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -20,9 +20,9 @@
 namespace greengagedrum::quota
 {
 
-// Assumed of all silent peers together, for one workspace.
+// What all silent peers together are assumed to use of one workspace's limit.
 struct assumed_usage {
-    double share = 0; // of the limit, from `since` on
+    double share = 0; // of the limit, since `since`
     base::instant since;
 };
 
@@ -31,7 +31,7 @@
 public:
     explicit silent_peers(base::instant started) : started(started) {}
 
-    // A peer let so much through since it was last heard.
+    // `amount` was sent since the peer's last report.
     void on_peer_usage(base::slot_id peer,
                        base::workspace_id workspace,
                        double amount,
@@ -40,25 +40,26 @@
                       double amount,
                       base::instant now);
 
-    // True when it was silent until now: its shares end.
+    // Returns true if the peer was silent until now; its reserved shares end.
     bool on_heard(base::slot_id peer, bool stopping, base::instant now);
-    // Another process in its place has used nothing yet.
+    // A new process, which has used nothing yet, replaces the peer.
     void on_restart(base::slot_id peer);
 
     void forget(base::slot_id peer) { this->peers.erase(peer); }
 
-    // Entries that are known of and were never heard.
+    // Number of known peers that were never heard.
     void set_never_heard_count(std::size_t count) { this->never_heard = count; }
-    // Of the entries that this one counts for, the part that does not report:
-    // another one may count for them where neither can be heard.
+    // Of the members that this entry dispatches for, the share that does not
+    // report: if a partition separates them, another dispatcher serves them.
     void set_unreported_share(double part, base::instant now);
 
-    // One workspace's limit.
+    // A workspace and the rate of its limit.
     struct workspace_rate {
         base::workspace_id workspace;
         double per_second = 0;
     };
-    // Finds out who has fallen silent, or ended, since the last call.
+    // Returns the peers that fell silent since the last call, and forgets those
+    // that ended.
     std::vector<base::slot_id>
     detect_silent(const std::vector<workspace_rate>& limits, base::instant now);
 
--- a/src/greengagedrum/quota/test/fleet_simulation.cpp
+++ b/src/greengagedrum/quota/test/fleet_simulation.cpp
@@ -16,7 +16,7 @@
 constexpr base::duration message_interval = 50ms;
 constexpr base::duration message_delay = 10ms;
 constexpr base::duration window = 8s;
-// A change is in force everywhere within this.
+// A change of the limit applies at all entries within this time.
 constexpr base::duration change_bound = 2s;
 
 base::slot_id name_of(std::size_t entry)
@@ -64,7 +64,7 @@
 {
     this->factors.emplace_back(this->now - 1h, 1.0);
     for (std::size_t at = 0; at < plan.entries; ++at) {
-        // The whole system has run for a while.
+        // The entries have been running for a while.
         this->entries.push_back({usage_limiter(this->now - 1min),
                                  base::incarnation{this->next_incarnation++},
                                  1});
@@ -95,7 +95,7 @@
     one.limiter.set_limits(config, this->now);
 }
 
-// Each entry learns of it at some time of its own within the bound.
+// Each entry applies the change at a random time within the bound.
 void fleet_simulation::change_limits()
 {
     if (this->next_limit < this->plan.limits.size() &&
@@ -127,7 +127,7 @@
     entry fresh{usage_limiter(this->now),
                 base::incarnation{this->next_incarnation++},
                 this->factors.back().second};
-    // Its settings name some of the others.
+    // Its settings name some of the other entries.
     fresh.limiter.set_never_heard_peer_count(
         std::min<std::size_t>(3, this->entries.size() - 1));
     this->entries[at] = std::move(fresh);
@@ -170,8 +170,9 @@
            this->messages.front().arrives <= this->now) {
         const message reported = std::move(this->messages.front());
         this->messages.pop_front();
+        // From a process that has ended.
         if (reported.incarnation != this->entries[reported.from].incarnation)
-            continue; // of a process that has ended
+            continue;
         usage_limiter& to = this->entries[reported.to].limiter;
         to.set_never_heard_peer_count(0);
         to.on_peer_report(name_of(reported.from),
@@ -209,7 +210,7 @@
         is_busy ? this->plan.busy_demand : this->plan.usual_demand;
     double due = demand * this->plan.rate * 0.01; // of one step
     while (due > 0) {
-        // Sizes as of prompts: most are small, some very large.
+        // Costs like those of prompts: most are small, some are very large.
         const double size = this->draw();
         const double cost = this->plan.rate * (0.002 + 0.05 * size * size);
         due -= cost;
@@ -227,8 +228,9 @@
         if (one.until > this->now)
             return false;
         entry& of = this->entries[one.at];
+        // Its process has ended.
         if (of.incarnation != one.incarnation)
-            return true; // its process has ended
+            return true;
         if (!one.sent) {
             of.limiter.refund_unsent(busy, one.cost, this->now);
             return true;
@@ -261,7 +263,7 @@
     return this->result;
 }
 
-// Until a cut is noticed each entry behind it goes by what it last heard.
+// Until a partition is detected, each entry goes by what it last heard.
 double fleet_simulation::requested_before_detection(base::instant until) const
 {
     double sum = 0;
@@ -278,8 +280,8 @@
     return sum;
 }
 
-// The highest limit that was in force anywhere within the window, with the time
-// that a lower one takes, and one window more, in which it need not bind yet.
+// The highest limit that applied anywhere within the window. A lowered limit
+// need not be kept yet for the time that a change takes and one window more.
 double fleet_simulation::tolerated_usage(base::instant until) const
 {
     const base::instant from = until - window - window - change_bound;
@@ -290,12 +292,13 @@
         if (!ended && this->factors[at].first <= until)
             highest = std::max(highest, this->factors[at].second);
     }
-    const double limit = highest * this->plan.rate * (8 + 1); // and its burst
+    // The window and the burst.
+    const double limit = highest * this->plan.rate * (8 + 1);
     return limit * (1 + this->plan.overshoot) + this->plan.slack +
            this->requested_before_detection(until);
 }
 
-// Those that were both asked for and sent within the window.
+// Counts what was both admitted and sent within the window.
 void fleet_simulation::measure_windows(simulation_result& out) const
 {
     for (base::instant until = this->started_at + window; until <= this->now;
--- a/src/greengagedrum/quota/test/fleet_simulation.hpp
+++ b/src/greengagedrum/quota/test/fleet_simulation.hpp
@@ -1,6 +1,6 @@
-// Several entries with one busy workspace in virtual time: messages that take
-// their time, cuts, restarts, limits that change. It counts what all of them
-// let through together, as an operator would.
+// Simulates several entries and one busy workspace in virtual time, with
+// message delays, network partitions, restarts and limit changes. Counts what
+// all entries admit together, as the operator does.
 #pragma once
 
 #include <greengagedrum/quota/usage_limiter.hpp>
@@ -16,36 +16,40 @@
 struct simulation_plan {
     std::size_t entries = 6;
     double seconds = 40;
-    double rate = 1000; // of the limit, a second; its burst is as much
+    // Of the limit, a second; the burst is one second's rate.
+    double rate = 1000;
     double overshoot = 0.25;
     double slack = 720;
-    // Asked for, against the limit's rate: all the time, and in a busy phase.
+    // Demand as a factor of the limit's rate: normally, and in a busy phase.
     double usual_demand = 0.6;
     double busy_demand = 4;
     double busy_from = 10;
     double busy_for = 8;
-    bool half_at_one_entry = false; // half of the demand comes to one entry
+    bool half_at_one_entry = false; // half of the demand goes to one entry
     double isolated_from = 1e9;
     double isolated_for = 0;
-    std::size_t isolated_entries = 0; // so many entries, each by itself
+    std::size_t isolated_entries = 0; // number of entries, each isolated
     double split_from = 1e9;
-    double split_for = 0;         // the entries fall apart into two groups
-    bool restart_in_turn = false; // restarts one after the other, else by lot
-    std::vector<double> restarts; // of one entry each, by time
-    std::vector<std::pair<double, double>> limits; // factor of rate, by time
-    double longest_wait = 2; // seconds that a request waits before it is sent
-    double refused_after_wait = 0.3; // of those that wait, never sent
+    double split_for = 0;         // the entries are split into two groups
+    bool restart_in_turn = false; // restart entries in turn, else at random
+    std::vector<double> restarts; // times; each of one entry
+    // Time, and factor of the rate.
+    std::vector<std::pair<double, double>> limits;
+    // Longest wait of a request before it is sent, in seconds.
+    double longest_wait = 2;
+    // Part of the waiting requests that is never sent.
+    double refused_after_wait = 0.3;
     std::uint64_t seed = 1;
 };
 
-// Draws a plan with anything that may happen.
+// A plan with random events of every kind.
 simulation_plan random_plan(std::uint64_t seed);
 
 struct simulation_result {
     double requested = 0;
     double admitted = 0;
     double refused = 0;
-    // The most that any window held, over what is tolerated there.
+    // The highest usage of any window, as a part of what is tolerated in it.
     double highest_share = 0;
     double highest_at = 0; // seconds
 };
@@ -61,7 +65,7 @@
     struct entry {
         usage_limiter limiter;
         base::incarnation incarnation;
-        double factor = 1; // of the limit, as it knows it
+        double factor = 1; // of the limit, as this entry knows it
     };
 
     struct waiting_request {
@@ -70,7 +74,7 @@
         std::size_t at = 0;
         base::incarnation incarnation;
         double cost = 0;
-        bool sent = false; // in the end
+        bool sent = false; // sent after the wait, not refused
     };
 
     struct message {
--- a/src/greengagedrum/quota/test/handover_test.cpp
+++ b/src/greengagedrum/quota/test/handover_test.cpp
@@ -1,5 +1,4 @@
-// What a limiter makes of a dispatcher that is replaced, and what the next one
-// knows.
+// How a limiter handles the replacement of a dispatcher.
 #include <greengagedrum/quota/test/limiter_fixture.hpp>
 
 #include <doctest/doctest.h>
@@ -11,11 +10,11 @@
 
 using namespace std::chrono_literals;
 
-// The entry that places for a data centre is stopped. Another one takes over,
-// so its peers forget it; but it has requests under way and is heard until they
-// have ended. With what it let through lately counted anew at each message,
-// work within the limits was refused in all data centres (13,617 requests of
-// one day).
+// The dispatcher of a data centre stops. Another entry takes over, so the peers
+// forget the former one; but it still has requests in progress and is heard
+// until they have ended. If each of its messages counted its recent usage
+// again, requests within the limits would be refused in all data centres
+// (13,617 requests in one day).
 TEST_CASE_FIXTURE(limiter_fixture, "peer_forgotten_and_heard_again_counts_once")
 {
     CHECK(this->try_send(this->peer, 400));
@@ -28,8 +27,8 @@
     CHECK_FALSE(this->try_send(this->own, 20));
 }
 
-// The same entry places again a moment later, for the one that followed it died
-// too. What it has let through since counts in full.
+// The former dispatcher takes over again a moment later, since its successor
+// died too. What it has sent since counts in full.
 TEST_CASE_FIXTURE(limiter_fixture, "peer_dispatching_again_new_usage_counts")
 {
     CHECK(this->try_send(this->peer, 400));
@@ -44,8 +43,8 @@
     CHECK(this->try_send(this->own, 470));
 }
 
-// The entry that places for a data centre dies, and the next one takes over
-// with what it was told last: its buckets stand where the former's did.
+// The dispatcher of a data centre dies, and its successor takes over with the
+// usage that it was told last. Its buckets start at the former's levels.
 TEST_CASE_FIXTURE(limiter_fixture, "successor_takes_over_known_window")
 {
     CHECK(this->try_send(this->peer, 500));
@@ -57,13 +56,13 @@
                    this->now);
     CHECK(this->try_send(next, 390));
     CHECK_FALSE(this->try_send(next, 20));
-    // The former's use leaves the window when it would have left it there.
+    // The former's usage leaves the window at the same time as it would there.
     this->now += 6250ms;
     CHECK(this->try_send(next, 490));
 }
 
-// Requests that wait at a dispatcher as it dies are asked for at the next one,
-// where they are counted anew.
+// Requests that wait at a dispatcher when it dies are submitted to its
+// successor and counted there.
 TEST_CASE_FIXTURE(limiter_fixture, "requests_waiting_at_former_not_counted")
 {
     CHECK_FALSE(this->peer.try_acquire(planning, 400, 0, this->now));
@@ -75,7 +74,7 @@
     CHECK(this->try_send(next, 800));
 }
 
-// Of another entry it hears for the first time what it knows already.
+// The successor hears usage from a peer that the handover already included.
 TEST_CASE_FIXTURE(limiter_fixture, "usage_handed_over_counts_once")
 {
     CHECK(this->try_send(this->own, 300));
@@ -95,8 +94,8 @@
     CHECK_FALSE(this->try_send(next, 20));
 }
 
-// Members report to another dispatcher behind a cut, and both give out the
-// same.
+// Members report to another dispatcher across a partition, and both dispatchers
+// give out the same limit.
 TEST_CASE_FIXTURE(limiter_fixture, "unreported_members_share_reserved")
 {
     this->own.set_unreported_member_share(0.5, this->now);
@@ -109,8 +108,8 @@
     CHECK(this->try_send(this->own, 800));
 }
 
-// The same where another data centre's dispatcher is heard: its part is its
-// own.
+// The same while another data centre's dispatcher is heard: that peer's own
+// share stays with it.
 TEST_CASE_FIXTURE(limiter_fixture,
                   "unreported_members_share_leaves_peer_shares")
 {
--- a/src/greengagedrum/quota/test/limit_bound_test.cpp
+++ b/src/greengagedrum/quota/test/limit_bound_test.cpp
@@ -1,4 +1,4 @@
-// What all entries together let through of one limit, whatever befalls them.
+// What all entries together admit of one limit, in simulated failures.
 #include "fleet_simulation.hpp"
 #include <doctest/doctest.h>
 
@@ -10,9 +10,9 @@
 using test::simulation_plan;
 using test::simulation_result;
 
-// A third of the entries is cut off from all others. Three seconds later a
-// workspace sends six times its usual, which nobody has seen before the cut.
-// Each entry behind it would give it the whole limit once more.
+// A third of the entries is isolated from all others. Three seconds later a
+// workspace demands six times its usual rate, which no entry knew of before the
+// partition. Each isolated entry could give it the whole limit once more.
 TEST_CASE("burst_behind_partition_keeps_one_limit")
 {
     simulation_plan plan;
@@ -27,13 +27,13 @@
         const simulation_result got = fleet_simulation(plan).run();
         CAPTURE(seed);
         CHECK(got.highest_share < 1);
-        // The parts of the entries cut off are not lost either.
+        // The shares of the isolated entries are not lost either.
         CHECK(got.admitted > 0.75 * plan.rate * plan.seconds * 0.7);
     }
 }
 
-// Each entry by itself, or any group of them, and any other trouble beside it:
-// no window of the operator's holds more than is tolerated.
+// Isolated entries, groups of entries and other failures in any combination: no
+// window holds more than is tolerated.
 TEST_CASE("random_failures_no_window_exceeded")
 {
     constexpr std::uint64_t seeds = 400;
@@ -45,8 +45,9 @@
     }
 }
 
-// The usual load is three fifths of the limit, half of it at one entry, and the
-// entries fall apart for ten seconds. What is within the limit is let through.
+// The usual demand is about three fifths of the limit, half of it at one entry,
+// and some entries are isolated for ten seconds. Demand within the limit must
+// be admitted.
 TEST_CASE("usual_demand_behind_partition_admitted")
 {
     simulation_plan plan;
@@ -68,10 +69,10 @@
     CHECK(refused < 0.01 * requested);
 }
 
-// The entries are stopped and started in turn, one every two seconds, while a
-// workspace uses three fifths of its limit. Each fresh process hears from all
-// others what was let through; none of it may be counted twice or for longer
-// than the window.
+// The entries are restarted in turn, one every two seconds, while a workspace
+// uses about three fifths of its limit. Each new process hears from all others
+// what was sent; none of it may be counted twice, or for longer than the
+// window.
 TEST_CASE("entries_restarted_in_turn_demand_within_limit_admitted")
 {
     simulation_plan plan;
--- a/src/greengagedrum/quota/test/limiter_fixture.hpp
+++ b/src/greengagedrum/quota/test/limiter_fixture.hpp
@@ -8,7 +8,7 @@
 namespace greengagedrum::quota
 {
 
-// A burst of many seconds: the window is full before the bucket is empty.
+// A burst of many seconds' rate: the window is full before the bucket is empty.
 inline constexpr double rate = 10;
 inline constexpr double burst = 820;
 inline constexpr double window_seconds = 8;
@@ -40,7 +40,7 @@
         this->peer.set_limits(config, this->now);
     }
 
-    // Of a process that starts now, under the usual limit.
+    // A limiter of a process that starts now.
     usage_limiter fresh_limiter(const tolerance& tolerated_usage,
                                 double per_second = rate,
                                 double burst_size = burst) const
@@ -74,7 +74,7 @@
                                  this->now);
     }
 
-    // Each tells the other all that it let through.
+    // Each limiter reports its usage to the other.
     void exchange_reports()
     {
         this->own.on_peer_report(base::slot_id("peer"),
--- a/src/greengagedrum/quota/test/priority_test.cpp
+++ b/src/greengagedrum/quota/test/priority_test.cpp
@@ -1,4 +1,4 @@
-// Which requests of a workspace beyond its limit are let through.
+// Which requests of a workspace beyond its limit are admitted.
 #include <greengagedrum/placement/seconds.hpp>
 #include <greengagedrum/quota/test/limiter_fixture.hpp>
 
@@ -17,14 +17,14 @@
 constexpr std::uint32_t dossier = 0;
 constexpr std::uint32_t note = 2;
 
-// Requests of one priority that come evenly spread.
+// Requests of one priority at an even rate.
 struct series {
     std::uint32_t priority = 0;
     double cost = 0;
-    double demand = 0; // of the limit's rate
+    double demand = 0; // as a factor of the limit's rate
     double due_cost = 0;
     double requested = 0;
-    double admitted = 0; // of `asked`, both as cost
+    double admitted = 0; // of `requested`, both as cost
 
     double served() const { return this->admitted / this->requested; }
 };
@@ -36,7 +36,7 @@
         this->now += 1min; // the bucket is full
     }
 
-    // Plays both for so long, a step every ten milliseconds.
+    // Runs both series for `time`, in steps of ten milliseconds.
     void run(series& first, series& second, base::duration time)
     {
         constexpr base::duration step = std::chrono::milliseconds(10);
@@ -65,7 +65,7 @@
 
 } // namespace
 
-// A workspace's notes use the limit that its dossiers are refused for.
+// Guards against notes using up the limit, so that dossiers are refused.
 TEST_CASE_FIXTURE(priority_fixture, "dossiers_beyond_limit_precede_notes")
 {
     series dossiers{dossier, 40, 0.8};
@@ -93,7 +93,7 @@
     CHECK(notes.served() >= 0.25 * served_of_all);
 }
 
-// Pings that cost next to nothing are refused for the sake of dossiers.
+// Guards against refusing requests of negligible cost in favour of dossiers.
 TEST_CASE_FIXTURE(priority_fixture, "pings_beside_dossiers_admitted")
 {
     series dossiers{dossier, 40, 1.6};
@@ -102,7 +102,7 @@
     CHECK(pings.served() >= 0.8);
 }
 
-// A workspace within its limit has notes refused.
+// Guards against refusing notes of a workspace that is within its limit.
 TEST_CASE_FIXTURE(priority_fixture, "notes_within_limit_admitted")
 {
     series dossiers{dossier, 40, 0.5};
@@ -110,14 +110,14 @@
     this->run(dossiers, notes, 20s);
     CHECK(dossiers.served() == 1);
     CHECK(notes.served() == 1);
-    // A moment's burst of notes, no more than what is published.
+    // A short burst of notes, within the published burst.
     series more_notes{note, 10, 8};
     this->run(dossiers, more_notes, 100ms);
     CHECK(more_notes.served() == 1);
 }
 
-// A process that has just begun to count hears what busy peers let through, and
-// takes the limit for exceeded.
+// A process that has just started to count hears the usage of busy peers. It
+// must not conclude that the limit is exceeded.
 TEST_CASE_FIXTURE(priority_fixture,
                   "notes_within_limit_admitted_by_new_process")
 {
--- a/src/greengagedrum/quota/test/usage_limiter_test.cpp
+++ b/src/greengagedrum/quota/test/usage_limiter_test.cpp
@@ -1,4 +1,5 @@
-// Limits over all entries: to the letter, and not a request less.
+// Limits over all entries are kept exactly: nothing beyond them is admitted,
+// and nothing within them is refused.
 #include <greengagedrum/quota/test/limiter_fixture.hpp>
 
 #include <doctest/doctest.h>
@@ -11,21 +12,20 @@
 
 using namespace std::chrono_literals;
 
-// A planner sends a week's dossiers at once and then nothing for a while. All
-// of it is within what the operator counts, rate times window plus burst, and
-// none of it may be refused.
+// A client sends a week's dossiers at once and then nothing for a while. All of
+// it is within rate times window plus burst, so nothing may be refused.
 TEST_CASE_FIXTURE(limiter_fixture, "burst_admitted_at_once_and_no_more")
 {
     CHECK(this->try_send(this->own, burst));
     CHECK_FALSE(this->try_send(this->own, 1));
-    // What the window may hold comes evenly from then on.
+    // From then on the bound of the window is given out evenly.
     constexpr double refill_rate = rate + burst / window_seconds;
     this->now += 100ms;
     CHECK(this->try_send(this->own, refill_rate / 10));
     CHECK_FALSE(this->try_send(this->own, 1));
 }
 
-// Whatever comes, no window holds more than rate times window plus burst.
+// No window ever holds more than rate times window plus burst.
 TEST_CASE_FIXTURE(limiter_fixture, "steady_overload_no_window_exceeded")
 {
     std::deque<std::pair<base::instant, double>> admitted;
@@ -45,8 +45,8 @@
     CHECK(sum > 0.9 * rate * window_seconds);
 }
 
-// The operator lowers a limit. What was let through under the old one is no
-// debt: work goes on at the new rate at once.
+// The operator lowers a limit. What was admitted under the old limit is not
+// overdrawn under the new one: requests are admitted at the new rate at once.
 TEST_CASE_FIXTURE(limiter_fixture, "lowered_limit_admits_new_rate_at_once")
 {
     this->exchange_reports();
@@ -87,9 +87,9 @@
     CHECK(this->own.own_usage(this->now).front().sent_total == 810);
 }
 
-// Two data centres are cut off from each other while one workspace sends at
-// its limit, half of it on each side. Each side must not take the silence of
-// the other for idleness: together they would let twice the limit through.
+// A partition separates two data centres while a workspace uses its whole
+// limit, half of it on each side. If each side took the other's silence for
+// idleness, they would admit twice the limit together.
 TEST_CASE_FIXTURE(limiter_fixture, "silent_peer_assumed_to_go_on_as_before")
 {
     constexpr double per_second = 100;
@@ -111,7 +111,8 @@
     CHECK(admitted <= 1.48 * per_second * (window_seconds + 1));
 }
 
-// Killed with the whole fleet, those before may have used up the window.
+// The whole fleet may have been killed, and the processes before this one may
+// have used up the window.
 TEST_CASE_FIXTURE(limiter_fixture, "new_process_gets_no_slack")
 {
     constexpr double slack = 400;
@@ -126,8 +127,8 @@
     CHECK_FALSE(this->try_send(strict, 1));
 }
 
-// An entry that starts anew hears of all that its peers let through since
-// their start, hours ago. None of it belongs into the window.
+// A process that starts hears the total usage of its peers since their start,
+// hours ago. None of it belongs to the current window.
 TEST_CASE_FIXTURE(limiter_fixture, "peer_history_not_counted_in_window")
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0.25, 0});
@@ -140,9 +141,9 @@
     CHECK(this->try_send(fresh, burst / 4));
 }
 
-// All entries are killed at once and start again a second later, in the middle
-// of a busy workspace's window. What they let through before is forgotten; with
-// the whole window given anew, it would have its limit twice.
+// All entries are killed at once and restart a second later, within a busy
+// workspace's window. Their usage before is lost; if they admitted a whole
+// window again, the workspace would get its limit twice.
 TEST_CASE_FIXTURE(limiter_fixture, "new_process_admits_no_second_window")
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0, 0});
@@ -153,16 +154,16 @@
         if (step == 0)
             CHECK_FALSE(this->try_send(fresh, 200));
     }
-    // The rate alone, for whoever was there before may have used the rest.
+    // The rate only, since earlier processes may have used the rest.
     CHECK(admitted <= rate * window_seconds);
     CHECK(admitted > 0.9 * rate * window_seconds);
     this->now += 82s;
     CHECK(this->try_send(fresh, 800));
 }
 
-// All entries are killed in a busy workspace's window, and once more three
-// seconds later. Nobody remembers what was let through, and each time the fresh
-// ones have a part of the burst and the rate to give.
+// All entries are killed within a busy workspace's window, and again three
+// seconds later. The usage before is lost, and each time the new processes give
+// out a part of the burst and the rate.
 TEST_CASE_FIXTURE(limiter_fixture, "all_entries_killed_twice_limit_holds")
 {
     constexpr double per_second = 100;
@@ -176,8 +177,8 @@
         }
         return admitted;
     };
-    // The first ones begin with a whole burst, and are asked for all that they
-    // give in the last moments before they are killed.
+    // The first processes start with a full bucket, and all of it is requested
+    // just before they are killed.
     for (const int steps_before : {1, 10, 100, 400}) {
         CAPTURE(steps_before);
         this->limit_to(per_second, per_second);
@@ -192,9 +193,9 @@
     }
 }
 
-// A busy workspace's requests wait two seconds for a place and are refused in
-// the end. Their cost is theirs to use again; but as their time leaves the
-// window it must not make room for a second time.
+// A busy workspace's requests wait two seconds for a slot and are then refused.
+// Their cost may be used again; but when they would have left the window, they
+// must not make room a second time.
 TEST_CASE_FIXTURE(limiter_fixture, "cost_refunded_late_makes_room_once")
 {
     CHECK_FALSE(this->own.try_acquire(planning, 800, 0, this->now));
@@ -205,12 +206,12 @@
     double admitted = 0;
     while (this->try_send(this->own, 10))
         admitted += 10;
-    // The bucket's rate of seven seconds, and not the 800 as well.
+    // The refill of seven seconds, without another 800.
     CHECK(admitted <= 160);
 }
 
-// The operator's changes follow each other; each lowers the limit a little and
-// raises it again. A workspace in debt must not be given its burst each time.
+// The operator lowers and raises a limit repeatedly. An overdrawn workspace
+// must not get its burst each time.
 TEST_CASE_FIXTURE(limiter_fixture, "repeated_limit_changes_admit_one_burst")
 {
     double admitted = 0;
@@ -223,9 +224,9 @@
     CHECK(admitted <= rate * window_seconds + burst + 10);
 }
 
-// An entry has been behind a cut since its start. When the cut heals it hears
-// of all that its peers let through in the hours before, which says nothing of
-// the last few seconds: nothing may be refused for it.
+// An entry was partitioned from its peers since its start. When the partition
+// ends, it hears their total usage of hours, which says nothing of the last
+// seconds: no request may be refused because of it.
 TEST_CASE_FIXTURE(limiter_fixture, "peer_heard_late_counts_its_window_only")
 {
     usage_limiter fresh = this->fresh_limiter({8s, 0, 0});
@@ -241,7 +242,7 @@
 }
 
 // An entry restarts while a workspace has used up its window, two thirds of it
-// through this very entry. Its peers remember that, and it counts at once.
+// through this entry. Its peers report that usage, and it counts at once.
 TEST_CASE_FIXTURE(limiter_fixture,
                   "new_process_counts_window_reported_by_peers")
 {
@@ -255,8 +256,8 @@
     CHECK_FALSE(this->try_send(fresh, 10));
 }
 
-// A peer has requests that wait as it falls silent. Of what is left each side
-// uses its part, and theirs is part of the peer's.
+// A peer has waiting requests when it falls silent. Each side uses its share of
+// what is left, and the waiting requests belong to the peer's share.
 TEST_CASE_FIXTURE(limiter_fixture,
                   "silent_peer_waiting_requests_count_to_its_share")
 {
@@ -267,7 +268,7 @@
     CHECK_FALSE(this->try_send(this->own, 100));
 }
 
-// An entry said that it stops, and is silent then: it uses nothing.
+// An entry announced its stop before it fell silent: it uses nothing.
 TEST_CASE_FIXTURE(limiter_fixture, "stopped_peer_frees_its_share")
 {
     this->receive_peer_report({{planning, 100, 0, 100}}, true);
@@ -276,8 +277,7 @@
     CHECK(this->try_send(this->own, 790));
 }
 
-// An instance is lost for good. Its part of the limits is kept from the others
-// for half a minute, and not for ever.
+// An instance is lost for good. Its share is reserved for half a minute only.
 TEST_CASE_FIXTURE(limiter_fixture, "lost_peer_share_freed_after_reservation")
 {
     this->receive_peer_report({{planning, 100, 0, 100}}, false);
@@ -286,13 +286,13 @@
     CHECK_FALSE(this->try_send(this->own, 800));
     this->now += 11s;
     this->own.update_silent_peers(this->now);
-    // It had used all of the limit: the bucket is filled from then on.
+    // The share is given out by refilling the bucket from then on.
     this->now += 82s;
     CHECK(this->try_send(this->own, 800));
 }
 
-// A peer's requests wait and are refused there: what they would have cost is
-// free again, though the peer has sent nothing meanwhile.
+// Requests that waited at a peer are refused there: their cost is free again,
+// though the peer has sent nothing.
 TEST_CASE_FIXTURE(limiter_fixture, "peer_waiting_requests_end_cost_freed")
 {
     this->receive_peer_report({{planning, 100, 700, 100}}, false);
@@ -301,7 +301,7 @@
     CHECK(this->try_send(this->own, 300));
 }
 
-// Of a workspace that was refused the log tells what the limit went by.
+// The log shows what a refusal was based on.
 TEST_CASE_FIXTURE(limiter_fixture, "limit_status_shows_counted_usage")
 {
     CHECK(this->try_send(this->own, 300));
@@ -315,9 +315,9 @@
     CHECK(seen.window_known);
 }
 
-// A workspace's window is full, and ten of its callers are refused at once.
-// Each comes back when it was told to, and is let through: told when there is
-// room for one of them, all but one would be refused again.
+// A workspace's window is full, and ten callers are refused at once. Each
+// retries at the time that it was told, and is admitted. If all were told when
+// there is room for one, all but one would be refused again.
 TEST_CASE_FIXTURE(limiter_fixture,
                   "refused_callers_admitted_at_their_retry_times")
 {
@@ -341,8 +341,9 @@
     CHECK(refused_again == 0);
 }
 
-// The bucket has a caller's cost sooner than the window has room for it. Told
-// the first of these times, it came back after 21 ms and was refused again.
+// The bucket holds the caller's cost sooner than the window has room for it. A
+// caller that is told the earlier time would be refused again (in one case
+// after 21 ms).
 TEST_CASE_FIXTURE(limiter_fixture, "retry_delay_covers_window_and_bucket")
 {
     this->receive_peer_report({{planning, 5'000'000, 0, 850}}, false);
@@ -354,7 +355,7 @@
     CHECK(this->try_send(this->own, 102));
 }
 
-// Whatever was refused before, after a window all that is counted has left.
+// All counted usage leaves within one window, whatever was refused before.
 TEST_CASE_FIXTURE(limiter_fixture, "retry_delay_at_most_one_window")
 {
     CHECK(this->try_send(this->own, burst));
--- a/src/greengagedrum/quota/usage_limiter.cpp
+++ b/src/greengagedrum/quota/usage_limiter.cpp
@@ -11,13 +11,14 @@
 namespace
 {
 
-// In which others are told of the window: quarters suffice for one that starts
-// anew, which counts each as of its end. A process that takes over again and
-// again, as entries are restarted in turn, would add a quarter each time.
+// The parts of the window that are reported to others. Four suffice for a
+// process that starts, which counts each part as of its end and so up to a
+// quarter of the window too long. A handover needs finer parts: as entries are
+// restarted in turn, each handover would add a quarter of the window again.
 constexpr std::size_t reported_parts = 4;
 constexpr std::size_t handover_parts = 32;
 
-// Workspaces that one datagram holds, at 150 bytes each.
+// Workspaces that fit into one datagram, at 150 bytes each.
 constexpr std::size_t max_handover_workspaces = 300;
 
 std::uint32_t to_counter(double value)
@@ -28,8 +29,6 @@
 
 } // namespace
 
-// ---- The limit ------------------------------------------------------------
-
 void usage_limiter::restart(base::instant now)
 {
     this->started = now;
@@ -38,15 +37,15 @@
     this->silent_peer_shares = silent_peers(now);
     for (auto& [workspace, limit] : this->limits) {
         workspace_limit fresh(limit.published, this->tolerated, now);
-        // Peers go by how much it has grown since they heard of it last.
+        // Kept, since peers count the growth of this number.
         fresh.own_sent = limit.own_sent;
         limit = fresh;
     }
 }
 
-// Failure guarded against: the dispatcher of a data centre stops, and the one
-// that takes over knows nothing of the window. Its buckets begin nearly empty,
-// and work within the limits is refused.
+// Failure guarded against: the dispatcher of a data centre stops, and its
+// successor knows nothing of the window. The successor's buckets are nearly
+// empty, and requests within the limits are refused.
 void usage_limiter::take_over(base::slot_id former,
                               base::incarnation incarnation,
                               std::span<const workspace_usage> usage,
@@ -54,7 +53,8 @@
 {
     this->restart(now);
     this->on_peer_report(former, incarnation, usage, true, now);
-    // Requests that wait there are asked for here.
+    // The former dispatcher's waiting requests are submitted to this one and
+    // counted again.
     this->forget_peer(former);
     this->took_over =
         std::any_of(usage.begin(), usage.end(), [](const workspace_usage& one) {
@@ -84,7 +84,7 @@
     return now - this->started < this->tolerated.window;
 }
 
-// A process knows nothing of its own of what was let through before its start.
+// A process does not know what was sent before it started.
 bool usage_limiter::window_known(base::instant now) const
 {
     return this->took_over || !this->started_within_window(now);
@@ -103,8 +103,6 @@
     return &found->second;
 }
 
-// ---- Own requests ---------------------------------------------------------
-
 std::optional<base::duration>
 usage_limiter::try_acquire(base::workspace_id workspace,
                            double cost,
@@ -165,8 +163,9 @@
 std::vector<std::uint32_t> usage_limiter::all_sent_in_window(
     const workspace_limit& limit, std::size_t parts, base::instant now) const
 {
-    // What was learnt of peers in the first moments has left by then as well:
-    // passed on, it would count twice with the next process that starts.
+    // Usage that peers reported right after the start must have left the window
+    // as well: reported on, it would be counted twice by the next process that
+    // starts.
     if (!this->took_over &&
         now - this->started < this->tolerated.window * 5 / 4)
         return {};
@@ -201,9 +200,9 @@
     return out;
 }
 
-// Failure guarded against: with thousands of workspaces the message is larger
-// than a datagram, and with it the sign of life that it bears is lost. Those
-// nearest to their limits are told; of the others there is room enough.
+// Failure guarded against: with thousands of workspaces the message exceeds a
+// datagram and is lost, and with it the heartbeat that it carries. The
+// workspaces closest to their limits are reported; the others have enough room.
 std::vector<workspace_usage> usage_limiter::window_usage(base::instant now)
 {
     const limit_rules current_rules = this->rules(now);
@@ -231,9 +230,6 @@
     return out;
 }
 
-// ---- Entries that are not heard
-// -----------------------------------------------
-
 void usage_limiter::set_never_heard_peer_count(std::size_t count)
 {
     this->silent_peer_shares.set_never_heard_count(count);
--- a/src/greengagedrum/quota/usage_limiter.hpp
+++ b/src/greengagedrum/quota/usage_limiter.hpp
@@ -1,18 +1,20 @@
-// Keeps each workspace within its limit over all entries together, without
-// refusing what is within it.
+// Rate limiter that keeps each workspace within its limit over all entries,
+// without refusing requests that are within it.
 //
-// A request is let through when all that was let through in the operator's
-// window, this included, is within rate times window plus burst, and a token
-// bucket of the published burst has its cost. The bucket fills evenly with what
-// the window may hold, so that no more than a burst goes out at once: all
-// entries may be killed at any moment, and their successors, which know nothing
-// of the window and give out the rate, still keep the limit.
+// A request is admitted if two conditions hold. All that was admitted within
+// the operator's window, this request included, is at most rate times window
+// plus burst; and a token bucket, whose capacity is the published burst, holds
+// the request's cost. The bucket fills at the rate that spreads the window's
+// bound evenly over the window, so that at most one burst is admitted at once.
+// This keeps the limit even if all entries are killed at any moment: their
+// successors know nothing of the window and admit only the published rate.
 //
-// Each entry counts what it let through and what its peers tell that they did.
+// Each entry counts what it sent and what its peers report to have sent.
 // Nothing is divided among entries that hear each other, since callers are
-// spread unevenly over them; those that can't be heard are assumed to use a
-// part (absent_peers). A part of what the operator tolerates covers the time
-// that a peer's message takes. docs/design/limits.md has the bound.
+// spread unevenly over them. Peers that can't be heard are assumed to use a
+// share (see silent_peers). A part of the tolerance that the operator grants
+// covers the delay of the peers' messages. docs/design/limits.md derives the
+// bound.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -31,26 +33,27 @@
 namespace greengagedrum::quota
 {
 
-// What one entry let through, in the limit's unit.
+// What one entry used of a limit, in the limit's unit.
 struct workspace_usage {
     base::workspace_id workspace;
-    std::uint64_t sent_total = 0; // sent to upstreams since its start
-    std::uint32_t waiting = 0;    // let through and not sent yet
-    std::uint32_t sent_in_window =
-        0; // of `sent_total`, within the operator's window
-    // The same of all entries, by equal parts of the window, the newest first;
-    // empty where the sender does not know the window.
+    std::uint64_t sent_total = 0; // since its process started
+    std::uint32_t waiting = 0;    // admitted, not sent yet
+    // Of `sent_total`, what was sent within the operator's window.
+    std::uint32_t sent_in_window = 0;
+    // Sent by all entries within the window, by equal parts of it, the most
+    // recent first. Empty if the sender does not know the window.
     std::vector<std::uint32_t> all_sent_in_window{};
 };
 
-// What one workspace's limit rests on at this entry, in its unit. For the log.
+// The state of one workspace's limit at this entry, in the limit's unit. For
+// the log.
 struct limit_status {
-    double bucket_level = 0; // of the bucket; below zero: overdrawn
-    double own_sent = 0;     // within the window, by this entry
-    double all_sent = 0;     // within the window, by all entries
-    double all_waiting = 0;  // let through and not sent yet, by all entries
-    double window_bound = 0; // what a window may hold
-    double silent_share = 0; // of the limit, kept for entries not heard
+    double bucket_level = 0; // negative: overdrawn
+    double own_sent = 0;     // by this entry, within the window
+    double all_sent = 0;     // by all entries, within the window
+    double all_waiting = 0;  // admitted and not sent yet, by all entries
+    double window_bound = 0; // the most that a window may hold
+    double silent_share = 0; // of the limit, reserved for silent peers
     bool window_known = false;
 };
 
@@ -63,12 +66,12 @@
     }
 
     void set_tolerance(const tolerance& given) { this->tolerated = given; }
-    // Forgets all that was counted, as a process does that starts now: others
-    // counted for this entry meanwhile.
+    // Forgets all usage, as if the process had just started. For an entry that
+    // begins to count again after others counted for it.
     void restart(base::instant now);
 
-    // The same, and goes on with what another process knew of all entries when
-    // it told so last: this one counts in its place.
+    // Restarts with the usage that the former dispatcher reported last, since
+    // this entry counts in its place.
     void take_over(base::slot_id former,
                    base::incarnation incarnation,
                    std::span<const workspace_usage> usage,
@@ -76,24 +79,26 @@
 
     void set_limits(const routing::configuration& config, base::instant now);
 
-    // Empty: the request is within the limit and waits to be sent. Else when
-    // to come back. Beyond the limit more urgent requests (0: the most) go
-    // first.
+    // Returns nothing if the request is admitted; it then counts as waiting
+    // until on_sent() or refund_unsent(). Otherwise returns the delay after
+    // which the caller should retry. Beyond the limit, higher priorities (0 is
+    // the highest) go first.
     std::optional<base::duration> try_acquire(base::workspace_id workspace,
                                               double cost,
                                               std::uint32_t priority,
                                               base::instant now);
 
-    // It goes to an upstream, for the first time. It counts for the window
-    // from here on: a caller's request that waits is sent later, never sooner.
+    // The request is sent for the first time, and counts in the window from now
+    // on: a waiting request is sent later than it was admitted, never sooner.
     void on_sent(base::workspace_id workspace, double cost, base::instant now);
 
-    // It ended without having been sent.
+    // The request ended without having been sent.
     void
     refund_unsent(base::workspace_id workspace, double cost, base::instant now);
 
-    // It was sent, and did not run after all. The window goes on counting it:
-    // taken out late, it would make room once more as its time leaves.
+    // The request was sent but did not run. Its cost returns to the bucket
+    // only. Taken out of the window late, it would make room a second time when
+    // it would have left the window.
     void refund_not_run(base::workspace_id workspace,
                         double cost,
                         base::instant now);
@@ -104,26 +109,28 @@
                         bool stopping,
                         base::instant now);
 
-    // It lets nothing through by itself any more: another entry counts for it.
-    // No part of a limit is kept for it. What was counted of it stays known for
-    // a window, in case that it is heard again.
+    // The peer admits nothing by itself any more, since another entry counts
+    // for it. No share is reserved for it. Its counted usage stays known for a
+    // window, in case the peer is heard again.
     void forget_peer(base::slot_id peer);
-    // The same of all: from now on few count for all others.
+    // The same for all peers: from now on a few entries count for all others.
     void forget_peers();
 
-    // Time has passed: who has fallen silent is assumed to use its part.
+    // To be called regularly: reserves shares for peers that fell silent.
     void update_silent_peers(base::instant now);
-    // Entries that are named somewhere and were never heard.
+    // Number of known peers that were never heard.
     void set_never_heard_peer_count(std::size_t count);
-    // Of those that this entry counts for, the part that does not report.
+    // Of the members that this entry dispatches for, the share that does not
+    // report.
     void set_unreported_member_share(double part, base::instant now);
 
     std::vector<workspace_usage> own_usage(base::instant now);
-    // For whoever may take over: also what only others used, in finer parts.
+    // For a successor: also what only others used, and in finer parts.
     std::vector<workspace_usage> window_usage(base::instant now);
     limit_status status_of(base::workspace_id workspace,
                            base::instant now) const;
-    // What such a request has to leave of the limit for those more urgent.
+    // The part of the limit that a request of this cost and priority has to
+    // leave to higher priorities.
     double reserved_for_higher_priority(base::workspace_id workspace,
                                         double cost,
                                         std::uint32_t priority,
@@ -163,7 +170,8 @@
     void remove_forgotten(base::instant now);
 
     base::instant started;
-    bool took_over = false; // what it knows of the window is another's
+    // The usage of the window was handed over by another process.
+    bool took_over = false;
     tolerance tolerated;
     std::unordered_map<base::workspace_id, workspace_limit> limits;
     std::unordered_map<base::slot_id, peer_state> peers;
--- a/src/greengagedrum/quota/window_sum.cpp
+++ b/src/greengagedrum/quota/window_sum.cpp
@@ -8,13 +8,14 @@
 namespace
 {
 
-// Amounts this close are one part, so that a window holds 160 of them at most.
+// Amounts that were added within this time share a part, so that a window of 8
+// s has at most 160 parts.
 constexpr base::duration merge_interval = std::chrono::milliseconds(50);
 
 } // namespace
 
-// A part is as old as its last amount: one that is dropped too late is counted
-// for 50 ms too long, never too short.
+// A part expires with its last amount: an amount counts up to 50 ms too long,
+// never too short.
 void window_sum::add(double amount, base::instant now)
 {
     this->total += amount;
@@ -55,8 +56,9 @@
         this->total -= this->parts.front().amount;
         this->parts.pop_front();
     }
+    // Avoids accumulated rounding errors.
     if (this->parts.empty())
-        this->total = 0; // no drift of rounding
+        this->total = 0;
 }
 
 double window_sum::sum_before(base::instant at) const
--- a/src/greengagedrum/quota/window_sum.hpp
+++ b/src/greengagedrum/quota/window_sum.hpp
@@ -1,4 +1,4 @@
-// The sum of what was added within a sliding window.
+// The sum of the amounts that were added within a sliding window.
 #pragma once
 
 #include <greengagedrum/base/time.hpp>
@@ -14,19 +14,19 @@
 {
 public:
     void add(double amount, base::instant now);
-    // Of an earlier time, at the latest.
+    // Adds an amount of an earlier time.
     void add_at(double amount, base::instant at);
     void drop_expired(base::duration window, base::instant now);
 
     double sum() const { return this->total; }
     double sum_before(base::instant at) const;
 
-    // By equal parts of the window, the newest first.
+    // The sums of `count` equal parts of the window, the most recent first.
     std::vector<double>
     by_part(std::size_t count, base::duration window, base::instant now) const;
 
-    // How long until `amount` has left the window; the whole window when less
-    // than that is in it.
+    // How long until `amount` has left the window; the whole window if it holds
+    // less than that.
     base::duration time_until_left(double amount,
                                    base::duration window,
                                    base::instant now) const;
--- a/src/greengagedrum/quota/workspace_limit.cpp
+++ b/src/greengagedrum/quota/workspace_limit.cpp
@@ -13,23 +13,25 @@
 namespace
 {
 
-// Parts of the tolerated slack and overshoot that a bucket may be overdrawn by.
-// The rest covers messages under way and processes that start.
+// By these parts of the tolerated slack and overshoot a bucket may be
+// overdrawn. The rest covers messages in transit and processes that start.
 constexpr double bucket_slack_part = 0.25;
 constexpr double bucket_overshoot_part = 0.4;
 
-// A bucket follows what another process knew of the window in as many steps.
+// Steps in which a bucket replays the window that another process handed over.
 constexpr std::size_t replay_steps = 32;
 
-// Beyond the limit, of the bucket: what more urgent requests ask for within
-// this time, and the most that is kept for them.
+// Beyond the limit, the bucket reserves what higher priorities need within this
+// time, but at most this part of the burst.
 constexpr base::duration reserved_time = std::chrono::milliseconds(500);
 constexpr double max_reserved_part = 0.5;
 
-// Of the cost of a more urgent request: next to nothing.
+// A cost below this part of the average cost of a higher-priority request is
+// negligible.
 constexpr double negligible_cost_ratio = 0.05;
 
-// Of the rate, for callers that an entry refused though it let through nothing.
+// Least share of the rate, for callers of an entry that refused them although
+// it sent nothing itself.
 constexpr double min_own_share = 0.02;
 
 } // namespace
@@ -50,7 +52,7 @@
     return this->window_bound(rules) / seconds_of(rules.tolerated.window);
 }
 
-// What absent peers are assumed to use is not given out here.
+// The share that silent peers are assumed to use is not given out here.
 void workspace_limit::refill(const limit_rules& rules, base::instant now)
 {
     const double part = 1 - this->silent_usage.share;
@@ -102,15 +104,16 @@
                                  ? std::max(this->former_bound, before)
                                  : before;
         this->former_bound_until = now + rules.tolerated.window;
-        // What was let through under the limit before is no debt.
+        // What was admitted under the former limit is not overdrawn under the
+        // new one.
         this->bucket_level = std::max(this->bucket_level, 0.0);
     }
     this->published = published;
     this->bucket_level = std::min(this->bucket_level, this->published.burst);
 }
 
-// A process that knows nothing of the window before its start has no margin:
-// whoever was there before may have used it.
+// A process that does not know the window from before its start has no margin:
+// the entries before it may have used it up.
 double workspace_limit::margin(const limit_rules& rules) const
 {
     if (!rules.window_known)
@@ -126,9 +129,9 @@
            this->published.burst + this->margin(rules);
 }
 
-// What a window of that bound still holds for this entry and those it hears. Of
-// what was left when the others fell silent only its part, since they may use
-// theirs at any moment.
+// What a window of that bound still holds for this entry and the peers that it
+// hears. Of what was left when the others fell silent, only the share of this
+// side counts, since the others may use theirs at any moment.
 double workspace_limit::window_room(double bound) const
 {
     const double part = 1 - this->silent_usage.share;
@@ -147,9 +150,9 @@
                : 1.0;
 }
 
-// Failure guarded against: a workspace asks for several times its limit, and
-// its notes use what its dossiers are refused for. Requests that cost next to
-// nothing beside those leave them enough in any case.
+// Failure guarded against: a workspace demands several times its limit, and its
+// low-priority requests use up what its high-priority requests are then refused
+// for. Requests of negligible cost leave enough room in any case.
 double workspace_limit::reserved_for_higher_priority(double cost,
                                                      std::uint32_t priority,
                                                      const limit_rules& rules,
@@ -182,9 +185,9 @@
         wanted - this->bucket_level - part * this->margin(rules);
     const double bound = this->window_bound(rules);
     const double lacking = wanted - this->window_room(bound);
-    // Failure guarded against: a limit is lowered and raised again and again,
-    // or a process starts anew; the bucket then lets its burst through each
-    // time. Whatever it says, the window under the highest limit lately holds.
+    // Failure guarded against: a limit is lowered and raised repeatedly, or a
+    // process starts again, and the bucket admits its burst each time. The
+    // window under the highest recent limit holds regardless of the bucket.
     const bool lowered_recently = now < this->former_bound_until;
     const bool fits =
         lacking <= 0 ||
@@ -198,11 +201,11 @@
     return fits ? filled : std::max(filled, left);
 }
 
-// Failure guarded against: a hundred callers are refused within a second, are
-// all told when there is room for one, and all but one are refused again. Each
-// is told the time after those before it, by the part of the rate that goes
-// through this entry. None waits for longer than a window: by then all that is
-// counted has left it.
+// Failure guarded against: a hundred callers are refused within a second, all
+// are told the time at which there is room for one, and all but one are refused
+// again. Each caller gets a time after the callers before it, at the share of
+// the rate that goes through this entry. The delay is at most one window, after
+// which all counted usage has left it.
 base::duration workspace_limit::schedule_retry(double cost,
                                                base::duration wait,
                                                base::duration window,
