--- a/src/greengagedrum/rings/bounded_queue.hpp
+++ b/src/greengagedrum/rings/bounded_queue.hpp
@@ -1,8 +1,7 @@
-// A bounded queue between the threads of two duties.
+// A bounded queue between threads: many producers, one consumer.
 //
-// Many producers, one consumer. A full ring refuses the item at once: that is
-// the back-pressure which its producer turns into an honest `not_run`. It is
-// not a channel with blocking sends; nothing may wait on a slow consumer.
+// A full queue refuses an item at once, and the producer answers its caller
+// with `not_run` (back-pressure). No call blocks on a slow consumer.
 #pragma once
 
 #include <boost/circular_buffer.hpp>
@@ -22,7 +21,7 @@
 public:
     explicit bounded_queue(std::size_t capacity) : items(capacity) {}
 
-    // False when the ring is full or closed; the item is then untouched.
+    // False if the queue is full or closed; the item is then left untouched.
     [[nodiscard]] bool push(Item&& item)
     {
         const std::lock_guard lock(this->mutex);
@@ -33,8 +32,8 @@
         return true;
     }
 
-    // Waits up to `timeout` for items, then moves all of them to `out`.
-    // False once the ring is closed and drained.
+    // Waits up to `timeout` for items, then moves all of them to `out`. Returns
+    // false once the queue is closed and empty.
     template <class Rep, class Period>
     bool drain(std::vector<Item>& out,
                std::chrono::duration<Rep, Period> timeout)
