--- a/src/greengagedrum/quarantine/crash_record.hpp
+++ b/src/greengagedrum/quarantine/crash_record.hpp
@@ -1,9 +1,9 @@
 // Upstream crashes while one request was running on them, and the answers and
 // trials since.
 //
-// Crashes are keyed by the upstream's incarnation, so that a crash that is reported
-// twice counts once. Crashes up to ten seconds after an answer to the same
-// request don't count: an answered request does not crash upstreams.
+// Crashes are keyed by the upstream's incarnation, so that a crash that is
+// reported twice counts once. Crashes up to ten seconds after an answer to the
+// same request don't count: an answered request does not crash upstreams.
 #pragma once
 
 #include <greengagedrum/quarantine/messages.hpp>
--- a/src/greengagedrum/routing/configuration.hpp
+++ b/src/greengagedrum/routing/configuration.hpp
@@ -42,8 +42,8 @@
     // Of one request; each goes to another upstream.
     std::uint32_t attempts_max = 1;
     base::duration timeout{0}; // 0: none
-    base::duration latency_objective{
-        0}; // until the answer, or a stream's first event
+    // Until the answer, or a stream's first event.
+    base::duration latency_objective{0};
     base::duration event_gap_objective{0}; // between events of a stream
     std::vector<route_target> targets;     // never empty
     // Where its requests may run; empty: anywhere.
