--- a/src/greengagedrum/quarantine/crash_record.cpp
+++ b/src/greengagedrum/quarantine/crash_record.cpp
@@ -62,9 +62,9 @@
 
 std::size_t crash_record::crash_count() const
 {
-    const auto counts = [this](const auto& one) {
+    const auto counts = [this](const auto& entry) {
         return !this->answered_at ||
-               one.second.at > *this->answered_at + answer_validity;
+               entry.second.at > *this->answered_at + answer_validity;
     };
     return static_cast<std::size_t>(
         std::count_if(this->crashes.begin(), this->crashes.end(), counts));
@@ -73,8 +73,8 @@
 base::instant crash_record::last_crash() const
 {
     base::instant last;
-    for (const auto& [upstream, one] : this->crashes)
-        last = std::max(last, one.at);
+    for (const auto& [upstream, crash] : this->crashes)
+        last = std::max(last, crash.at);
     return last;
 }
 
@@ -115,8 +115,8 @@
         this->crashes.erase(
             std::min_element(this->crashes.begin(),
                              this->crashes.end(),
-                             [](const auto& one, const auto& other) {
-                                 return one.second.at < other.second.at;
+                             [](const auto& left, const auto& right) {
+                                 return left.second.at < right.second.at;
                              }));
     return true;
 }
@@ -158,9 +158,9 @@
                                          base::instant now) const
 {
     suspect_report out{request, this->workspace_id, {}, {}, {}};
-    for (const auto& [upstream, one] : this->crashes) {
-        if (one.confirmed)
-            out.crashes.push_back({upstream, now - one.at});
+    for (const auto& [upstream, crash] : this->crashes) {
+        if (crash.confirmed)
+            out.crashes.push_back({upstream, now - crash.at});
     }
     if (this->answered_at)
         out.answered_age = now - *this->answered_at;
--- a/src/greengagedrum/quarantine/suspect_table.cpp
+++ b/src/greengagedrum/quarantine/suspect_table.cpp
@@ -213,29 +213,30 @@
                      base::instant now)
 {
     changes out;
-    for (const suspect_report& one : received) {
-        if (!this->may_record(one))
+    for (const suspect_report& report : received) {
+        if (!this->may_record(report))
             continue;
-        request_record& record = this->find_or_add(one.request, one.workspace);
-        const quarantine_state before = this->state_of(one.request, now);
-        if (this->merge_one(record, one, now))
+        request_record& record =
+            this->find_or_add(report.request, report.workspace);
+        const quarantine_state before = this->state_of(report.request, now);
+        if (this->merge_report(record, report, now))
             record.changed_at = now;
-        this->append_if_changed(one.request, record, before, now, out);
+        this->append_if_changed(report.request, record, before, now, out);
     }
     return out;
 }
 
-bool suspect_table::merge_one(request_record& record,
-                              const suspect_report& received,
-                              base::instant now)
+bool suspect_table::merge_report(request_record& record,
+                                 const suspect_report& received,
+                                 base::instant now)
 {
     bool changed = record.crashes.merge_times(received, now);
-    for (const reported_crash& one : received.crashes) {
-        if (this->known_alive.contains(one.upstream))
+    for (const reported_crash& crash : received.crashes) {
+        if (this->known_alive.contains(crash.upstream))
             continue;
-        if (!record.crashes.add(one.upstream, now - one.age, true))
+        if (!record.crashes.add(crash.upstream, now - crash.age, true))
             continue;
-        this->presumed_gone.try_emplace(one.upstream, now - one.age);
+        this->presumed_gone.try_emplace(crash.upstream, now - crash.age);
         changed = true;
     }
     const auto answered = this->answers.last_answer(received.request);
@@ -251,10 +252,10 @@
     if (received.crashes.size() >= quarantine_threshold ||
         this->records.contains(received.request))
         return true;
-    const auto record = this->record_counts.find(received.workspace);
+    const auto count = this->record_counts.find(received.workspace);
     return this->records.size() < max_records &&
-           (record == this->record_counts.end() ||
-            record->second < max_records_per_workspace);
+           (count == this->record_counts.end() ||
+            count->second < max_records_per_workspace);
 }
 
 suspect_table::request_record&
@@ -274,17 +275,17 @@
 
 void suspect_table::make_room(base::workspace_id workspace)
 {
-    const auto record = this->record_counts.find(workspace);
-    if (record != this->record_counts.end() &&
-        record->second >= max_records_per_workspace)
+    const auto count = this->record_counts.find(workspace);
+    if (count != this->record_counts.end() &&
+        count->second >= max_records_per_workspace)
         return this->evict_least_suspect(workspace);
     if (this->records.size() < max_records)
         return;
     const auto largest =
         std::max_element(this->record_counts.begin(),
                          this->record_counts.end(),
-                         [](const auto& one, const auto& other) {
-                             return one.second < other.second;
+                         [](const auto& left, const auto& right) {
+                             return left.second < right.second;
                          });
     this->evict_least_suspect(largest->first);
 }
@@ -298,11 +299,13 @@
         return std::pair(record.crashes.crash_count(),
                          record.crashes.last_crash());
     };
-    for (auto one = this->records.begin(); one != this->records.end(); ++one) {
-        if (one->second.crashes.workspace() == workspace &&
+    for (auto candidate = this->records.begin();
+         candidate != this->records.end();
+         ++candidate) {
+        if (candidate->second.crashes.workspace() == workspace &&
             (least == this->records.end() ||
-             rank(one->second) < rank(least->second)))
-            least = one;
+             rank(candidate->second) < rank(least->second)))
+            least = candidate;
     }
     if (least != this->records.end())
         this->erase(least);
@@ -322,19 +325,19 @@
     if (now < this->cleaned_up_at + cleanup_interval)
         return;
     this->cleaned_up_at = now;
-    for (auto one = this->records.begin(); one != this->records.end();) {
-        const auto next = std::next(one);
-        const request_record& record = one->second;
+    for (auto entry = this->records.begin(); entry != this->records.end();) {
+        const auto next = std::next(entry);
+        const request_record& record = entry->second;
         const base::duration idle =
             now - std::max(record.crashes.last_crash(), record.changed_at);
         const bool is_quarantined =
             record.crashes.crash_count() >= quarantine_threshold;
         if (idle > (is_quarantined ? quarantine_retention : suspect_retention))
-            this->erase(one);
-        one = next;
+            this->erase(entry);
+        entry = next;
     }
-    const auto expired = [&](const auto& one) {
-        return now - one.second > suspect_retention;
+    const auto expired = [&](const auto& entry) {
+        return now - entry.second > suspect_retention;
     };
     std::erase_if(this->presumed_gone, expired);
     std::erase_if(this->known_alive, expired);
--- a/src/greengagedrum/quota/peer_usage.cpp
+++ b/src/greengagedrum/quota/peer_usage.cpp
@@ -33,15 +33,15 @@
     // A peer's report of usage before this process started is merged once, when
     // the peer is first heard.
     const bool merge_report = first_heard && this->started_within_window(now);
-    for (const workspace_usage& one : usage) {
-        peer_usage& known_usage = known.usage[one.workspace];
+    for (const workspace_usage& reported : usage) {
+        peer_usage& known_usage = known.usage[reported.workspace];
         if (merge_report) {
-            known_usage.sent = static_cast<double>(one.sent_total);
-            this->merge_history(one, now);
+            known_usage.sent = static_cast<double>(reported.sent_total);
+            this->merge_history(reported, now);
         }
         this->count_peer_usage(peer,
                                known_usage,
-                               one,
+                               reported,
                                first_heard || was_restarted || returned,
                                now);
     }
@@ -139,8 +139,9 @@
 void usage_limiter::remove_forgotten(base::instant now)
 {
     std::erase_if(this->peers, [&](const auto& entry) {
-        const peer_state& one = entry.second;
-        return one.forgotten && now - one.reported_at > this->tolerated.window;
+        const peer_state& peer = entry.second;
+        return peer.forgotten &&
+               now - peer.reported_at > this->tolerated.window;
     });
 }
 
--- a/src/greengagedrum/quota/priority_demand.cpp
+++ b/src/greengagedrum/quota/priority_demand.cpp
@@ -23,9 +23,9 @@
                                    double cost,
                                    base::instant now)
 {
-    demand_level& own = this->levels.at(level_of(priority));
-    own.requests.add(1, now);
-    own.requested.add(cost, now);
+    demand_level& level = this->levels.at(level_of(priority));
+    level.requests.add(1, now);
+    level.requested.add(cost, now);
 }
 
 void priority_demand::on_admitted(std::uint32_t priority,
@@ -38,8 +38,8 @@
 double priority_demand::total_rate(base::instant now) const
 {
     double sum = 0;
-    for (const demand_level& one : this->levels)
-        sum += one.requested.per_second(now);
+    for (const demand_level& level : this->levels)
+        sum += level.requested.per_second(now);
     return sum;
 }
 
@@ -66,11 +66,12 @@
                                  base::instant now) const
 {
     double all_admitted = 0;
-    for (const demand_level& one : this->levels)
-        all_admitted += one.admitted.per_second(now);
-    const demand_level& own = this->levels.at(level_of(priority));
-    return own.admitted.per_second(now) * this->total_rate(now) <
-           starvation_ratio * all_admitted * own.requested.per_second(now);
+    for (const demand_level& level : this->levels)
+        all_admitted += level.admitted.per_second(now);
+    const demand_level& own_level = this->levels.at(level_of(priority));
+    return own_level.admitted.per_second(now) * this->total_rate(now) <
+           starvation_ratio * all_admitted *
+               own_level.requested.per_second(now);
 }
 
 } // namespace greengagedrum::quota
--- a/src/greengagedrum/quota/silent_peers.cpp
+++ b/src/greengagedrum/quota/silent_peers.cpp
@@ -42,12 +42,12 @@
                             bool stopping,
                             base::instant now)
 {
-    peer_state& one = this->peers[peer];
-    const bool was_silent = one.silent;
-    one.heard_at = now;
-    one.stopping = stopping;
-    one.silent = false;
-    one.shares.clear();
+    peer_state& state = this->peers[peer];
+    const bool was_silent = state.silent;
+    state.heard_at = now;
+    state.stopping = stopping;
+    state.silent = false;
+    state.shares.clear();
     return was_silent;
 }
 
@@ -63,12 +63,12 @@
     if (const auto found = this->own_rates.find(workspace);
         found != this->own_rates.end())
         sum += found->second.per_second(now);
-    for (const auto& [id, one] : this->peers) {
-        const auto found = one.rates.find(workspace);
+    for (const auto& [id, peer] : this->peers) {
+        const auto found = peer.rates.find(workspace);
         // The rate of a silent peer decays no further: the peer may go on as
         // before.
-        if (found != one.rates.end())
-            sum += found->second.per_second(one.silent ? one.heard_at : now);
+        if (found != peer.rates.end())
+            sum += found->second.per_second(peer.silent ? peer.heard_at : now);
     }
     return sum;
 }
@@ -80,18 +80,18 @@
     peer.silent = true;
     const auto entries =
         static_cast<double>(this->peers.size() + this->never_heard + 1);
-    for (const workspace_rate& one : limits) {
-        if (one.per_second <= 0)
+    for (const workspace_rate& limit : limits) {
+        if (limit.per_second <= 0)
             continue;
-        const double all = this->total_rate(one.workspace, now);
-        const auto found = peer.rates.find(one.workspace);
+        const double all = this->total_rate(limit.workspace, now);
+        const auto found = peer.rates.find(limit.workspace);
         const double rate = found == peer.rates.end()
                                 ? 0
                                 : found->second.per_second(peer.heard_at);
         // Beyond the limit all entries are reduced in proportion.
-        const double kept = rate / std::max(all, one.per_second);
-        const double unused = std::max(0.0, 1 - all / one.per_second);
-        peer.shares[one.workspace] = kept + unused / entries;
+        const double kept = rate / std::max(all, limit.per_second);
+        const double unused = std::max(0.0, 1 - all / limit.per_second);
+        peer.shares[limit.workspace] = kept + unused / entries;
     }
 }
 
@@ -100,18 +100,18 @@
                             base::instant now)
 {
     std::vector<base::slot_id> out;
-    for (auto& [id, one] : this->peers) {
-        if (one.silent || now - one.heard_at <= silence_timeout)
+    for (auto& [id, peer] : this->peers) {
+        if (peer.silent || now - peer.heard_at <= silence_timeout)
             continue;
-        this->mark_silent(one, limits, now);
+        this->mark_silent(peer, limits, now);
         out.push_back(id);
     }
     // Peers that announced their stop have ended; peers that were silent for
     // long are taken to be lost.
     std::erase_if(this->peers, [&](const auto& entry) {
-        const peer_state& one = entry.second;
-        return one.silent &&
-               (one.stopping || now - one.heard_at > reservation_time);
+        const peer_state& peer = entry.second;
+        return peer.silent &&
+               (peer.stopping || now - peer.heard_at > reservation_time);
     });
     return out;
 }
@@ -155,12 +155,12 @@
     assumed_usage out;
     out.share = this->never_heard_share(now);
     out.since = out.share > 0 ? this->started : now;
-    for (const auto& [id, one] : this->peers) {
-        const auto found = one.shares.find(workspace);
-        if (found == one.shares.end())
+    for (const auto& [id, peer] : this->peers) {
+        const auto found = peer.shares.find(workspace);
+        if (found == peer.shares.end())
             continue;
         out.share += found->second;
-        out.since = std::min(out.since, one.heard_at);
+        out.since = std::min(out.since, peer.heard_at);
     }
     out.share = std::min(out.share, 1.0);
     if (this->unreported > 0) {
--- a/src/greengagedrum/quota/usage_limiter.cpp
+++ b/src/greengagedrum/quota/usage_limiter.cpp
@@ -56,9 +56,9 @@
     // The former dispatcher's waiting requests are submitted to this one and
     // counted again.
     this->forget_peer(former);
-    this->took_over =
-        std::any_of(usage.begin(), usage.end(), [](const workspace_usage& one) {
-            return !one.all_sent_in_window.empty();
+    this->took_over = std::any_of(
+        usage.begin(), usage.end(), [](const workspace_usage& reported) {
+            return !reported.all_sent_in_window.empty();
         });
     if (!this->took_over)
         return;
@@ -71,11 +71,11 @@
                                base::instant now)
 {
     const limit_rules current_rules = this->rules(now);
-    for (const routing::workspace& one : config.workspaces) {
-        const auto [found, fresh] =
-            this->limits.try_emplace(one.id, one.limit, this->tolerated, now);
-        if (!fresh)
-            found->second.set_published(one.limit, current_rules, now);
+    for (const routing::workspace& workspace : config.workspaces) {
+        const auto [found, inserted] = this->limits.try_emplace(
+            workspace.id, workspace.limit, this->tolerated, now);
+        if (!inserted)
+            found->second.set_published(workspace.limit, current_rules, now);
     }
 }
 
--- a/src/greengagedrum/quota/window_sum.cpp
+++ b/src/greengagedrum/quota/window_sum.cpp
@@ -33,7 +33,7 @@
     const auto next =
         std::find_if(this->parts.begin(),
                      this->parts.end(),
-                     [&](const part& one) { return one.first > at; });
+                     [&](const window_part& part) { return part.first > at; });
     this->parts.insert(next, {at, at, amount});
 }
 
@@ -43,9 +43,9 @@
 {
     std::vector<double> out(count);
     const base::duration length = window / static_cast<int>(count);
-    for (const part& one : this->parts) {
-        const auto at = static_cast<std::size_t>((now - one.last) / length);
-        out.at(std::min(at, count - 1)) += one.amount;
+    for (const window_part& part : this->parts) {
+        const auto at = static_cast<std::size_t>((now - part.last) / length);
+        out.at(std::min(at, count - 1)) += part.amount;
     }
     return out;
 }
@@ -64,10 +64,10 @@
 double window_sum::sum_before(base::instant at) const
 {
     double sum = 0;
-    for (const part& one : this->parts) {
-        if (one.last >= at)
+    for (const window_part& part : this->parts) {
+        if (part.last >= at)
             break;
-        sum += one.amount;
+        sum += part.amount;
     }
     return sum;
 }
@@ -76,10 +76,10 @@
                                            base::duration window,
                                            base::instant now) const
 {
-    for (const part& one : this->parts) {
-        amount -= one.amount;
+    for (const window_part& part : this->parts) {
+        amount -= part.amount;
         if (amount <= 0)
-            return one.last + window - now;
+            return part.last + window - now;
     }
     return window;
 }
--- a/src/greengagedrum/quota/window_sum.hpp
+++ b/src/greengagedrum/quota/window_sum.hpp
@@ -32,13 +32,13 @@
                                    base::instant now) const;
 
 private:
-    struct part {
+    struct window_part {
         base::instant first;
         base::instant last;
         double amount = 0;
     };
 
-    std::deque<part> parts;
+    std::deque<window_part> parts;
     double total = 0;
 };
 
