--- a/src/greengagedrum/quarantine/crash_record.cpp
+++ b/src/greengagedrum/quarantine/crash_record.cpp
@@ -45,9 +45,9 @@
 
 } // namespace
 
-std::string_view to_string(quarantine_state what)
+std::string_view to_string(quarantine_state state)
 {
-    switch (what) {
+    switch (state) {
     case quarantine_state::clear:
         return "clear";
     case quarantine_state::suspected:
--- a/src/greengagedrum/quarantine/messages.hpp
+++ b/src/greengagedrum/quarantine/messages.hpp
@@ -37,7 +37,7 @@
     quarantined, // refused
 };
 
-std::string_view to_string(quarantine_state what);
+std::string_view to_string(quarantine_state state);
 
 // The new state of a request, for the log.
 struct quarantine_state_change {
--- a/src/greengagedrum/quarantine/test/suspect_table_test.cpp
+++ b/src/greengagedrum/quarantine/test/suspect_table_test.cpp
@@ -17,18 +17,19 @@
     suspect_table table{1};
     suspect_table peer{2};
     base::workspace_id shop{"shop"};
-    base::request_digest request = body(0);
+    base::request_digest request = digest_of(0);
 
-    static base::request_digest body(std::uint64_t number)
+    static base::request_digest digest_of(std::uint64_t number)
     {
         return base::digest_of_request(
             "shop", "POST", "/", std::to_string(number));
     }
 
-    suspect_table::changes crash(const base::request_digest& what, int upstream)
+    suspect_table::changes crash(const base::request_digest& request,
+                                 int upstream)
     {
         auto out = this->table.on_crash(
-            what, this->shop, this->upstream(upstream), this->now);
+            request, this->shop, this->upstream(upstream), this->now);
         this->table.on_upstream_gone(this->upstream(upstream), this->now);
         return out;
     }
@@ -45,7 +46,7 @@
         return base::upstream_id("i-" + std::to_string(number));
     }
 
-    quarantine_state is() const
+    quarantine_state current_state() const
     {
         return this->table.state_of(this->request, this->now);
     }
@@ -54,12 +55,14 @@
     {
         this->crash(this->request, 1);
         this->crash(this->request, 2);
-        REQUIRE(this->is() == quarantine_state::quarantined);
+        REQUIRE(this->current_state() == quarantine_state::quarantined);
     }
 
-    void tell(suspect_table& from, suspect_table& to, bool rest = false)
+    void send_reports(suspect_table& from,
+                      suspect_table& to,
+                      bool include_unchanged = false)
     {
-        to.merge(from.collect_reports(this->now, rest), this->now);
+        to.merge(from.collect_reports(this->now, include_unchanged), this->now);
     }
 };
 
@@ -70,7 +73,7 @@
     const auto change = this->crash(this->request, 1);
     REQUIRE(change.size() == 1);
     CHECK(change.front().state == quarantine_state::suspected);
-    CHECK(this->is() == quarantine_state::suspected);
+    CHECK(this->current_state() == quarantine_state::suspected);
     CHECK(this->table.time_until_trial(this->request, this->now) == 0s);
 }
 
@@ -91,7 +94,7 @@
 {
     this->crash(this->request, 1);
     CHECK(this->crash(this->request, 1).empty());
-    CHECK(this->is() == quarantine_state::suspected);
+    CHECK(this->current_state() == quarantine_state::suspected);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "request_answered_cleared")
@@ -100,7 +103,7 @@
     const auto change = this->table.clear_suspicion(this->request, this->now);
     REQUIRE(change.size() == 1);
     CHECK(change.front().state == quarantine_state::clear);
-    CHECK(this->is() == quarantine_state::clear);
+    CHECK(this->current_state() == quarantine_state::clear);
 }
 
 // A request that many callers send is running on every upstream that ever
@@ -111,7 +114,7 @@
     this->now += 9s;
     CHECK(this->crash(this->request, 1).empty());
     CHECK(this->crash(this->request, 2).empty());
-    CHECK(this->is() == quarantine_state::clear);
+    CHECK(this->current_state() == quarantine_state::clear);
     this->now += 2s;
     CHECK(this->crash(this->request, 3).size() == 1);
 }
@@ -124,12 +127,12 @@
         this->table.collect_reports(this->now, false);
     this->table.on_upstream_answered(this->upstream(1), this->now + 50ms);
     // May be written before the crash.
-    CHECK(this->is() == quarantine_state::quarantined);
+    CHECK(this->current_state() == quarantine_state::quarantined);
     this->table.on_upstream_answered(this->upstream(1), this->now + 150ms);
-    CHECK(this->is() == quarantine_state::suspected);
+    CHECK(this->current_state() == quarantine_state::suspected);
     this->now += 200ms;
     this->table.merge(reports, this->now);
-    CHECK(this->is() == quarantine_state::suspected);
+    CHECK(this->current_state() == quarantine_state::suspected);
 }
 
 // A new connection shows at once that the upstream did not crash.
@@ -138,7 +141,7 @@
     for (const int number : {1, 2})
         this->table.on_crash(
             this->request, this->shop, upstream(number), this->now);
-    REQUIRE(this->is() == quarantine_state::quarantined);
+    REQUIRE(this->current_state() == quarantine_state::quarantined);
     const auto change =
         this->table.on_upstream_reachable(upstream(1), this->now + 20ms);
     REQUIRE(change.size() == 1);
@@ -148,12 +151,12 @@
 TEST_CASE_FIXTURE(table_fixture, "crash_not_confirmed_not_reported_to_peers")
 {
     this->table.on_crash(this->request, this->shop, upstream(1), this->now);
-    this->tell(this->table, this->peer);
+    this->send_reports(this->table, this->peer);
     CHECK(this->peer.state_of(this->request, this->now) ==
           quarantine_state::clear);
     this->now += 300ms;
     this->table.on_upstream_gone(upstream(1), this->now);
-    this->tell(this->table, this->peer);
+    this->send_reports(this->table, this->peer);
     CHECK(this->peer.state_of(this->request, this->now) ==
           quarantine_state::suspected);
 }
@@ -162,11 +165,11 @@
 {
     this->quarantine();
     this->now += 59s;
-    CHECK(this->is() == quarantine_state::quarantined);
+    CHECK(this->current_state() == quarantine_state::quarantined);
     this->now += 62s;
-    CHECK(this->is() == quarantine_state::trial_due);
+    CHECK(this->current_state() == quarantine_state::trial_due);
     this->table.on_sent(this->request, this->now);
-    CHECK(this->is() == quarantine_state::quarantined);
+    CHECK(this->current_state() == quarantine_state::quarantined);
     CHECK(this->table.time_until_trial(this->request, this->now) > 0s);
 }
 
@@ -178,9 +181,9 @@
     this->now += 1s;
     this->crash(this->request, 3);
     this->now += 590s;
-    CHECK(this->is() == quarantine_state::quarantined);
+    CHECK(this->current_state() == quarantine_state::quarantined);
     this->now += 620s;
-    CHECK(this->is() == quarantine_state::trial_due);
+    CHECK(this->current_state() == quarantine_state::trial_due);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "trial_never_ends_another_allowed")
@@ -189,18 +192,18 @@
     this->now += 121s;
     this->table.on_sent(this->request, this->now);
     this->now += 31s;
-    CHECK(this->is() == quarantine_state::trial_due);
+    CHECK(this->current_state() == quarantine_state::trial_due);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "trial_reported_by_peer_none_here")
 {
     this->quarantine();
-    this->tell(this->table, this->peer);
+    this->send_reports(this->table, this->peer);
     this->now += 125s;
     this->peer.on_sent(this->request, this->now);
-    REQUIRE(this->is() == quarantine_state::trial_due);
-    this->tell(this->peer, this->table);
-    CHECK(this->is() == quarantine_state::quarantined);
+    REQUIRE(this->current_state() == quarantine_state::trial_due);
+    this->send_reports(this->peer, this->table);
+    CHECK(this->current_state() == quarantine_state::quarantined);
 }
 
 TEST_CASE_FIXTURE(table_fixture,
@@ -208,12 +211,12 @@
 {
     this->crash(this->request, 1);
     this->crash_at_peer(1);
-    this->tell(this->peer, this->table);
-    CHECK(this->is() == quarantine_state::suspected);
+    this->send_reports(this->peer, this->table);
+    CHECK(this->current_state() == quarantine_state::suspected);
     this->crash_at_peer(2);
-    this->tell(this->peer, this->table);
-    CHECK(this->is() == quarantine_state::quarantined);
-    this->tell(this->peer, this->table);
+    this->send_reports(this->peer, this->table);
+    CHECK(this->current_state() == quarantine_state::quarantined);
+    this->send_reports(this->peer, this->table);
     CHECK(this->table.list_quarantined(this->now).front().crashes == 2);
 }
 
@@ -222,21 +225,21 @@
 TEST_CASE_FIXTURE(table_fixture, "report_of_known_crashes_not_repeated")
 {
     this->quarantine();
-    this->tell(this->table, this->peer);
+    this->send_reports(this->table, this->peer);
     CHECK(this->peer.collect_reports(this->now, false).size() == 1);
     this->now += 500ms;
-    this->tell(this->table, this->peer, true);
+    this->send_reports(this->table, this->peer, true);
     CHECK(this->peer.collect_reports(this->now, false).empty());
 }
 
 TEST_CASE_FIXTURE(table_fixture, "answer_reported_by_peer_clears_request")
 {
     this->quarantine();
-    this->tell(this->table, this->peer);
+    this->send_reports(this->table, this->peer);
     this->now += 1s;
     this->peer.clear_suspicion(this->request, this->now);
-    this->tell(this->peer, this->table);
-    CHECK(this->is() == quarantine_state::clear);
+    this->send_reports(this->peer, this->table);
+    CHECK(this->current_state() == quarantine_state::clear);
 }
 
 // A peer that has answered the request is told that it is quarantined.
@@ -246,9 +249,9 @@
     this->peer.clear_suspicion(this->request, this->now);
     this->now += 1s;
     this->quarantine();
-    this->tell(this->table, this->peer);
-    this->tell(this->peer, this->table);
-    CHECK(this->is() == quarantine_state::clear);
+    this->send_reports(this->table, this->peer);
+    this->send_reports(this->peer, this->table);
+    CHECK(this->current_state() == quarantine_state::clear);
 }
 
 // A process that has just started is told of old records, which are no longer
@@ -259,14 +262,14 @@
     this->quarantine();
     this->now += 30s;
     for (std::uint64_t number = 1; number <= 40; ++number)
-        this->crash(body(number), 9);
+        this->crash(digest_of(number), 9);
     this->now += 5s;
     CHECK(this->table.collect_reports(this->now, false).empty());
-    this->tell(this->table, this->peer, true);
+    this->send_reports(this->table, this->peer, true);
     CHECK(this->peer.state_of(this->request, this->now) ==
           quarantine_state::quarantined);
-    for (int turn = 0; turn < 10; ++turn)
-        this->tell(this->table, this->peer, true);
+    for (int round = 0; round < 10; ++round)
+        this->send_reports(this->table, this->peer, true);
     CHECK(this->peer.size() == 41);
 }
 
@@ -280,20 +283,20 @@
         this->now += 1ms;
         const int upstream = 10 + static_cast<int>(number);
         this->table.on_crash(
-            body(number), hostile, this->upstream(upstream), this->now);
+            digest_of(number), hostile, this->upstream(upstream), this->now);
         this->table.on_crash(
-            body(number), hostile, this->upstream(-upstream), this->now);
+            digest_of(number), hostile, this->upstream(-upstream), this->now);
     }
     CHECK(this->table.size() <= 513);
-    CHECK(this->is() == quarantine_state::quarantined);
-    CHECK(this->table.state_of(body(5000), this->now) ==
+    CHECK(this->current_state() == quarantine_state::quarantined);
+    CHECK(this->table.state_of(digest_of(5000), this->now) ==
           quarantine_state::quarantined);
     CHECK(this->table.collect_reports(this->now, true).size() <= 28);
 }
 
 TEST_CASE_FIXTURE(table_fixture, "single_crash_expires_quarantine_stays")
 {
-    const base::request_digest other = body(7);
+    const base::request_digest other = digest_of(7);
     this->crash(other, 1);
     this->quarantine();
     this->now += 11min;
--- a/src/greengagedrum/quota/peer_usage.cpp
+++ b/src/greengagedrum/quota/peer_usage.cpp
@@ -17,24 +17,24 @@
                                    base::instant now)
 {
     const auto [found, first_heard] = this->peers.try_emplace(peer);
-    peer_state& known = found->second;
-    const bool was_restarted = !first_heard && known.incarnation != incarnation;
+    peer_state& state = found->second;
+    const bool was_restarted = !first_heard && state.incarnation != incarnation;
     if (was_restarted) {
-        this->drop_waiting(known);
-        known = peer_state();
+        this->drop_waiting(state);
+        state = peer_state();
         this->silent_peer_shares.on_restart(peer);
     }
-    known.incarnation = incarnation;
-    known.reported_at = now;
+    state.incarnation = incarnation;
+    state.reported_at = now;
     const bool silent_until_now =
         this->silent_peer_shares.on_heard(peer, stopping, now);
     const bool returned =
-        std::exchange(known.forgotten, false) || silent_until_now;
+        std::exchange(state.forgotten, false) || silent_until_now;
     // A peer's report of usage before this process started is merged once, when
     // the peer is first heard.
     const bool merge_report = first_heard && this->started_within_window(now);
     for (const workspace_usage& reported : usage) {
-        peer_usage& known_usage = known.usage[reported.workspace];
+        peer_usage& known_usage = state.usage[reported.workspace];
         if (merge_report) {
             known_usage.sent = static_cast<double>(reported.sent_total);
             this->merge_history(reported, now);
@@ -51,21 +51,22 @@
 // within its window counts. The usage counts as of now, since the report holds
 // no times.
 void usage_limiter::count_peer_usage(base::slot_id peer,
-                                     peer_usage& known,
+                                     peer_usage& known_usage,
                                      const workspace_usage& reported,
                                      bool first_report,
                                      base::instant now)
 {
-    const auto used = static_cast<double>(reported.sent_total);
+    const auto sent_total = static_cast<double>(reported.sent_total);
     // Most reports repeat known amounts for most workspaces.
-    if (!first_report && used == known.sent &&
-        reported.waiting == known.waiting)
+    if (!first_report && sent_total == known_usage.sent &&
+        reported.waiting == known_usage.waiting)
         return;
-    const double more = std::max(0.0, used - known.sent);
+    const double new_sent = std::max(0.0, sent_total - known_usage.sent);
     const double counted =
-        first_report ? std::min<double>(more, reported.sent_in_window) : more;
-    const double waiting_more = reported.waiting - known.waiting;
-    known = {used, static_cast<double>(reported.waiting)};
+        first_report ? std::min<double>(new_sent, reported.sent_in_window)
+                     : new_sent;
+    const double new_waiting = reported.waiting - known_usage.waiting;
+    known_usage = {sent_total, static_cast<double>(reported.waiting)};
     const auto found = this->limits.find(reported.workspace);
     if (found == this->limits.end())
         return;
@@ -73,13 +74,13 @@
     const limit_rules current_rules = this->rules(now);
     limit.refill(current_rules, now);
     limit.drop_expired(this->tolerated.window, now);
-    limit.peers_waiting = std::max(0.0, limit.peers_waiting + waiting_more);
+    limit.peers_waiting = std::max(0.0, limit.peers_waiting + new_waiting);
     limit.all_window.add(counted, now);
     this->silent_peer_shares.on_peer_usage(
         peer, reported.workspace, counted, now);
     // What the peer sent before it was heard is not taken from the bucket.
     if (!first_report)
-        limit.refund(-(counted + waiting_more), current_rules, now);
+        limit.refund(-(counted + new_waiting), current_rules, now);
 }
 
 // When an entry restarts while a workspace's window is in use, each peer
@@ -92,19 +93,23 @@
     if (found == this->limits.end())
         return;
     workspace_limit& limit = found->second;
-    const double all = std::accumulate(reported.all_sent_in_window.begin(),
-                                       reported.all_sent_in_window.end(),
-                                       0.0);
-    const double unknown =
-        all > 0 ? std::max(0.0, 1 - limit.counted_history / all) : 0;
+    const double reported_total =
+        std::accumulate(reported.all_sent_in_window.begin(),
+                        reported.all_sent_in_window.end(),
+                        0.0);
+    const double uncounted_part =
+        reported_total > 0
+            ? std::max(0.0, 1 - limit.counted_history / reported_total)
+            : 0;
     const auto parts = static_cast<int>(reported.all_sent_in_window.size());
     // Each part counts as of its end, so up to one part too long, never too
     // short.
-    for (int at = 0; at < parts; ++at)
+    for (int part = 0; part < parts; ++part)
         limit.all_window.add_at(
-            unknown * reported.all_sent_in_window[static_cast<std::size_t>(at)],
-            now - at * this->tolerated.window / parts);
-    limit.counted_history = std::max(limit.counted_history, all);
+            uncounted_part *
+                reported.all_sent_in_window[static_cast<std::size_t>(part)],
+            now - part * this->tolerated.window / parts);
+    limit.counted_history = std::max(limit.counted_history, reported_total);
     limit.reported_by_peers += reported.sent_in_window;
     limit.all_window.add(
         std::max(0.0, limit.reported_by_peers - limit.counted_history), now);
--- a/src/greengagedrum/quota/silent_peers.cpp
+++ b/src/greengagedrum/quota/silent_peers.cpp
@@ -78,20 +78,20 @@
                                base::instant now)
 {
     peer.silent = true;
-    const auto entries =
+    const auto entry_count =
         static_cast<double>(this->peers.size() + this->never_heard + 1);
     for (const workspace_rate& limit : limits) {
         if (limit.per_second <= 0)
             continue;
-        const double all = this->total_rate(limit.workspace, now);
+        const double total = this->total_rate(limit.workspace, now);
         const auto found = peer.rates.find(limit.workspace);
         const double rate = found == peer.rates.end()
                                 ? 0
                                 : found->second.per_second(peer.heard_at);
         // Beyond the limit all entries are reduced in proportion.
-        const double kept = rate / std::max(all, limit.per_second);
-        const double unused = std::max(0.0, 1 - all / limit.per_second);
-        peer.shares[limit.workspace] = kept + unused / entries;
+        const double used_share = rate / std::max(total, limit.per_second);
+        const double unused_share = std::max(0.0, 1 - total / limit.per_second);
+        peer.shares[limit.workspace] = used_share + unused_share / entry_count;
     }
 }
 
@@ -128,11 +128,11 @@
 }
 
 // A large increase is a new partition.
-void silent_peers::set_unreported_share(double part, base::instant now)
+void silent_peers::set_unreported_share(double share, base::instant now)
 {
-    if (part > this->unreported + new_partition_threshold)
+    if (share > this->unreported + new_partition_threshold)
         this->unreported_since = now;
-    this->unreported = part;
+    this->unreported = share;
 }
 
 // Failure guarded against: two parts of a data centre can't hear each other,
--- a/src/greengagedrum/quota/silent_peers.hpp
+++ b/src/greengagedrum/quota/silent_peers.hpp
@@ -51,7 +51,7 @@
     void set_never_heard_count(std::size_t count) { this->never_heard = count; }
     // Of the members that this entry dispatches for, the share that does not
     // report: if a partition separates them, another dispatcher serves them.
-    void set_unreported_share(double part, base::instant now);
+    void set_unreported_share(double share, base::instant now);
 
     // A workspace and the rate of its limit.
     struct workspace_rate {
--- a/src/greengagedrum/quota/test/usage_limiter_test.cpp
+++ b/src/greengagedrum/quota/test/usage_limiter_test.cpp
@@ -168,7 +168,7 @@
 {
     constexpr double per_second = 100;
     constexpr double bound = 1.25 * per_second * (window_seconds + 1);
-    const auto greedy = [&](usage_limiter& from, int steps) {
+    const auto drain_limit = [&](usage_limiter& from, int steps) {
         double admitted = 0;
         for (int step = 0; step < steps; ++step) {
             this->now += 20ms;
@@ -183,11 +183,11 @@
         CAPTURE(steps_before);
         this->limit_to(per_second, per_second);
         this->now += 60s;
-        double admitted = greedy(this->own, steps_before);
-        for (int incarnation = 0; incarnation < 2; ++incarnation) {
+        double admitted = drain_limit(this->own, steps_before);
+        for (int kill = 0; kill < 2; ++kill) {
             usage_limiter fresh =
                 this->fresh_limiter({8s, 0.25, 0}, per_second, per_second);
-            admitted += greedy(fresh, steps_before < 400 ? 150 : 0);
+            admitted += drain_limit(fresh, steps_before < 400 ? 150 : 0);
         }
         CHECK(admitted <= bound);
     }
@@ -306,13 +306,13 @@
 {
     CHECK(this->try_send(this->own, 300));
     this->receive_peer_report({{planning, 200, 50, 200}}, false);
-    const limit_status seen = this->own.status_of(planning, this->now);
-    CHECK(seen.own_sent == 300);
-    CHECK(seen.all_sent == 500);
-    CHECK(seen.all_waiting == 50);
-    CHECK(seen.window_bound == rate * window_seconds + burst);
-    CHECK(seen.silent_share == 0);
-    CHECK(seen.window_known);
+    const limit_status status = this->own.status_of(planning, this->now);
+    CHECK(status.own_sent == 300);
+    CHECK(status.all_sent == 500);
+    CHECK(status.all_waiting == 50);
+    CHECK(status.window_bound == rate * window_seconds + burst);
+    CHECK(status.silent_share == 0);
+    CHECK(status.window_known);
 }
 
 // A workspace's window is full, and ten callers are refused at once. Each
--- a/src/greengagedrum/quota/usage_limiter.cpp
+++ b/src/greengagedrum/quota/usage_limiter.cpp
@@ -206,25 +206,25 @@
 std::vector<workspace_usage> usage_limiter::window_usage(base::instant now)
 {
     const limit_rules current_rules = this->rules(now);
-    std::vector<std::pair<double, base::workspace_id>> used;
+    std::vector<std::pair<double, base::workspace_id>> by_used_share;
     for (auto& [workspace, limit] : this->limits) {
         limit.drop_expired(this->tolerated.window, now);
-        const double held = limit.all_window.sum() + limit.own_waiting;
-        if (held > 0)
-            used.emplace_back(held / limit.window_bound(current_rules),
-                              workspace);
+        const double in_window = limit.all_window.sum() + limit.own_waiting;
+        if (in_window > 0)
+            by_used_share.emplace_back(
+                in_window / limit.window_bound(current_rules), workspace);
     }
-    if (used.size() > max_handover_workspaces) {
-        std::nth_element(
-            used.begin(),
-            used.begin() + static_cast<std::ptrdiff_t>(max_handover_workspaces),
-            used.end(),
-            std::greater<>());
-        used.resize(max_handover_workspaces);
+    if (by_used_share.size() > max_handover_workspaces) {
+        std::nth_element(by_used_share.begin(),
+                         by_used_share.begin() + static_cast<std::ptrdiff_t>(
+                                                     max_handover_workspaces),
+                         by_used_share.end(),
+                         std::greater<>());
+        by_used_share.resize(max_handover_workspaces);
     }
     std::vector<workspace_usage> out;
-    out.reserve(used.size());
-    for (const auto& [share, workspace] : used)
+    out.reserve(by_used_share.size());
+    for (const auto& [share, workspace] : by_used_share)
         out.push_back(this->usage_of(
             workspace, this->limits.at(workspace), handover_parts, now));
     return out;
@@ -235,9 +235,9 @@
     this->silent_peer_shares.set_never_heard_count(count);
 }
 
-void usage_limiter::set_unreported_member_share(double part, base::instant now)
+void usage_limiter::set_unreported_member_share(double share, base::instant now)
 {
-    this->silent_peer_shares.set_unreported_share(part, now);
+    this->silent_peer_shares.set_unreported_share(share, now);
 }
 
 void usage_limiter::update_silent_peers(base::instant now)
--- a/src/greengagedrum/quota/usage_limiter.hpp
+++ b/src/greengagedrum/quota/usage_limiter.hpp
@@ -65,7 +65,7 @@
     {
     }
 
-    void set_tolerance(const tolerance& given) { this->tolerated = given; }
+    void set_tolerance(const tolerance& allowed) { this->tolerated = allowed; }
     // Forgets all usage, as if the process had just started. For an entry that
     // begins to count again after others counted for it.
     void restart(base::instant now);
@@ -122,7 +122,7 @@
     void set_never_heard_peer_count(std::size_t count);
     // Of the members that this entry dispatches for, the share that does not
     // report.
-    void set_unreported_member_share(double part, base::instant now);
+    void set_unreported_member_share(double share, base::instant now);
 
     std::vector<workspace_usage> own_usage(base::instant now);
     // For a successor: also what only others used, and in finer parts.
@@ -161,7 +161,7 @@
                                                   std::size_t parts,
                                                   base::instant now) const;
     void count_peer_usage(base::slot_id peer,
-                          peer_usage& known,
+                          peer_usage& known_usage,
                           const workspace_usage& reported,
                           bool first_report,
                           base::instant now);
--- a/src/greengagedrum/quota/workspace_limit.cpp
+++ b/src/greengagedrum/quota/workspace_limit.cpp
@@ -55,11 +55,12 @@
 // The share that silent peers are assumed to use is not given out here.
 void workspace_limit::refill(const limit_rules& rules, base::instant now)
 {
-    const double part = 1 - this->silent_usage.share;
-    const double filled =
-        this->bucket_level +
-        part * this->refill_rate(rules) * seconds_of(now - this->refilled_at);
-    this->bucket_level = std::min(part * this->published.burst, filled);
+    const double available_share = 1 - this->silent_usage.share;
+    const double refilled =
+        this->bucket_level + available_share * this->refill_rate(rules) *
+                                 seconds_of(now - this->refilled_at);
+    this->bucket_level =
+        std::min(available_share * this->published.burst, refilled);
     this->refilled_at = now;
 }
 
@@ -76,11 +77,12 @@
 {
     const std::vector<double> used =
         this->all_window.by_part(replay_steps, rules.tolerated.window, now);
-    const double filled = this->window_bound(rules) / replay_steps;
+    const double refill_per_step = this->window_bound(rules) / replay_steps;
     this->bucket_level = this->published.burst;
-    std::for_each(used.rbegin(), used.rend(), [&](double part) {
-        this->bucket_level =
-            std::min(this->published.burst, this->bucket_level + filled) - part;
+    std::for_each(used.rbegin(), used.rend(), [&](double used_in_part) {
+        this->bucket_level = std::min(this->published.burst,
+                                      this->bucket_level + refill_per_step) -
+                             used_in_part;
     });
     this->refilled_at = now;
 }
@@ -99,10 +101,10 @@
     const bool lowered = published.per_second < this->published.per_second ||
                          published.burst < this->published.burst;
     if (lowered) {
-        const double before = this->window_bound(rules);
+        const double bound = this->window_bound(rules);
         this->former_bound = now < this->former_bound_until
-                                 ? std::max(this->former_bound, before)
-                                 : before;
+                                 ? std::max(this->former_bound, bound)
+                                 : bound;
         this->former_bound_until = now + rules.tolerated.window;
         // What was admitted under the former limit is not overdrawn under the
         // new one.
@@ -134,19 +136,21 @@
 // side counts, since the others may use theirs at any moment.
 double workspace_limit::window_room(double bound) const
 {
-    const double part = 1 - this->silent_usage.share;
-    const double before =
-        part < 1 ? this->all_window.sum_before(this->silent_usage.since) : 0;
-    const double since = this->all_window.sum() - before + this->own_waiting +
-                         this->peers_waiting;
-    return part * (bound - before) - since;
+    const double available_share = 1 - this->silent_usage.share;
+    const double used_before_silence =
+        available_share < 1
+            ? this->all_window.sum_before(this->silent_usage.since)
+            : 0;
+    const double used_since = this->all_window.sum() - used_before_silence +
+                              this->own_waiting + this->peers_waiting;
+    return available_share * (bound - used_before_silence) - used_since;
 }
 
 double workspace_limit::own_share() const
 {
-    const double all = this->all_window.sum();
-    return all > 0
-               ? std::clamp(this->own_window.sum() / all, min_own_share, 1.0)
+    const double total = this->all_window.sum();
+    return total > 0
+               ? std::clamp(this->own_window.sum() / total, min_own_share, 1.0)
                : 1.0;
 }
 
@@ -164,13 +168,14 @@
     if (this->demand.total_rate(now) <= share * this->refill_rate(rules) ||
         cost <= negligible_cost_ratio * higher_priority_cost)
         return 0;
-    const double expected = this->demand.higher_priority_rate(priority, now) /
-                            share * seconds_of(reserved_time);
-    const double kept =
-        std::min(max_reserved_part * this->published.burst, expected);
+    const double expected_demand =
+        this->demand.higher_priority_rate(priority, now) / share *
+        seconds_of(reserved_time);
+    const double reserved =
+        std::min(max_reserved_part * this->published.burst, expected_demand);
     return this->demand.is_starved(priority, now)
-               ? std::min(kept, higher_priority_cost)
-               : kept;
+               ? std::min(reserved, higher_priority_cost)
+               : reserved;
 }
 
 base::duration workspace_limit::time_until_admitted(double cost,
@@ -178,27 +183,28 @@
                                                     const limit_rules& rules,
                                                     base::instant now) const
 {
-    const double part = 1 - this->silent_usage.share;
-    const double wanted = cost + part * this->reserved_for_higher_priority(
-                                            cost, priority, rules, now);
-    const double missing =
-        wanted - this->bucket_level - part * this->margin(rules);
+    const double available_share = 1 - this->silent_usage.share;
+    const double needed =
+        cost + available_share * this->reserved_for_higher_priority(
+                                     cost, priority, rules, now);
+    const double bucket_shortfall =
+        needed - this->bucket_level - available_share * this->margin(rules);
     const double bound = this->window_bound(rules);
-    const double lacking = wanted - this->window_room(bound);
+    const double window_shortfall = needed - this->window_room(bound);
     // Failure guarded against: a limit is lowered and raised repeatedly, or a
     // process starts again, and the bucket admits its burst each time. The
     // window under the highest recent limit holds regardless of the bucket.
     const bool lowered_recently = now < this->former_bound_until;
     const bool fits =
-        lacking <= 0 ||
-        (lowered_recently && wanted <= this->window_room(this->former_bound));
-    if (missing <= 0 && fits)
+        window_shortfall <= 0 ||
+        (lowered_recently && needed <= this->window_room(this->former_bound));
+    if (bucket_shortfall <= 0 && fits)
         return base::duration{0};
-    const base::duration left =
-        this->all_window.time_until_left(lacking, rules.tolerated.window, now);
-    const base::duration filled =
-        duration_of(std::max(0.0, missing) / this->refill_rate(rules));
-    return fits ? filled : std::max(filled, left);
+    const base::duration window_delay = this->all_window.time_until_left(
+        window_shortfall, rules.tolerated.window, now);
+    const base::duration bucket_delay =
+        duration_of(std::max(0.0, bucket_shortfall) / this->refill_rate(rules));
+    return fits ? bucket_delay : std::max(bucket_delay, window_delay);
 }
 
 // Failure guarded against: a hundred callers are refused within a second, all
@@ -211,13 +217,13 @@
                                                base::duration window,
                                                base::instant now)
 {
-    const base::instant at = std::clamp(this->retries_scheduled_until,
-                                        now + std::min(wait, window),
-                                        now + window);
+    const base::instant retry_at = std::clamp(this->retries_scheduled_until,
+                                              now + std::min(wait, window),
+                                              now + window);
     this->retries_scheduled_until =
-        at +
+        retry_at +
         duration_of(cost / (this->own_share() * this->published.per_second));
-    return at - now;
+    return retry_at - now;
 }
 
 } // namespace greengagedrum::quota
