--- a/src/greengagedrum/quarantine/crash_record.cpp
+++ b/src/greengagedrum/quarantine/crash_record.cpp
@@ -8,34 +8,36 @@
 namespace
 {
 
-// Crashes of one request that are kept.
-constexpr std::size_t crashes_kept = 8;
-
-// From the last crash to the next trial: ten times as long after each crash.
-constexpr base::duration first_pause = std::chrono::seconds(60);
-constexpr base::duration longest_pause = std::chrono::hours(24);
-constexpr std::int64_t pause_growth = 10;
-// For so long a trial is waited for before there may be another.
-constexpr base::duration trial_takes = std::chrono::seconds(30);
-
-// Ages are read a message's way later than they were written: what is later by
-// less than this is no news.
-constexpr base::duration same_time = std::chrono::milliseconds(400);
-
-base::duration pause_after(std::size_t crashes)
+// Crashes that are kept for one request; the oldest is dropped first.
+constexpr std::size_t max_crashes = 8;
+
+// Delay from the last crash to the next trial: ten times as long after each
+// further crash.
+constexpr base::duration first_trial_delay = std::chrono::seconds(60);
+constexpr base::duration max_trial_delay = std::chrono::hours(24);
+constexpr std::int64_t trial_delay_factor = 10;
+// A trial that has not ended after this time no longer blocks another one.
+constexpr base::duration trial_timeout = std::chrono::seconds(30);
+
+// Ages are relative to the time of sending and are read one network delay
+// later. A time that is later than the known one by less than this counts as
+// the same time, so that it isn't reported again.
+constexpr base::duration age_tolerance = std::chrono::milliseconds(400);
+
+base::duration trial_delay_after(std::size_t crashes)
 {
-    base::duration out = first_pause;
-    for (std::size_t at = crashes_allowed; at < crashes; ++at)
-        out = std::min(out * pause_growth, longest_pause);
+    base::duration out = first_trial_delay;
+    for (std::size_t at = quarantine_threshold; at < crashes; ++at)
+        out = std::min(out * trial_delay_factor, max_trial_delay);
     return out;
 }
 
-// True when it was later than what is known.
-bool take_later(std::optional<base::instant>& known,
-                const std::optional<base::duration>& age,
-                base::instant now)
+// Returns true if the received time is later than the known one.
+bool update_if_later(std::optional<base::instant>& known,
+                     const std::optional<base::duration>& age,
+                     base::instant now)
 {
-    if (!age || (known && now - *age <= *known + same_time))
+    if (!age || (known && now - *age <= *known + age_tolerance))
         return false;
     known = now - *age;
     return true;
@@ -43,9 +45,9 @@
 
 } // namespace
 
-std::string_view to_string(quarantine_state what)
+std::string_view to_string(quarantine_state state)
 {
-    switch (what) {
+    switch (state) {
     case quarantine_state::clear:
         return "clear";
     case quarantine_state::suspected:
@@ -58,13 +60,11 @@
     return "unknown";
 }
 
-// ---- Standing -------------------------------------------------------------
-
-std::size_t crash_record::count() const
+std::size_t crash_record::crash_count() const
 {
-    const auto counts = [this](const auto& one) {
+    const auto counts = [this](const auto& entry) {
         return !this->answered_at ||
-               one.second.at > *this->answered_at + answer_holds;
+               entry.second.at > *this->answered_at + answer_validity;
     };
     return static_cast<std::size_t>(
         std::count_if(this->crashes.begin(), this->crashes.end(), counts));
@@ -73,50 +73,50 @@
 base::instant crash_record::last_crash() const
 {
     base::instant last;
-    for (const auto& [upstream, one] : this->crashes)
-        last = std::max(last, one.at);
+    for (const auto& [upstream, crash] : this->crashes)
+        last = std::max(last, crash.at);
     return last;
 }
 
-base::instant crash_record::trial_from(double offset) const
+base::instant crash_record::trial_due_at(double trial_jitter) const
 {
-    const base::duration pause = pause_after(this->count());
-    const auto later =
-        static_cast<std::int64_t>(offset * static_cast<double>(pause.count()));
-    return this->last_crash() + pause + base::duration(later);
+    const base::duration delay = trial_delay_after(this->crash_count());
+    const auto jitter = static_cast<std::int64_t>(
+        trial_jitter * static_cast<double>(delay.count()));
+    return this->last_crash() + delay + base::duration(jitter);
 }
 
-quarantine_state crash_record::state_at(base::instant now, double offset) const
+quarantine_state crash_record::state_at(base::instant now,
+                                        double trial_jitter) const
 {
-    const std::size_t crashed = this->count();
-    if (crashed == 0)
+    const std::size_t crash_count = this->crash_count();
+    if (crash_count == 0)
         return quarantine_state::clear;
-    if (crashed < crashes_allowed)
+    if (crash_count < quarantine_threshold)
         return quarantine_state::suspected;
     const bool trying =
         this->trial_at &&
-        now<*this->trial_at + trial_takes&&* this->trial_at> this->last_crash();
-    return trying || now < this->trial_from(offset)
+        now<*this->trial_at + trial_timeout&&* this->trial_at> this
+            ->last_crash();
+    return trying || now < this->trial_due_at(trial_jitter)
                ? quarantine_state::quarantined
                : quarantine_state::trial_due;
 }
 
-// ---- Changes ----------------------------------------------------------------
-
 bool crash_record::add(base::upstream_id upstream,
                        base::instant at,
                        bool confirmed)
 {
-    const auto [found, fresh] =
+    const auto [found, inserted] =
         this->crashes.try_emplace(upstream, crash{at, confirmed});
-    if (!fresh)
+    if (!inserted)
         return confirmed && this->confirm(upstream);
-    if (this->crashes.size() > crashes_kept)
+    if (this->crashes.size() > max_crashes)
         this->crashes.erase(
             std::min_element(this->crashes.begin(),
                              this->crashes.end(),
-                             [](const auto& one, const auto& other) {
-                                 return one.second.at < other.second.at;
+                             [](const auto& left, const auto& right) {
+                                 return left.second.at < right.second.at;
                              }));
     return true;
 }
@@ -135,7 +135,7 @@
     return this->crashes.erase(upstream) > 0;
 }
 
-bool crash_record::answered(base::instant at)
+bool crash_record::record_answer(base::instant at)
 {
     if (this->answered_at && *this->answered_at >= at)
         return false;
@@ -147,20 +147,20 @@
                                base::instant now)
 {
     const bool answer =
-        take_later(this->answered_at, received.answered_age, now);
-    const bool trial = take_later(this->trial_at, received.trial_age, now);
+        update_if_later(this->answered_at, received.answered_age, now);
+    const bool trial = update_if_later(this->trial_at, received.trial_age, now);
     return answer || trial;
 }
 
-// Of crashes those that were confirmed: connections that were reset would be
-// taken for one by all.
-suspect_report crash_record::report(const base::request_digest& request,
-                                    base::instant now) const
+// Only confirmed crashes are reported: a connection that was merely reset would
+// be counted as a crash by all peers.
+suspect_report crash_record::make_report(const base::request_digest& request,
+                                         base::instant now) const
 {
-    suspect_report out{request, this->owner, {}, {}, {}};
-    for (const auto& [upstream, one] : this->crashes) {
-        if (one.confirmed)
-            out.crashes.push_back({upstream, now - one.at});
+    suspect_report out{request, this->workspace_id, {}, {}, {}};
+    for (const auto& [upstream, crash] : this->crashes) {
+        if (crash.confirmed)
+            out.crashes.push_back({upstream, now - crash.at});
     }
     if (this->answered_at)
         out.answered_age = now - *this->answered_at;
--- a/src/greengagedrum/quota/window_sum.cpp
+++ b/src/greengagedrum/quota/window_sum.cpp
@@ -8,31 +8,32 @@
 namespace
 {
 
-// Amounts this close are one part, so that a window holds 160 of them at most.
-constexpr base::duration counted_together = std::chrono::milliseconds(50);
+// Amounts that were added within this time share a part, so that a window of 8
+// s has at most 160 parts.
+constexpr base::duration merge_interval = std::chrono::milliseconds(50);
 
 } // namespace
 
-// A part is as old as its last amount: one that is dropped too late is counted
-// for 50 ms too long, never too short.
+// A part expires with its last amount: an amount counts up to 50 ms too long,
+// never too short.
 void window_sum::add(double amount, base::instant now)
 {
     this->total += amount;
-    const bool together = !this->parts.empty() &&
-                          now - this->parts.back().begun < counted_together;
+    const bool together =
+        !this->parts.empty() && now - this->parts.back().first < merge_interval;
     if (!together)
         this->parts.push_back({now, now, 0});
     this->parts.back().amount += amount;
     this->parts.back().last = now;
 }
 
-void window_sum::add_earlier(double amount, base::instant at)
+void window_sum::add_at(double amount, base::instant at)
 {
     this->total += amount;
     const auto next =
         std::find_if(this->parts.begin(),
                      this->parts.end(),
-                     [&](const part& one) { return one.begun > at; });
+                     [&](const window_part& part) { return part.first > at; });
     this->parts.insert(next, {at, at, amount});
 }
 
@@ -42,42 +43,43 @@
 {
     std::vector<double> out(count);
     const base::duration length = window / static_cast<int>(count);
-    for (const part& one : this->parts) {
-        const auto at = static_cast<std::size_t>((now - one.last) / length);
-        out.at(std::min(at, count - 1)) += one.amount;
+    for (const window_part& part : this->parts) {
+        const auto at = static_cast<std::size_t>((now - part.last) / length);
+        out.at(std::min(at, count - 1)) += part.amount;
     }
     return out;
 }
 
-void window_sum::drop_old(base::duration window, base::instant now)
+void window_sum::drop_expired(base::duration window, base::instant now)
 {
     while (!this->parts.empty() && now - this->parts.front().last > window) {
         this->total -= this->parts.front().amount;
         this->parts.pop_front();
     }
+    // Avoids accumulated rounding errors.
     if (this->parts.empty())
-        this->total = 0; // no drift of rounding
+        this->total = 0;
 }
 
 double window_sum::sum_before(base::instant at) const
 {
     double sum = 0;
-    for (const part& one : this->parts) {
-        if (one.last >= at)
+    for (const window_part& part : this->parts) {
+        if (part.last >= at)
             break;
-        sum += one.amount;
+        sum += part.amount;
     }
     return sum;
 }
 
-base::duration window_sum::until_left(double amount,
-                                      base::duration window,
-                                      base::instant now) const
+base::duration window_sum::time_until_left(double amount,
+                                           base::duration window,
+                                           base::instant now) const
 {
-    for (const part& one : this->parts) {
-        amount -= one.amount;
+    for (const window_part& part : this->parts) {
+        amount -= part.amount;
         if (amount <= 0)
-            return one.last + window - now;
+            return part.last + window - now;
     }
     return window;
 }
