--- a/src/greengagedrum/dispatch/member_request_table.cpp
+++ b/src/greengagedrum/dispatch/member_request_table.cpp
@@ -209,7 +209,7 @@
 }
 
 std::optional<limit_charge>
-member_request_table::on_declined(base::request_id id, const base::verdict& why)
+member_request_table::on_denied(base::request_id id, const base::verdict& why)
 {
     const auto found = this->sends.find(id.value);
     if (found == this->sends.end() || found->second.grant)
--- a/src/greengagedrum/dispatch/member_request_table.hpp
+++ b/src/greengagedrum/dispatch/member_request_table.hpp
@@ -59,8 +59,8 @@
 
     // The send got none. What the limit is to give back; empty when it had a
     // place, or is no longer wanted.
-    std::optional<limit_charge> on_declined(base::request_id id,
-                                            const base::verdict& why);
+    std::optional<limit_charge> on_denied(base::request_id id,
+                                          const base::verdict& why);
 
     // The send was to have a place and has none: asked for again, it is a new
     // one. What the limit is to give back, as above.
--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -295,7 +295,7 @@
         if (const auto* send = std::get_if<traffic::send_request>(&order))
             this->book->on_granted(*send);
         if (const auto* end = std::get_if<traffic::end_request>(&order))
-            this->book->on_declined(end->request, end->verdict);
+            this->book->on_denied(end->request, end->verdict);
     }
 }
 
--- a/src/greengagedrum/dispatch/test/member_request_table_test.cpp
+++ b/src/greengagedrum/dispatch/test/member_request_table_test.cpp
@@ -188,7 +188,7 @@
 TEST_CASE_FIXTURE(desk_fixture, "declined_place_is_told_with_its_time")
 {
     const base::request_id id = this->arrive(7);
-    const auto cost = this->book.on_declined(
+    const auto cost = this->book.on_denied(
         id, base::not_run(base::reason::overloaded, std::chrono::seconds(2)));
     CHECK(cost);
     const dispatcher_reply reply = this->book.build_reply(member, this->now);
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -216,8 +216,8 @@
         const auto over =
             limiter.try_acquire(busy, wanted.cost, 0, this->fleet.time());
         if (over) {
-            book.on_declined(id,
-                             base::not_run(base::reason::limit_reached, *over));
+            book.on_denied(id,
+                           base::not_run(base::reason::limit_reached, *over));
             continue;
         }
         traffic::send_request order;
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -129,7 +129,7 @@
         this->log_over_limit(
             wanted.facts.workspace, wanted.cost, wanted.facts.priority, *over);
         // The limit has nothing of it to give back.
-        this->members.on_declined(
+        this->members.on_denied(
             id, base::not_run(base::reason::limit_reached, over));
         return;
     }
@@ -169,7 +169,7 @@
 
 void request_handler::decline_slot(const traffic::end_request& order)
 {
-    const auto cost = this->members.on_declined(order.request, order.verdict);
+    const auto cost = this->members.on_denied(order.request, order.verdict);
     if (cost)
         this->state.limiter.refund_unsent(
             cost->workspace, cost->amount, this->state.clock());
