--- a/src/greengagedrum/dispatch/member_request_table.cpp
+++ b/src/greengagedrum/dispatch/member_request_table.cpp
@@ -80,7 +80,7 @@
         traffic::upstream_load& use = others[one.upstream];
         use.upstream = one.upstream;
         use.requests += 1;
-        use.pending_prefill_tokens += one.unprocessed_prompt_tokens;
+        use.pending_prefill_tokens += one.pending_prefill_tokens;
     }
     for (const slot_request& one : told.slot_requests)
         this->apply_slot_request(member, own, one, out);
--- a/src/greengagedrum/dispatch/messages.hpp
+++ b/src/greengagedrum/dispatch/messages.hpp
@@ -44,7 +44,7 @@
 struct running_send {
     send_id id;
     base::upstream_id upstream;
-    std::uint32_t unprocessed_prompt_tokens = 0; // of its prompt
+    std::uint32_t pending_prefill_tokens = 0; // of its prompt
 };
 
 enum class send_status : std::uint8_t {
--- a/src/greengagedrum/gossip/dispatch_codec.cpp
+++ b/src/greengagedrum/gossip/dispatch_codec.cpp
@@ -120,7 +120,7 @@
         running.emplace_back(one.id.request.value,
                              one.upstream.value,
                              one.id.send,
-                             one.unprocessed_prompt_tokens);
+                             one.pending_prefill_tokens);
     std::vector<wire::SendNews> news;
     for (const dispatch::send_status_update& one : told.status_updates)
         news.emplace_back(one.sequence,
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -151,7 +151,7 @@
     CHECK(got.cost == 1080);
     CHECK(got.charged);
     CHECK(read->report.running.at(0).upstream == base::upstream_id("i-2"));
-    CHECK(read->report.running.at(0).unprocessed_prompt_tokens == 77);
+    CHECK(read->report.running.at(0).pending_prefill_tokens == 77);
     CHECK(read->report.status_updates.at(0).sequence == 12);
     CHECK(read->report.status_updates.at(0).status ==
           dispatch::send_status::connection_broken);
