--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -161,7 +161,7 @@
     out.report_received = [this](base::slot_id member,
                                  const gossip::message& told) {
         this->handler->on_member_report(
-            member, told.incarnation, told.report, told.upstream_uses);
+            member, told.incarnation, told.report, told.upstream_loads);
     };
     out.member_lost = [this](base::slot_id member) {
         this->handler->on_member_lost(member);
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -209,7 +209,7 @@
     quota::usage_limiter& limiter = dispatcher.state.limiter;
     dispatch::member_request_table& book = this->of(dispatcher).book;
     const dispatch::request_changes news = book.on_report(
-        member, told.incarnation, told.report, told.upstream_uses);
+        member, told.incarnation, told.report, told.upstream_loads);
     for (const dispatch::limit_charge& cost : news.released_charges)
         limiter.refund_unsent(cost.workspace, cost.amount, this->fleet.time());
     for (const auto& [id, wanted] : news.new_requests) {
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
@@ -98,7 +98,7 @@
     out.report_received = [this, &of](base::slot_id member,
                                       const gossip::message& told) {
         this->processes[of.number].book.on_report(
-            member, told.incarnation, told.report, told.upstream_uses);
+            member, told.incarnation, told.report, told.upstream_loads);
     };
     out.member_lost = [this, &of](base::slot_id member) {
         this->processes[of.number].book.remove_member(member);
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
@@ -74,7 +74,7 @@
     out.report_received = [this, &of](base::slot_id member,
                                       const gossip::message& told) {
         this->books[of.number].on_report(
-            member, told.incarnation, told.report, told.upstream_uses);
+            member, told.incarnation, told.report, told.upstream_loads);
     };
     out.member_lost = [this, &of](base::slot_id member) {
         this->books[of.number].remove_member(member);
--- a/src/greengagedrum/entry/peer_sending.cpp
+++ b/src/greengagedrum/entry/peer_sending.cpp
@@ -104,7 +104,7 @@
     if (!this->dispatcher)
         return;
     gossip::message out = this->own_message(gossip::message_kind::report);
-    out.upstream_uses = this->state.scheduler.own_load(now);
+    out.upstream_loads = this->state.scheduler.own_load(now);
     out.report = this->events.make_report();
     out.suspects = this->suspects_for(this->suspects_to_near, now);
     this->reported_at = now;
@@ -122,7 +122,7 @@
     if (!to_try.empty()) {
         gossip::message out = this->own_message(gossip::message_kind::report);
         if (this->state.delegating && !this->dispatcher) {
-            out.upstream_uses = this->state.scheduler.own_load(now);
+            out.upstream_loads = this->state.scheduler.own_load(now);
             out.report = this->events.make_report();
         }
         const std::string bytes = gossip::encode(out);
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -154,7 +154,7 @@
     flatbuffers::FlatBufferBuilder builder;
     std::vector<wire::Use> uses;
     std::vector<std::uint32_t> gaps;
-    for (const auto& one : told.upstream_uses) {
+    for (const auto& one : told.upstream_loads) {
         uses.emplace_back(
             one.upstream.value, one.requests, one.pending_prefill_tokens);
         gaps.push_back(microseconds_of(one.event_gap));
@@ -241,7 +241,7 @@
     out.change_revision = root->change_revision();
     out.store_age = std::chrono::milliseconds(root->store_age_ms());
     if (const auto* list = root->uses())
-        out.upstream_uses = uses_of(*list, root->event_gaps_us());
+        out.upstream_loads = uses_of(*list, root->event_gaps_us());
     if (const auto* list = root->waiting_levels()) {
         for (const wire::WaitingLevels* one : *list)
             out.waiting_by_service.push_back(waiting_of(*one));
--- a/src/greengagedrum/gossip/message.hpp
+++ b/src/greengagedrum/gossip/message.hpp
@@ -60,7 +60,7 @@
     // change nothing move the store's revision on all the time.
     std::uint64_t change_revision = 0;
     base::duration store_age{0}; // since the store last answered the sender
-    std::vector<traffic::upstream_load> upstream_uses;
+    std::vector<traffic::upstream_load> upstream_loads;
     std::vector<traffic::queue_report> waiting_by_service;
     std::vector<quota::workspace_usage> workspace_uses;
     std::vector<known_entry> known_entries;
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -55,7 +55,7 @@
     told.change_revision = 11;
     told.store_age = 120ms;
     told.store_revision = 12;
-    told.upstream_uses = {{base::upstream_id("i-1"), 3, 4000, 55ms}};
+    told.upstream_loads = {{base::upstream_id("i-1"), 3, 4000, 55ms}};
     told.waiting_by_service = {
         {base::upstream_class_id("models"), {1, 2, 3, 4}}};
     told.workspace_uses = {{base::workspace_id("gate"),
@@ -75,11 +75,11 @@
     CHECK(read->change_revision == 11);
     CHECK(read->store_age == 120ms);
     CHECK(read->store_revision == 12);
-    REQUIRE(read->upstream_uses.size() == 1);
-    CHECK(read->upstream_uses[0].upstream == base::upstream_id("i-1"));
-    CHECK(read->upstream_uses[0].requests == 3);
-    CHECK(read->upstream_uses[0].pending_prefill_tokens == 4000);
-    CHECK(read->upstream_uses[0].event_gap == 55ms);
+    REQUIRE(read->upstream_loads.size() == 1);
+    CHECK(read->upstream_loads[0].upstream == base::upstream_id("i-1"));
+    CHECK(read->upstream_loads[0].requests == 3);
+    CHECK(read->upstream_loads[0].pending_prefill_tokens == 4000);
+    CHECK(read->upstream_loads[0].event_gap == 55ms);
     CHECK(read->waiting_by_service.at(0).lengths ==
           traffic::queue_lengths{1, 2, 3, 4});
     CHECK(read->workspace_uses.at(0).sent_total == 123456789012);
