--- a/src/greengagedrum/dispatch/member_request_table.cpp
+++ b/src/greengagedrum/dispatch/member_request_table.cpp
@@ -86,7 +86,7 @@
         this->apply_slot_request(member, own, one, out);
     this->end_unlisted_sends(own, out);
     for (const auto& [id, use] : others)
-        out.uses_placed_elsewhere.push_back(use);
+        out.loads_dispatched_elsewhere.push_back(use);
     return out;
 }
 
--- a/src/greengagedrum/dispatch/member_request_table.hpp
+++ b/src/greengagedrum/dispatch/member_request_table.hpp
@@ -34,7 +34,7 @@
     std::vector<std::pair<base::request_id, slot_request>> new_requests;
     std::vector<limit_charge> released_charges; // of sends that got no place
     std::vector<traffic::upstream_load>
-        uses_placed_elsewhere; // placed by nobody here
+        loads_dispatched_elsewhere; // placed by nobody here
 };
 
 class member_request_table
--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -273,7 +273,7 @@
     const request_changes news =
         this->book->on_report(slot_of(from), base::incarnation{1}, told, {});
     this->dispatcher->on_peer_report(
-        slot_of(from), news.uses_placed_elsewhere, {}, this->now);
+        slot_of(from), news.loads_dispatched_elsewhere, {}, this->now);
     for (const traffic::event& one : news.events)
         this->dispatcher_step(one);
     for (const auto& [id, wanted] : news.new_requests)
--- a/src/greengagedrum/dispatch/test/member_request_table_test.cpp
+++ b/src/greengagedrum/dispatch/test/member_request_table_test.cpp
@@ -157,9 +157,9 @@
     this->told.running = {{{base::request_id{3}, 1}, engine, 500},
                           {{base::request_id{4}, 2}, engine, 0}};
     const request_changes news = this->report();
-    REQUIRE(news.uses_placed_elsewhere.size() == 1);
-    CHECK(news.uses_placed_elsewhere[0].requests == 2);
-    CHECK(news.uses_placed_elsewhere[0].pending_prefill_tokens == 500);
+    REQUIRE(news.loads_dispatched_elsewhere.size() == 1);
+    CHECK(news.loads_dispatched_elsewhere[0].requests == 2);
+    CHECK(news.loads_dispatched_elsewhere[0].pending_prefill_tokens == 500);
 }
 
 TEST_CASE_FIXTURE(desk_fixture, "speed_that_a_member_sees_counts_without_load")
@@ -168,9 +168,9 @@
         engine, 3, 0, std::chrono::milliseconds(40)};
     const request_changes news = this->book.on_report(
         member, base::incarnation{1}, this->told, {&seen, 1});
-    REQUIRE(news.uses_placed_elsewhere.size() == 1);
-    CHECK(news.uses_placed_elsewhere[0].requests == 0);
-    CHECK(news.uses_placed_elsewhere[0].event_gap ==
+    REQUIRE(news.loads_dispatched_elsewhere.size() == 1);
+    CHECK(news.loads_dispatched_elsewhere[0].requests == 0);
+    CHECK(news.loads_dispatched_elsewhere[0].event_gap ==
           std::chrono::milliseconds(40));
 }
 
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -95,7 +95,7 @@
     const dispatch::request_changes news =
         this->members.on_report(member, life, told, uses);
     this->state.scheduler.on_peer_report(
-        member, news.uses_placed_elsewhere, {}, this->state.clock());
+        member, news.loads_dispatched_elsewhere, {}, this->state.clock());
     this->apply_member_changes(news);
 }
 
