--- a/src/greengagedrum/entry/peer_protocol.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -255,7 +255,7 @@
         this->own_message(this->large ? gossip::message_kind::dispatcher_load
                                       : gossip::message_kind::load);
     out.upstream_loads = this->state.scheduler.own_load(now);
-    out.waiting_by_service = this->state.scheduler.own_queue_reports(now);
+    out.queue_reports = this->state.scheduler.own_queue_reports(now);
     out.workspace_uses = this->state.limiter.own_usage(now);
     out.known_entries = this->table.select_known_entries(who, now);
     out.suspects = this->suspects_for(
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -81,7 +81,7 @@
     if (this->large)
         this->counting[slot] = told.address;
     this->state.scheduler.on_peer_report(
-        slot, told.upstream_loads, told.waiting_by_service, now);
+        slot, told.upstream_loads, told.queue_reports, now);
     this->state.limiter.on_peer_report(
         slot, told.incarnation, told.workspace_uses, told.stopping, now);
     if (this->state.scheduler.waiting() > 0)
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -160,7 +160,7 @@
         gaps.push_back(microseconds_of(one.event_gap));
     }
     std::vector<wire::WaitingLevels> waiting;
-    for (const auto& one : told.waiting_by_service)
+    for (const auto& one : told.queue_reports)
         waiting.push_back(levels_of(one));
     std::vector<wire::WorkspaceUse> spent;
     std::vector<std::uint32_t> spent_waiting;
@@ -244,7 +244,7 @@
         out.upstream_loads = uses_of(*list, root->event_gaps_us());
     if (const auto* list = root->waiting_levels()) {
         for (const wire::WaitingLevels* one : *list)
-            out.waiting_by_service.push_back(waiting_of(*one));
+            out.queue_reports.push_back(waiting_of(*one));
     }
     if (const auto* list = root->workspace_uses())
         out.workspace_uses = workspace_uses_of(*list, *root);
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -56,8 +56,7 @@
     told.store_age = 120ms;
     told.store_revision = 12;
     told.upstream_loads = {{base::upstream_id("i-1"), 3, 4000, 55ms}};
-    told.waiting_by_service = {
-        {base::upstream_class_id("models"), {1, 2, 3, 4}}};
+    told.queue_reports = {{base::upstream_class_id("models"), {1, 2, 3, 4}}};
     told.workspace_uses = {{base::workspace_id("gate"),
                             123456789012,
                             70,
@@ -80,7 +79,7 @@
     CHECK(read->upstream_loads[0].requests == 3);
     CHECK(read->upstream_loads[0].pending_prefill_tokens == 4000);
     CHECK(read->upstream_loads[0].event_gap == 55ms);
-    CHECK(read->waiting_by_service.at(0).lengths ==
+    CHECK(read->queue_reports.at(0).lengths ==
           traffic::queue_lengths{1, 2, 3, 4});
     CHECK(read->workspace_uses.at(0).sent_total == 123456789012);
     CHECK(read->workspace_uses.at(0).waiting == 70);
