--- a/src/greengagedrum/gossip/dispatcher_election.cpp
+++ b/src/greengagedrum/gossip/dispatcher_election.cpp
@@ -62,7 +62,8 @@
 }
 
 // It was heard, and places requests: its own, and those of whoever asks it.
-bool dispatcher_election::is_placing(const candidate& one, base::instant now)
+bool dispatcher_election::is_dispatching(const candidate& one,
+                                         base::instant now)
 {
     return is_live(one, now) && !one.delegating && !one.stopping;
 }
@@ -81,7 +82,7 @@
     sender.skipped_until = now;
     sender.stopping = told.stopping;
     sender.delegating = told.delegating;
-    sender.dispatching = told.dispatching;
+    sender.dispatches_for_others = told.dispatching;
     for (const known_entry& named : told.known_entries) {
         if (named.address == this->own_address || named.data_centre.empty() ||
             named.age > forgotten_after)
@@ -174,7 +175,7 @@
         if (!this->outranks_self(address))
             return std::nullopt;
         const candidate& one = this->other_entries.at(address);
-        if (is_placing(one, now) &&
+        if (is_dispatching(one, now) &&
             !(served && is_recently_started(one.started_at, now)))
             return address;
     }
@@ -219,7 +220,7 @@
     if (found == this->other_entries.end())
         return false;
     const candidate& one = found->second;
-    return one.dispatching && is_placing(one, now) &&
+    return one.dispatches_for_others && is_dispatching(one, now) &&
            !is_recently_started(one.started_at, now);
 }
 
@@ -244,7 +245,7 @@
                        this->other_entries.end(),
                        [&](const auto& entry) {
                            return entry.second.data_centre == of &&
-                                  is_placing(entry.second, now);
+                                  is_dispatching(entry.second, now);
                        });
 }
 
@@ -277,7 +278,7 @@
     return static_cast<std::size_t>(std::count_if(
         this->other_entries.begin(),
         this->other_entries.end(),
-        [&](const auto& entry) { return is_placing(entry.second, now); }));
+        [&](const auto& entry) { return is_dispatching(entry.second, now); }));
 }
 
 bool dispatcher_election::has_dispatcher_in_data_centre(base::instant now) const
@@ -287,7 +288,7 @@
                        [&](const auto& entry) {
                            return entry.second.data_centre ==
                                       this->data_centre &&
-                                  is_placing(entry.second, now);
+                                  is_dispatching(entry.second, now);
                        });
 }
 
--- a/src/greengagedrum/gossip/dispatcher_election.hpp
+++ b/src/greengagedrum/gossip/dispatcher_election.hpp
@@ -99,8 +99,8 @@
         std::optional<base::instant> probed_at; // and not answered since
         base::instant skipped_until;
         bool stopping = false;
-        bool delegating = false;  // another one places for it
-        bool dispatching = false; // it places for others
+        bool delegating = false;            // another one places for it
+        bool dispatches_for_others = false; // it places for others
     };
 
     using candidates = std::map<ipv4_address, candidate>;
@@ -113,7 +113,7 @@
     bool has_established_dispatcher(base::instant now) const;
     static bool is_recently_started(base::instant started, base::instant now);
     static bool is_live(const candidate& one, base::instant now);
-    static bool is_placing(const candidate& one, base::instant now);
+    static bool is_dispatching(const candidate& one, base::instant now);
     std::vector<ipv4_address> ranked_candidates(base::data_centre_id of,
                                                 base::instant now) const;
     std::size_t probe_limit(base::instant now) const;
--- a/src/greengagedrum/gossip/dispatcher_election_probes.cpp
+++ b/src/greengagedrum/gossip/dispatcher_election_probes.cpp
@@ -45,7 +45,7 @@
         const bool declined = others_may_place && one.delegating &&
                               one.heard_at &&
                               now - *one.heard_at <= delegates_for;
-        if (declined || now < one.skipped_until || is_placing(one, now))
+        if (declined || now < one.skipped_until || is_dispatching(one, now))
             continue;
         out.push_back(address);
         count += 1;
@@ -89,13 +89,14 @@
         if (one.data_centre == this->data_centre || one.data_centre.empty())
             continue;
         data_centres.insert(one.data_centre);
-        if (is_placing(one, now))
+        if (is_dispatching(one, now))
             out.push_back(address);
     }
     for (const base::data_centre_id place : data_centres) {
         std::optional<ipv4_address> strongest;
         for (const ipv4_address address : this->ranked_candidates(place, now)) {
-            if (!strongest && is_placing(this->other_entries.at(address), now))
+            if (!strongest &&
+                is_dispatching(this->other_entries.at(address), now))
                 strongest = address;
         }
         this->add_probe_targets(place, far_tried_at_once, strongest, now, out);
