--- a/src/greengagedrum/entry/peer_protocol.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -256,7 +256,7 @@
                                       : gossip::message_kind::load);
     out.upstream_loads = this->state.scheduler.own_load(now);
     out.queue_reports = this->state.scheduler.own_queue_reports(now);
-    out.workspace_uses = this->state.limiter.own_usage(now);
+    out.workspace_usage = this->state.limiter.own_usage(now);
     out.known_entries = this->table.select_known_entries(who, now);
     out.suspects = this->suspects_for(
         who == gossip::recipient_group::own_data_centre ? this->suspects_to_near
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -83,7 +83,7 @@
     this->state.scheduler.on_peer_report(
         slot, told.upstream_loads, told.queue_reports, now);
     this->state.limiter.on_peer_report(
-        slot, told.incarnation, told.workspace_uses, told.stopping, now);
+        slot, told.incarnation, told.workspace_usage, told.stopping, now);
     if (this->state.scheduler.waiting() > 0)
         this->events.peer_load_changed();
 }
@@ -123,17 +123,17 @@
     const base::slot_id slot(told.instance);
     if (this->limits && this->limits->sender == slot)
         this->limits->sender_stopping = told.stopping;
-    if (told.workspace_uses.empty())
+    if (told.workspace_usage.empty())
         return;
     if (!this->state.delegating) {
         this->state.limiter.on_peer_report(
-            slot, told.incarnation, told.workspace_uses, told.stopping, now);
+            slot, told.incarnation, told.workspace_usage, told.stopping, now);
         if (told.delegating)
             this->state.limiter.forget_peer(slot);
         return;
     }
     this->limits = {
-        slot, told.incarnation, told.workspace_uses, told.stopping, now};
+        slot, told.incarnation, told.workspace_usage, told.stopping, now};
 }
 
 void peer_protocol::answer_greeting(const gossip::message& told,
--- a/src/greengagedrum/entry/peer_sending.cpp
+++ b/src/greengagedrum/entry/peer_sending.cpp
@@ -58,7 +58,7 @@
         return;
     gossip::message out = this->own_message(gossip::message_kind::reply);
     out.delegating = true;
-    out.workspace_uses = this->state.limiter.window_usage(now);
+    out.workspace_usage = this->state.limiter.window_usage(now);
     this->transport.send(gossip::encode(out), *this->dispatcher);
 }
 
@@ -179,7 +179,7 @@
         out.suspects = suspects;
         out.reply = this->events.make_reply(slot);
         if (std::find(next.begin(), next.end(), one.address) != next.end())
-            out.workspace_uses = this->state.limiter.window_usage(now);
+            out.workspace_usage = this->state.limiter.window_usage(now);
         this->transport.send(gossip::encode(out), one.address);
     }
 }
--- a/src/greengagedrum/entry/test/limit_test.cpp
+++ b/src/greengagedrum/entry/test/limit_test.cpp
@@ -39,7 +39,7 @@
             const auto told =
                 gossip::decode_message({this->room.data(), count});
             REQUIRE(told);
-            for (const quota::workspace_usage& one : told->workspace_uses) {
+            for (const quota::workspace_usage& one : told->workspace_usage) {
                 if (said(one))
                     return true;
             }
--- a/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
+++ b/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
@@ -80,7 +80,7 @@
     for (int message = 0; message < 50; ++message) {
         gossip::message stopping = this->load_of("strong", stopping_ip);
         stopping.stopping = message > 5;
-        stopping.workspace_uses = {
+        stopping.workspace_usage = {
             {base::workspace_id("gate"), third, 0, third, {}}};
         this->send(stopping);
         this->send(this->load_of("next", next_ip));
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -166,7 +166,7 @@
     std::vector<std::uint32_t> spent_waiting;
     std::vector<std::uint32_t> spent_lately;
     std::vector<std::uint32_t> spent_by_all;
-    for (const auto& one : told.workspace_uses) {
+    for (const auto& one : told.workspace_usage) {
         spent.emplace_back(one.workspace.value, one.sent_total);
         spent_waiting.push_back(one.waiting);
         spent_lately.push_back(one.sent_in_window);
@@ -247,7 +247,7 @@
             out.queue_reports.push_back(waiting_of(*one));
     }
     if (const auto* list = root->workspace_uses())
-        out.workspace_uses = workspace_uses_of(*list, *root);
+        out.workspace_usage = workspace_uses_of(*list, *root);
     if (const auto* list = root->known())
         out.known_entries = known_of(*list, root->standings());
     out.cpu_millicores = root->strength();
--- a/src/greengagedrum/gossip/message.hpp
+++ b/src/greengagedrum/gossip/message.hpp
@@ -62,7 +62,7 @@
     base::duration store_age{0}; // since the store last answered the sender
     std::vector<traffic::upstream_load> upstream_loads;
     std::vector<traffic::queue_report> queue_reports;
-    std::vector<quota::workspace_usage> workspace_uses;
+    std::vector<quota::workspace_usage> workspace_usage;
     std::vector<known_entry> known_entries;
     std::uint32_t cpu_millicores = 0; // thousandths of a processor
     base::duration uptime{0};         // the sender's process, at least
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -57,11 +57,11 @@
     told.store_revision = 12;
     told.upstream_loads = {{base::upstream_id("i-1"), 3, 4000, 55ms}};
     told.queue_reports = {{base::upstream_class_id("models"), {1, 2, 3, 4}}};
-    told.workspace_uses = {{base::workspace_id("gate"),
-                            123456789012,
-                            70,
-                            5'000,
-                            {9'000, 1, 2, 3}}};
+    told.workspace_usage = {{base::workspace_id("gate"),
+                             123456789012,
+                             70,
+                             5'000,
+                             {9'000, 1, 2, 3}}};
     told.known_entries = {{other, 250ms}};
     const auto read = decode_message(encode(told));
     REQUIRE(read);
@@ -81,11 +81,11 @@
     CHECK(read->upstream_loads[0].event_gap == 55ms);
     CHECK(read->queue_reports.at(0).lengths ==
           traffic::queue_lengths{1, 2, 3, 4});
-    CHECK(read->workspace_uses.at(0).sent_total == 123456789012);
-    CHECK(read->workspace_uses.at(0).waiting == 70);
-    CHECK(read->workspace_uses.at(0).sent_in_window == 5'000);
-    CHECK(read->workspace_uses.at(0).all_sent_in_window.at(0) == 9'000);
-    CHECK(read->workspace_uses.at(0).all_sent_in_window.at(3) == 3);
+    CHECK(read->workspace_usage.at(0).sent_total == 123456789012);
+    CHECK(read->workspace_usage.at(0).waiting == 70);
+    CHECK(read->workspace_usage.at(0).sent_in_window == 5'000);
+    CHECK(read->workspace_usage.at(0).all_sent_in_window.at(0) == 9'000);
+    CHECK(read->workspace_usage.at(0).all_sent_in_window.at(3) == 3);
     CHECK(read->known_entries.at(0).age == 250ms);
 }
 
