--- a/src/greengagedrum/dispatch/member_request_table.cpp
+++ b/src/greengagedrum/dispatch/member_request_table.cpp
@@ -155,7 +155,7 @@
     if (!send.denial)
         out.events.emplace_back(traffic::caller_left{id});
     if (!send.denial && !send.grant && !send.charged)
-        out.released_charges.push_back(send.charge);
+        out.refunds.push_back(send.charge);
     this->members_by_id.at(send.member).sends.erase(send.id);
     this->sends.erase(found);
 }
--- a/src/greengagedrum/dispatch/member_request_table.hpp
+++ b/src/greengagedrum/dispatch/member_request_table.hpp
@@ -32,7 +32,7 @@
     // Sends that are new: to be let through by the limit, and then told as
     // arrived.
     std::vector<std::pair<base::request_id, slot_request>> new_requests;
-    std::vector<limit_charge> released_charges; // of sends that got no place
+    std::vector<limit_charge> refunds; // of sends that got no place
     std::vector<traffic::upstream_load>
         loads_dispatched_elsewhere; // placed by nobody here
 };
--- a/src/greengagedrum/dispatch/test/member_request_table_test.cpp
+++ b/src/greengagedrum/dispatch/test/member_request_table_test.cpp
@@ -102,13 +102,13 @@
     this->told.slot_requests.clear();
     const request_changes waited = this->report();
     CHECK(waited.events.size() == 1);
-    CHECK(waited.released_charges.size() == 1);
+    CHECK(waited.refunds.size() == 1);
     this->grant(this->arrive(8));
     this->told.slot_requests.clear();
     const request_changes granted = this->report();
     REQUIRE(granted.events.size() == 1);
     CHECK(std::holds_alternative<traffic::caller_left>(granted.events[0]));
-    CHECK(granted.released_charges.empty());
+    CHECK(granted.refunds.empty());
 }
 
 // The reply is lost, and the member has no reason to say anything.
@@ -198,7 +198,7 @@
     this->told.slot_requests.clear();
     const request_changes news = this->report();
     CHECK(news.events.empty());
-    CHECK(news.released_charges.empty());
+    CHECK(news.refunds.empty());
 }
 
 TEST_CASE("journal_tells_first_event_once_and_forgets_what_was_taken")
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -105,7 +105,7 @@
         of.state.delegating = true;
         const dispatch::request_changes news =
             this->of(of).book.remove_all_members();
-        for (const dispatch::limit_charge& cost : news.released_charges)
+        for (const dispatch::limit_charge& cost : news.refunds)
             of.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
     };
@@ -123,7 +123,7 @@
     };
     out.member_lost = [this, &of](base::slot_id member) {
         for (const dispatch::limit_charge& cost :
-             this->of(of).book.remove_member(member).released_charges)
+             this->of(of).book.remove_member(member).refunds)
             of.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
     };
@@ -210,7 +210,7 @@
     dispatch::member_request_table& book = this->of(dispatcher).book;
     const dispatch::request_changes news = book.on_report(
         member, told.incarnation, told.report, told.upstream_loads);
-    for (const dispatch::limit_charge& cost : news.released_charges)
+    for (const dispatch::limit_charge& cost : news.refunds)
         limiter.refund_unsent(cost.workspace, cost.amount, this->fleet.time());
     for (const auto& [id, wanted] : news.new_requests) {
         const auto over =
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -108,7 +108,7 @@
     const dispatch::request_changes& news)
 {
     const base::instant now = this->state.clock();
-    for (const dispatch::limit_charge& cost : news.released_charges)
+    for (const dispatch::limit_charge& cost : news.refunds)
         this->state.limiter.refund_unsent(cost.workspace, cost.amount, now);
     for (const traffic::event& one : news.events)
         this->submit_event(one);
