--- a/src/greengagedrum/dispatch/member_request_table.cpp
+++ b/src/greengagedrum/dispatch/member_request_table.cpp
@@ -9,101 +9,103 @@
 {
 
 // Own requests are counted from one; no process takes 2^63 of them.
-constexpr std::uint64_t members_bit = 1ULL << 63U;
+constexpr std::uint64_t member_request_bit = 1ULL << 63U;
 
 // The scheduler here sends each of them once: what comes after is a new send.
-constexpr std::uint32_t only_send = 1;
+constexpr std::uint32_t only_send_number = 1;
 
-traffic::event event_of(base::request_id id, send_status what)
+traffic::event to_event(base::request_id id, send_status status)
 {
-    switch (what) {
+    switch (status) {
     case send_status::first_event:
-        return traffic::events_received{id, only_send, 1};
+        return traffic::events_received{id, only_send_number, 1};
     case send_status::completed:
-        return traffic::answer_received{id, only_send, true};
+        return traffic::answer_received{id, only_send_number, true};
     case send_status::error_answer:
-        return traffic::answer_received{id, only_send, false};
+        return traffic::answer_received{id, only_send_number, false};
     case send_status::not_sent:
-        return traffic::connect_failed{id, only_send};
+        return traffic::connect_failed{id, only_send_number};
     case send_status::rejected_full:
         return traffic::send_rejected{
-            id, only_send, traffic::rejection::not_run};
+            id, only_send_number, traffic::rejection::not_run};
     case send_status::misdirected:
         return traffic::send_rejected{
-            id, only_send, traffic::rejection::misdirected};
+            id, only_send_number, traffic::rejection::misdirected};
     case send_status::connection_broken:
         break;
     }
-    return traffic::answer_interrupted{id, only_send};
+    return traffic::answer_interrupted{id, only_send_number};
 }
 
 } // namespace
 
 bool member_request_table::is_member_request(base::request_id id)
 {
-    return (id.value & members_bit) != 0;
+    return (id.value & member_request_bit) != 0;
 }
 
 // ---- Reports --------------------------------------------------------------
 
 request_changes
 member_request_table::on_report(base::slot_id member,
-                                base::incarnation life,
-                                const member_report& told,
-                                std::span<const traffic::upstream_load> uses)
+                                base::incarnation incarnation,
+                                const member_report& received,
+                                std::span<const traffic::upstream_load> loads)
 {
     request_changes out;
     member_state& state = this->members_by_id[member];
-    if (state.incarnation != life) {
+    if (state.incarnation != incarnation) {
         out = this->remove_member(member);
-        this->members_by_id[member].incarnation = life;
+        this->members_by_id[member].incarnation = incarnation;
     }
-    member_state& own = this->members_by_id[member];
-    own.report_count += 1;
-    own.acked_report = told.sequence;
-    for (const send_status_update& one : told.status_updates)
-        this->apply_status(own, one, out);
-    std::unordered_map<base::upstream_id, traffic::upstream_load> others;
+    member_state& sender = this->members_by_id[member];
+    sender.report_count += 1;
+    sender.acked_report = received.sequence;
+    for (const send_status_update& update : received.status_updates)
+        this->apply_status(sender, update, out);
+    std::unordered_map<base::upstream_id, traffic::upstream_load>
+        loads_by_upstream;
     // What it sees of upstreams' speed counts, whoever placed the request.
-    for (const traffic::upstream_load& use : uses)
-        others[use.upstream] = {use.upstream, 0, 0, use.event_gap};
-    for (const running_send& one : told.running) {
-        const auto found = own.sends.find(one.id);
-        if (found != own.sends.end()) {
+    for (const traffic::upstream_load& load : loads)
+        loads_by_upstream[load.upstream] = {
+            load.upstream, 0, 0, load.event_gap};
+    for (const running_send& running : received.running) {
+        const auto found = sender.sends.find(running.id);
+        if (found != sender.sends.end()) {
             send_state& send = this->sends.at(found->second.value);
             send.running = true;
-            send.last_report = own.report_count;
+            send.last_report = sender.report_count;
             if (send.grant)
                 continue;
         }
         // Sent by the member itself, or placed by a dispatcher before this one.
-        traffic::upstream_load& use = others[one.upstream];
-        use.upstream = one.upstream;
-        use.requests += 1;
-        use.pending_prefill_tokens += one.pending_prefill_tokens;
+        traffic::upstream_load& load = loads_by_upstream[running.upstream];
+        load.upstream = running.upstream;
+        load.requests += 1;
+        load.pending_prefill_tokens += running.pending_prefill_tokens;
     }
-    for (const slot_request& one : told.slot_requests)
-        this->apply_slot_request(member, own, one, out);
-    this->end_unlisted_sends(own, out);
-    for (const auto& [id, use] : others)
-        out.loads_dispatched_elsewhere.push_back(use);
+    for (const slot_request& request : received.slot_requests)
+        this->apply_slot_request(member, sender, request, out);
+    this->end_unlisted_sends(sender, out);
+    for (const auto& [id, load] : loads_by_upstream)
+        out.loads_dispatched_elsewhere.push_back(load);
     return out;
 }
 
 void member_request_table::apply_status(member_state& member,
-                                        const send_status_update& news,
+                                        const send_status_update& update,
                                         request_changes& out)
 {
-    if (news.sequence <= member.acked_status)
+    if (update.sequence <= member.acked_status)
         return;
-    member.acked_status = news.sequence;
+    member.acked_status = update.sequence;
     member.reply_due = true;
-    const auto found = member.sends.find(news.id);
+    const auto found = member.sends.find(update.id);
     if (found == member.sends.end())
         return;
     const base::request_id id = found->second;
-    out.events.push_back(event_of(id, news.status));
-    if (news.status == send_status::first_event)
+    out.events.push_back(to_event(id, update.status));
+    if (update.status == send_status::first_event)
         return;
     member.sends.erase(found);
     this->sends.erase(id.value);
@@ -111,20 +113,20 @@
 
 void member_request_table::apply_slot_request(base::slot_id id,
                                               member_state& member,
-                                              const slot_request& wanted,
+                                              const slot_request& request,
                                               request_changes& out)
 {
-    const auto [found, fresh] = member.sends.try_emplace(wanted.id);
-    if (fresh) {
+    const auto [found, inserted] = member.sends.try_emplace(request.id);
+    if (inserted) {
         found->second =
-            base::request_id{members_bit | this->next_request_number++};
+            base::request_id{member_request_bit | this->next_request_number++};
         send_state& send = this->sends[found->second.value];
         send.member = id;
-        send.id = wanted.id;
-        send.charge = {wanted.facts.workspace, wanted.cost};
-        send.charged = wanted.charged;
+        send.id = request.id;
+        send.charge = {request.facts.workspace, request.cost};
+        send.charged = request.charged;
         member.reply_due = true;
-        out.new_requests.emplace_back(found->second, wanted);
+        out.new_requests.emplace_back(found->second, request);
     }
     send_state& send = this->sends.at(found->second.value);
     send.last_report = member.report_count;
@@ -139,12 +141,12 @@
 void member_request_table::end_unlisted_sends(member_state& member,
                                               request_changes& out)
 {
-    std::vector<base::request_id> gone;
-    for (const auto& [name, id] : member.sends) {
+    std::vector<base::request_id> ended;
+    for (const auto& [member_send, id] : member.sends) {
         if (this->sends.at(id.value).last_report != member.report_count)
-            gone.push_back(id);
+            ended.push_back(id);
     }
-    for (const base::request_id id : gone)
+    for (const base::request_id id : ended)
         this->end_send(id, out);
 }
 
@@ -167,7 +169,7 @@
     if (found == this->members_by_id.end())
         return out;
     std::vector<base::request_id> all;
-    for (const auto& [name, id] : found->second.sends)
+    for (const auto& [member_send, id] : found->second.sends)
         all.push_back(id);
     for (const base::request_id id : all)
         this->end_send(id, out);
@@ -209,14 +211,15 @@
 }
 
 std::optional<limit_charge>
-member_request_table::on_denied(base::request_id id, const base::verdict& why)
+member_request_table::on_denied(base::request_id id,
+                                const base::verdict& verdict)
 {
     const auto found = this->sends.find(id.value);
     if (found == this->sends.end() || found->second.grant)
         return std::nullopt;
     send_state& send = found->second;
     send.denial = slot_denial{
-        send.id, why.why, why.retry_after.value_or(base::duration(0))};
+        send.id, verdict.why, verdict.retry_after.value_or(base::duration(0))};
     this->members_by_id.at(send.member).reply_due = true;
     if (send.charged)
         return std::nullopt;
@@ -229,12 +232,12 @@
     const auto found = this->sends.find(id.value);
     if (found == this->sends.end())
         return std::nullopt;
-    const send_state gone = found->second;
-    this->members_by_id.at(gone.member).sends.erase(gone.id);
+    const send_state ended = found->second;
+    this->members_by_id.at(ended.member).sends.erase(ended.id);
     this->sends.erase(found);
-    if (gone.charged)
+    if (ended.charged)
         return std::nullopt;
-    return gone.charge;
+    return ended.charge;
 }
 
 // ---- Replies --------------------------------------------------------------
@@ -273,7 +276,7 @@
     found->second.replied_at = now;
     out.acked_report = found->second.acked_report;
     out.acked_status = found->second.acked_status;
-    for (const auto& [name, id] : found->second.sends) {
+    for (const auto& [member_send, id] : found->second.sends) {
         const send_state& send = this->sends.at(id.value);
         if (send.denial)
             out.denials.push_back(*send.denial);
--- a/src/greengagedrum/dispatch/member_request_table.hpp
+++ b/src/greengagedrum/dispatch/member_request_table.hpp
@@ -44,9 +44,9 @@
     static bool is_member_request(base::request_id id);
 
     request_changes on_report(base::slot_id member,
-                              base::incarnation life,
-                              const member_report& told,
-                              std::span<const traffic::upstream_load> uses);
+                              base::incarnation incarnation,
+                              const member_report& received,
+                              std::span<const traffic::upstream_load> loads);
 
     // The member has died or was cut off: what it wanted is nobody's.
     request_changes remove_member(base::slot_id member);
@@ -60,7 +60,7 @@
     // The send got none. What the limit is to give back; empty when it had a
     // place, or is no longer wanted.
     std::optional<limit_charge> on_denied(base::request_id id,
-                                          const base::verdict& why);
+                                          const base::verdict& verdict);
 
     // The send was to have a place and has none: asked for again, it is a new
     // one. What the limit is to give back, as above.
@@ -97,11 +97,11 @@
     };
 
     void apply_status(member_state& member,
-                      const send_status_update& news,
+                      const send_status_update& update,
                       request_changes& out);
     void apply_slot_request(base::slot_id id,
                             member_state& member,
-                            const slot_request& wanted,
+                            const slot_request& request,
                             request_changes& out);
     bool has_unacknowledged_decision(const member_state& member) const;
     void end_send(base::request_id id, request_changes& out);
--- a/src/greengagedrum/dispatch/send_status_log.cpp
+++ b/src/greengagedrum/dispatch/send_status_log.cpp
@@ -11,16 +11,16 @@
 // Of a dispatcher that is silent for half a second, at a hundred requests a
 // second; beyond it the oldest are dropped. The dispatcher learns of the end of
 // such a send all the same, since the next report does not name it.
-constexpr std::size_t news_most = 64;
+constexpr std::size_t max_updates = 64;
 
-struct change_reader {
+struct status_reader {
     send_status operator()(const traffic::connect_failed&) const
     {
         return send_status::not_sent;
     }
-    send_status operator()(const traffic::send_rejected& what) const
+    send_status operator()(const traffic::send_rejected& event) const
     {
-        return what.cause == traffic::rejection::misdirected
+        return event.cause == traffic::rejection::misdirected
                    ? send_status::misdirected
                    : send_status::rejected_full;
     }
@@ -28,10 +28,10 @@
     {
         return send_status::first_event;
     }
-    send_status operator()(const traffic::answer_received& what) const
+    send_status operator()(const traffic::answer_received& event) const
     {
-        return what.successful ? send_status::completed
-                               : send_status::error_answer;
+        return event.successful ? send_status::completed
+                                : send_status::error_answer;
     }
     send_status operator()(const traffic::answer_interrupted&) const
     {
@@ -41,39 +41,41 @@
 
 } // namespace
 
-void send_status_log::record(const traffic::event& what)
+void send_status_log::record(const traffic::event& event)
 {
-    if (const auto* left = std::get_if<traffic::caller_left>(&what)) {
-        std::erase_if(this->started_sends, [&](const send_id& one) {
-            return one.request == left->request;
+    if (const auto* left = std::get_if<traffic::caller_left>(&event)) {
+        std::erase_if(this->started_sends, [&](const send_id& started) {
+            return started.request == left->request;
         });
         return;
     }
     std::visit(
-        [this](const auto& one) {
+        [this](const auto& send_event) {
             if constexpr (
-                requires { one.send; } && requires { change_reader{}(one); })
-                this->record({one.request, one.send}, change_reader{}(one));
+                requires { send_event.send; } &&
+                requires { status_reader{}(send_event); })
+                this->record({send_event.request, send_event.send},
+                             status_reader{}(send_event));
         },
-        what);
+        event);
 }
 
-void send_status_log::record(const send_id& name, send_status what)
+void send_status_log::record(const send_id& id, send_status status)
 {
-    if (what == send_status::first_event) {
-        if (!this->started_sends.insert(name).second)
+    if (status == send_status::first_event) {
+        if (!this->started_sends.insert(id).second)
             return;
     } else {
-        this->started_sends.erase(name);
+        this->started_sends.erase(id);
     }
-    this->updates.push_back({++this->last_sequence, name, what});
-    if (this->updates.size() > news_most)
+    this->updates.push_back({++this->last_sequence, id, status});
+    if (this->updates.size() > max_updates)
         this->updates.pop_front();
 }
 
-void send_status_log::acknowledge(std::uint64_t number)
+void send_status_log::acknowledge(std::uint64_t sequence)
 {
-    while (!this->updates.empty() && this->updates.front().sequence <= number)
+    while (!this->updates.empty() && this->updates.front().sequence <= sequence)
         this->updates.pop_front();
 }
 
--- a/src/greengagedrum/dispatch/send_status_log.hpp
+++ b/src/greengagedrum/dispatch/send_status_log.hpp
@@ -15,15 +15,15 @@
 class send_status_log
 {
 public:
-    void record(const traffic::event& what);
+    void record(const traffic::event& event);
 
     // The dispatcher has all up to that number.
-    void acknowledge(std::uint64_t number);
+    void acknowledge(std::uint64_t sequence);
 
     std::vector<send_status_update> unacknowledged() const;
 
 private:
-    void record(const send_id& name, send_status what);
+    void record(const send_id& id, send_status status);
 
     std::deque<send_status_update> updates;
     std::set<send_id> started_sends; // whose first event was noted
--- a/src/greengagedrum/dispatch/test/dispatch_run.hpp
+++ b/src/greengagedrum/dispatch/test/dispatch_simulation.hpp
@@ -17,64 +17,64 @@
 namespace greengagedrum::dispatch
 {
 
-struct run_settings {
+struct simulation_settings {
     std::size_t members = 86;
     std::size_t upstreams = 4;
     std::uint32_t slots = 6;
     base::duration work = std::chrono::milliseconds(60);
-    double load = 2;    // of what the upstreams can do, in the burst
-    double after = 0.7; // and after it
+    double burst_load = 2;         // of what the upstreams can do, in the burst
+    double load_after_burst = 0.7; // and after it
     base::duration burst = std::chrono::seconds(5);
     base::duration length = std::chrono::seconds(12);
-    base::duration way = std::chrono::milliseconds(1);
-    double lost = 0.02; // of messages
+    base::duration transit_time = std::chrono::milliseconds(1);
+    double loss_rate = 0.02; // of messages
     // The dispatcher is killed in the burst, and another one takes its place
     // half a second later.
     bool dispatcher_dies = false;
     std::uint64_t seed = 7;
 };
 
-struct run_result {
-    std::uint32_t asked = 0;
+struct simulation_result {
+    std::uint32_t arrived = 0;
     std::uint32_t answered = 0;
     std::uint32_t refused = 0;
     std::uint32_t sent_twice = 0;
-    std::uint32_t most_on_one = 0;
+    std::uint32_t max_on_one_upstream = 0;
     double busy = 0; // mean share of slots in the burst, after its first second
     base::duration last_refused{0}; // came so long after the burst's end
     std::uint32_t messages = 0;     // of one member, a second, at the most
 };
 
-class dispatch_run
+class dispatch_simulation
 {
 public:
-    explicit dispatch_run(const run_settings& given);
+    explicit dispatch_simulation(const simulation_settings& settings);
 
-    run_result play();
+    simulation_result run();
 
 private:
     struct member {
         std::unique_ptr<traffic::scheduler> decisions;
-        send_status_log journal;
-        base::instant told_at;
+        send_status_log status_log;
+        base::instant reported_at;
         bool changed = false;
         std::uint64_t reports = 0;
         std::uint64_t unanswered = 0;
         std::uint32_t messages = 0;
     };
 
-    void at(base::instant when, std::function<void()> what);
+    void schedule(base::instant when, std::function<void()> action);
     void arrive();
     void arrive_next();
     void report(std::size_t from);
-    void take_report(std::size_t from,
-                     const member_report& told,
-                     std::uint64_t term);
+    void receive_report(std::size_t from,
+                        const member_report& report,
+                        std::uint64_t term);
     void answer_members();
-    void replied(std::size_t to, const dispatcher_reply& what);
-    void member_step(std::size_t number, const traffic::event& what);
+    void receive_reply(std::size_t to, const dispatcher_reply& reply);
+    void member_step(std::size_t number, const traffic::event& event);
     void member_orders(std::size_t number, const traffic::actions& orders);
-    void dispatcher_step(const traffic::event& what);
+    void dispatcher_step(const traffic::event& event);
     void dispatcher_orders(const traffic::actions& orders);
     bool end_work(base::request_id request);
     void note_refusal(base::request_id request);
@@ -84,24 +84,25 @@
     bool is_lost();
     double arrivals_per_second() const;
 
-    run_settings given;
-    std::mt19937_64 dice;
+    simulation_settings settings;
+    std::mt19937_64 random;
     base::instant now{std::chrono::hours(1)};
     base::instant began{std::chrono::hours(1)};
     std::multimap<base::instant, std::function<void()>> events;
     std::vector<member> members;
-    std::unordered_map<base::slot_id, std::size_t> numbers; // of members
+    std::unordered_map<base::slot_id, std::size_t> member_indices; // of members
     std::unique_ptr<traffic::scheduler> dispatcher; // none: it was killed
-    std::unique_ptr<member_request_table> book;
+    std::unique_ptr<member_request_table> request_table;
     std::uint64_t term = 0; // grows with each dispatcher
     std::uint64_t next_request = 1;
     std::map<base::upstream_id, std::uint32_t> running;
-    std::map<std::uint64_t, base::upstream_id> works; // by request
-    std::map<std::uint64_t, std::uint32_t> sends;     // by request
+    std::map<std::uint64_t, base::upstream_id>
+        upstream_by_request;                      // by request
+    std::map<std::uint64_t, std::uint32_t> sends; // by request
     std::map<std::uint64_t, base::instant> arrived_at;
     double busy_sum = 0;
     double busy_samples = 0;
-    run_result out;
+    simulation_result out;
 };
 
 } // namespace greengagedrum::dispatch
--- a/src/greengagedrum/gossip/dispatch_codec.cpp
+++ b/src/greengagedrum/gossip/dispatch_codec.cpp
@@ -28,20 +28,20 @@
 std::uint32_t index_in(const List& list, Value value)
 {
     const auto found = std::find(list.begin(), list.end(), value);
-    const auto at = found == list.end()
-                        ? list.size() - 1
-                        : static_cast<std::size_t>(found - list.begin());
-    return static_cast<std::uint32_t>(at);
+    const auto index = found == list.end()
+                           ? list.size() - 1
+                           : static_cast<std::size_t>(found - list.begin());
+    return static_cast<std::uint32_t>(index);
 }
 
 // What an entry of a later build tells may be beyond the list.
 template <class List>
-auto value_at(const List& list, std::uint32_t at)
+auto value_at(const List& list, std::uint32_t index)
 {
-    return list.at(std::min<std::size_t>(at, list.size() - 1));
+    return list.at(std::min<std::size_t>(index, list.size() - 1));
 }
 
-std::uint32_t unsigned_count(std::int64_t value)
+std::uint32_t clamped_count(std::int64_t value)
 {
     return static_cast<std::uint32_t>(
         std::clamp<std::int64_t>(value, 0, UINT32_MAX));
@@ -49,16 +49,16 @@
 
 flatbuffers::Offset<wire::Wanted>
 write_wanted(flatbuffers::FlatBufferBuilder& builder,
-             const dispatch::slot_request& one)
+             const dispatch::slot_request& request)
 {
     std::vector<std::uint64_t> tried;
-    for (const base::upstream_id id : one.tried_upstreams)
+    for (const base::upstream_id id : request.tried_upstreams)
         tried.push_back(id.value);
-    const traffic::request_facts& facts = one.facts;
+    const traffic::request_facts& facts = request.facts;
     const bool at_most_once = facts.rule == routing::retry_policy::at_most_once;
     return wire::CreateWanted(builder,
-                              one.id.request.value,
-                              one.id.send,
+                              request.id.request.value,
+                              request.id.send,
                               facts.service.value,
                               facts.workspace.value,
                               facts.kind.value,
@@ -72,8 +72,8 @@
                               facts.time_left.count(),
                               facts.first_event_timeout.count(),
                               facts.prior_sends,
-                              one.cost,
-                              one.charged,
+                              request.cost,
+                              request.charged,
                               builder.CreateVector(tried));
 }
 
@@ -110,23 +110,23 @@
 
 flatbuffers::Offset<wire::Report>
 write_report(flatbuffers::FlatBufferBuilder& builder,
-             const dispatch::member_report& told)
+             const dispatch::member_report& sent)
 {
     std::vector<flatbuffers::Offset<wire::Wanted>> wanted;
-    for (const dispatch::slot_request& one : told.slot_requests)
-        wanted.push_back(write_wanted(builder, one));
+    for (const dispatch::slot_request& request : sent.slot_requests)
+        wanted.push_back(write_wanted(builder, request));
     std::vector<wire::Running> running;
-    for (const dispatch::running_send& one : told.running)
-        running.emplace_back(one.id.request.value,
-                             one.upstream.value,
-                             one.id.send,
-                             one.pending_prefill_tokens);
+    for (const dispatch::running_send& send : sent.running)
+        running.emplace_back(send.id.request.value,
+                             send.upstream.value,
+                             send.id.send,
+                             send.pending_prefill_tokens);
     std::vector<wire::SendNews> news;
-    for (const dispatch::send_status_update& one : told.status_updates)
-        news.emplace_back(one.sequence,
-                          one.id.request.value,
-                          one.id.send,
-                          index_in(send_statuses, one.status));
+    for (const dispatch::send_status_update& update : sent.status_updates)
+        news.emplace_back(update.sequence,
+                          update.id.request.value,
+                          update.id.send,
+                          index_in(send_statuses, update.status));
     return wire::CreateReport(builder,
                               builder.CreateVector(wanted),
                               builder.CreateVectorOfStructs(running),
@@ -135,52 +135,52 @@
 
 flatbuffers::Offset<wire::Reply>
 write_reply(flatbuffers::FlatBufferBuilder& builder,
-            const dispatch::dispatcher_reply& told)
+            const dispatch::dispatcher_reply& sent)
 {
     std::vector<wire::Granted> granted;
-    for (const dispatch::slot_grant& one : told.grants)
-        granted.emplace_back(one.id.request.value,
-                             one.upstream.value,
-                             one.id.send,
-                             unsigned_count(one.expected_first_event.count()),
-                             one.slots_taken,
-                             one.slots);
+    for (const dispatch::slot_grant& grant : sent.grants)
+        granted.emplace_back(grant.id.request.value,
+                             grant.upstream.value,
+                             grant.id.send,
+                             clamped_count(grant.expected_first_event.count()),
+                             grant.slots_taken,
+                             grant.slots);
     std::vector<wire::Declined> declined;
-    for (const dispatch::slot_denial& one : told.denials) {
+    for (const dispatch::slot_denial& denial : sent.denials) {
         const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(
-            one.retry_after);
-        declined.emplace_back(one.id.request.value,
-                              one.id.send,
-                              index_in(decline_reasons, one.reason),
-                              unsigned_count(wait.count()));
+            denial.retry_after);
+        declined.emplace_back(denial.id.request.value,
+                              denial.id.send,
+                              index_in(decline_reasons, denial.reason),
+                              clamped_count(wait.count()));
     }
     return wire::CreateReply(builder,
-                             told.acked_status,
+                             sent.acked_status,
                              builder.CreateVectorOfStructs(granted),
                              builder.CreateVectorOfStructs(declined),
-                             told.acked_report);
+                             sent.acked_report);
 }
 
 dispatch::member_report read_report(const wire::Report& from)
 {
     dispatch::member_report out;
     if (const auto* list = from.wanted()) {
-        for (const wire::Wanted* one : *list)
-            out.slot_requests.push_back(read_wanted(*one));
+        for (const wire::Wanted* wanted : *list)
+            out.slot_requests.push_back(read_wanted(*wanted));
     }
     if (const auto* list = from.running()) {
-        for (const wire::Running* one : *list)
+        for (const wire::Running* running : *list)
             out.running.push_back(
-                {{base::request_id{one->request()}, one->send()},
-                 base::upstream_id(one->upstream()),
-                 one->unread_tokens()});
+                {{base::request_id{running->request()}, running->send()},
+                 base::upstream_id(running->upstream()),
+                 running->unread_tokens()});
     }
     if (const auto* list = from.news()) {
-        for (const wire::SendNews* one : *list)
+        for (const wire::SendNews* update : *list)
             out.status_updates.push_back(
-                {one->number(),
-                 {base::request_id{one->request()}, one->send()},
-                 value_at(send_statuses, one->what())});
+                {update->number(),
+                 {base::request_id{update->request()}, update->send()},
+                 value_at(send_statuses, update->what())});
     }
     return out;
 }
@@ -191,20 +191,20 @@
     out.acked_status = from.news_taken();
     out.acked_report = from.report_taken();
     if (const auto* list = from.granted()) {
-        for (const wire::Granted* one : *list)
+        for (const wire::Granted* granted : *list)
             out.grants.push_back(
-                {{base::request_id{one->request()}, one->send()},
-                 base::upstream_id(one->upstream()),
-                 std::chrono::microseconds(one->expected_us()),
-                 one->taken(),
-                 one->places()});
+                {{base::request_id{granted->request()}, granted->send()},
+                 base::upstream_id(granted->upstream()),
+                 std::chrono::microseconds(granted->expected_us()),
+                 granted->taken(),
+                 granted->places()});
     }
     if (const auto* list = from.declined()) {
-        for (const wire::Declined* one : *list)
+        for (const wire::Declined* declined : *list)
             out.denials.push_back(
-                {{base::request_id{one->request()}, one->send()},
-                 value_at(decline_reasons, one->why()),
-                 std::chrono::milliseconds(one->retry_after_ms())});
+                {{base::request_id{declined->request()}, declined->send()},
+                 value_at(decline_reasons, declined->why()),
+                 std::chrono::milliseconds(declined->retry_after_ms())});
     }
     return out;
 }
--- a/src/greengagedrum/gossip/dispatcher_election.cpp
+++ b/src/greengagedrum/gossip/dispatcher_election.cpp
@@ -11,93 +11,96 @@
 
 // From here on, and down to there, one entry of each data centre places. Up to
 // some thirty, what each tells all others is less than what it relays.
-constexpr std::size_t large_from = 33;
-constexpr std::size_t large_until = 25;
+constexpr std::size_t dispatchers_used_from = 33;
+constexpr std::size_t dispatchers_used_down_to = 25;
 
 // A dispatcher tells each member ten times a second; after three in a row that
 // were not heard another one places. A process whose share of the processor is
 // used up stands still for up to 100 ms.
-constexpr base::duration heard_for = std::chrono::milliseconds(350);
+constexpr base::duration liveness_timeout = std::chrono::milliseconds(350);
 
 // An entry that has lived for less has not seen a whole window of the limits,
 // nor how fast upstreams are.
-constexpr base::duration young_for = std::chrono::seconds(10);
+constexpr base::duration warm_up_time = std::chrono::seconds(10);
 
 // Much stronger, of a dispatcher: a change is worth the pause it costs.
-constexpr std::uint32_t stronger_halves = 3;
+constexpr std::uint32_t replacement_share_halves = 3;
 
 // An entry that does not answer for so long is passed over for a while: it
 // died, or is cut off from this one only.
-constexpr base::duration answer_bound = std::chrono::milliseconds(400);
-constexpr base::duration passed_over = std::chrono::seconds(2);
+constexpr base::duration probe_timeout = std::chrono::milliseconds(400);
+constexpr base::duration skip_time = std::chrono::seconds(2);
 
 // Nobody has had a sign of life for so long: it is gone, or not yet back. As
 // long as limits keep a part for entries behind a cut.
-constexpr base::duration forgotten_after = std::chrono::seconds(30);
+constexpr base::duration forget_timeout = std::chrono::seconds(30);
 
 // The age that an entry is named with lacks the message's own way.
-constexpr base::duration naming_lag = std::chrono::milliseconds(100);
+constexpr base::duration listed_age_error = std::chrono::milliseconds(100);
 
 // Those that are kept ready to take over: one, and one more for its death.
-constexpr std::size_t successors = 2;
+constexpr std::size_t standby_count = 2;
 
 // In one message: enough to find the next dispatcher after the loss of several,
 // and to hear of all entries of a few hundred within some seconds.
-constexpr std::size_t strongest_named = 4;
-constexpr std::size_t named_in_turn = 6;
+constexpr std::size_t max_listed_by_rank = 4;
+constexpr std::size_t max_listed_in_rotation = 6;
 
 } // namespace
 
 // The strongest goes first, and among equals the lowest address.
 bool dispatcher_election::outranks_self(ipv4_address address) const
 {
-    const std::uint32_t other = this->other_entries.at(address).cpu_millicores;
-    return other != this->cpu_millicores ? other > this->cpu_millicores
-                                         : address < this->own_address;
+    const std::uint32_t other_millicores =
+        this->other_entries.at(address).cpu_millicores;
+    return other_millicores != this->cpu_millicores
+               ? other_millicores > this->cpu_millicores
+               : address < this->own_address;
 }
 
-bool dispatcher_election::is_live(const candidate& one, base::instant now)
+bool dispatcher_election::is_live(const candidate& other, base::instant now)
 {
-    return one.heard_at && now - *one.heard_at <= heard_for;
+    return other.received_at && now - *other.received_at <= liveness_timeout;
 }
 
 // It was heard, and places requests: its own, and those of whoever asks it.
-bool dispatcher_election::is_dispatching(const candidate& one,
+bool dispatcher_election::is_dispatching(const candidate& other,
                                          base::instant now)
 {
-    return is_live(one, now) && !one.delegating && !one.stopping;
+    return is_live(other, now) && !other.delegating && !other.stopping;
 }
 
-void dispatcher_election::on_message(const message& told, base::instant now)
+void dispatcher_election::on_message(const message& received, base::instant now)
 {
-    if (told.address == this->own_address)
+    if (received.address == this->own_address)
         return;
-    candidate& sender = this->other_entries[told.address];
-    sender.data_centre = base::data_centre_id(told.data_centre);
-    sender.cpu_millicores = told.cpu_millicores;
+    candidate& sender = this->other_entries[received.address];
+    sender.data_centre = base::data_centre_id(received.data_centre);
+    sender.cpu_millicores = received.cpu_millicores;
     sender.last_seen_at = now;
-    sender.started_at = now - told.uptime;
-    sender.heard_at = now;
+    sender.started_at = now - received.uptime;
+    sender.received_at = now;
     sender.probed_at.reset();
     sender.skipped_until = now;
-    sender.stopping = told.stopping;
-    sender.delegating = told.delegating;
-    sender.dispatches_for_others = told.dispatching;
-    for (const known_entry& named : told.known_entries) {
-        if (named.address == this->own_address || named.data_centre.empty() ||
-            named.age > forgotten_after)
+    sender.stopping = received.stopping;
+    sender.delegating = received.delegating;
+    sender.dispatches_for_others = received.dispatching;
+    for (const known_entry& listed : received.known_entries) {
+        if (listed.address == this->own_address || listed.data_centre.empty() ||
+            listed.age > forget_timeout)
             continue;
-        candidate& one = this->other_entries[named.address];
-        one.last_seen_at = std::max(one.last_seen_at, now - named.age);
+        candidate& other = this->other_entries[listed.address];
+        other.last_seen_at = std::max(other.last_seen_at, now - listed.age);
         // Failure guarded against: a strong entry is restarted, and whoever
         // heard it stop goes on taking it for that. When it is next in line,
         // they look for a dispatcher in vain and place by themselves.
-        if (one.heard_at && one.last_seen_at > *one.heard_at + naming_lag)
-            one.stopping = false;
-        if (one.heard_at)
+        if (other.received_at &&
+            other.last_seen_at > *other.received_at + listed_age_error)
+            other.stopping = false;
+        if (other.received_at)
             continue;
-        one.data_centre = named.data_centre;
-        one.cpu_millicores = named.cpu_millicores;
+        other.data_centre = listed.data_centre;
+        other.cpu_millicores = listed.cpu_millicores;
     }
 }
 
@@ -106,52 +109,52 @@
     const auto found = this->other_entries.find(address);
     if (found == this->other_entries.end() || is_live(found->second, now))
         return;
-    candidate& one = found->second;
-    if (!one.probed_at)
-        one.probed_at = now;
-    if (now - *one.probed_at <= answer_bound)
+    candidate& other = found->second;
+    if (!other.probed_at)
+        other.probed_at = now;
+    if (now - *other.probed_at <= probe_timeout)
         return;
-    one.probed_at.reset();
-    one.skipped_until = now + passed_over;
+    other.probed_at.reset();
+    other.skipped_until = now + skip_time;
 }
 
 std::size_t dispatcher_election::entry_count(base::instant now) const
 {
-    return 1 + static_cast<std::size_t>(
-                   std::count_if(this->other_entries.begin(),
-                                 this->other_entries.end(),
-                                 [&](const auto& entry) {
-                                     return now - entry.second.last_seen_at <=
-                                            forgotten_after;
-                                 }));
+    return 1 + static_cast<std::size_t>(std::count_if(
+                   this->other_entries.begin(),
+                   this->other_entries.end(),
+                   [&](const auto& entry) {
+                       return now - entry.second.last_seen_at <= forget_timeout;
+                   }));
 }
 
 bool dispatcher_election::uses_dispatchers(base::instant now)
 {
     const std::size_t count = this->entry_count(now);
-    this->dispatchers_in_use =
-        this->dispatchers_in_use ? count >= large_until : count >= large_from;
+    this->dispatchers_in_use = this->dispatchers_in_use
+                                   ? count >= dispatchers_used_down_to
+                                   : count >= dispatchers_used_from;
     return this->dispatchers_in_use;
 }
 
 std::vector<ipv4_address>
-dispatcher_election::ranked_candidates(base::data_centre_id of,
+dispatcher_election::ranked_candidates(base::data_centre_id in_data_centre,
                                        base::instant now) const
 {
-    std::vector<std::pair<std::uint32_t, ipv4_address>> known;
-    for (const auto& [address, one] : this->other_entries) {
-        if (one.data_centre == of && !one.stopping &&
-            now - one.last_seen_at <= forgotten_after)
-            known.emplace_back(one.cpu_millicores, address);
+    std::vector<std::pair<std::uint32_t, ipv4_address>> by_rank;
+    for (const auto& [address, other] : this->other_entries) {
+        if (other.data_centre == in_data_centre && !other.stopping &&
+            now - other.last_seen_at <= forget_timeout)
+            by_rank.emplace_back(other.cpu_millicores, address);
     }
-    std::sort(known.begin(), known.end(), [](const auto& a, const auto& b) {
+    std::sort(by_rank.begin(), by_rank.end(), [](const auto& a, const auto& b) {
         return a.first != b.first ? a.first > b.first : a.second < b.second;
     });
-    std::vector<ipv4_address> out(known.size());
-    std::transform(known.begin(),
-                   known.end(),
+    std::vector<ipv4_address> out(by_rank.size());
+    std::transform(by_rank.begin(),
+                   by_rank.end(),
                    out.begin(),
-                   [](const auto& one) { return one.second; });
+                   [](const auto& ranked) { return ranked.second; });
     return out;
 }
 
@@ -169,14 +172,14 @@
 std::optional<ipv4_address>
 dispatcher_election::higher_ranked_dispatcher(base::instant now) const
 {
-    const bool served = this->has_established_dispatcher(now);
+    const bool established = this->has_established_dispatcher(now);
     for (const ipv4_address address :
          this->ranked_candidates(this->data_centre, now)) {
         if (!this->outranks_self(address))
             return std::nullopt;
-        const candidate& one = this->other_entries.at(address);
-        if (is_dispatching(one, now) &&
-            !(served && is_recently_started(one.started_at, now)))
+        const candidate& other = this->other_entries.at(address);
+        if (is_dispatching(other, now) &&
+            !(established && is_recently_started(other.started_at, now)))
             return address;
     }
     return std::nullopt;
@@ -186,17 +189,18 @@
 std::optional<ipv4_address>
 dispatcher_election::incumbent_dispatcher(base::instant now) const
 {
-    const bool young = is_recently_started(this->started, now);
+    const bool recently_started = is_recently_started(this->started, now);
     if (this->current_dispatcher &&
         this->is_established(*this->current_dispatcher, now)) {
-        const std::uint32_t other =
+        const std::uint32_t other_millicores =
             this->other_entries.at(*this->current_dispatcher).cpu_millicores;
-        const bool much_stronger =
-            2 * this->cpu_millicores >= stronger_halves * other;
-        if (young || !much_stronger)
+        const bool has_much_more_share =
+            2 * this->cpu_millicores >=
+            replacement_share_halves * other_millicores;
+        if (recently_started || !has_much_more_share)
             return this->current_dispatcher;
     }
-    if (!young)
+    if (!recently_started)
         return std::nullopt;
     for (const ipv4_address address :
          this->ranked_candidates(this->data_centre, now)) {
@@ -209,7 +213,7 @@
 bool dispatcher_election::is_recently_started(base::instant started,
                                               base::instant now)
 {
-    return now - started < young_for;
+    return now - started < warm_up_time;
 }
 
 // It places for others, and its process has seen enough to do it well.
@@ -219,9 +223,9 @@
     const auto found = this->other_entries.find(address);
     if (found == this->other_entries.end())
         return false;
-    const candidate& one = found->second;
-    return one.dispatches_for_others && is_dispatching(one, now) &&
-           !is_recently_started(one.started_at, now);
+    const candidate& other = found->second;
+    return other.dispatches_for_others && is_dispatching(other, now) &&
+           !is_recently_started(other.started_at, now);
 }
 
 bool dispatcher_election::has_established_dispatcher(base::instant now) const
@@ -240,11 +244,11 @@
     // One that stops places its own requests to the end, and tells of them.
     if (is_live(found->second, now) && !found->second.delegating)
         return false;
-    const base::data_centre_id of = found->second.data_centre;
+    const base::data_centre_id in_data_centre = found->second.data_centre;
     return std::any_of(this->other_entries.begin(),
                        this->other_entries.end(),
                        [&](const auto& entry) {
-                           return entry.second.data_centre == of &&
+                           return entry.second.data_centre == in_data_centre &&
                                   is_dispatching(entry.second, now);
                        });
 }
@@ -255,7 +259,7 @@
     std::vector<ipv4_address> out;
     for (const ipv4_address address :
          this->ranked_candidates(this->data_centre, now)) {
-        if (out.size() == successors)
+        if (out.size() == standby_count)
             break;
         if (is_live(this->other_entries.at(address), now))
             out.push_back(address);
@@ -295,19 +299,19 @@
 std::size_t
 dispatcher_election::never_heard_data_centre_count(base::instant now) const
 {
-    std::set<base::data_centre_id> known;
+    std::set<base::data_centre_id> listed;
     std::set<base::data_centre_id> ever_heard;
-    for (const auto& [address, one] : this->other_entries) {
-        if (one.data_centre == this->data_centre || one.data_centre.empty())
+    for (const auto& [address, other] : this->other_entries) {
+        if (other.data_centre == this->data_centre || other.data_centre.empty())
             continue;
-        if (now - one.last_seen_at <= forgotten_after)
-            known.insert(one.data_centre);
-        if (one.heard_at)
-            ever_heard.insert(one.data_centre);
+        if (now - other.last_seen_at <= forget_timeout)
+            listed.insert(other.data_centre);
+        if (other.received_at)
+            ever_heard.insert(other.data_centre);
     }
     std::size_t out = 0;
-    for (const base::data_centre_id place : known)
-        out += ever_heard.contains(place) ? 0 : 1;
+    for (const base::data_centre_id data_centre : listed)
+        out += ever_heard.contains(data_centre) ? 0 : 1;
     return out;
 }
 
@@ -317,35 +321,37 @@
     return this->ranked_candidates(this->data_centre, now).size();
 }
 
-std::vector<known_entry>
-dispatcher_election::select_known_entries(base::data_centre_id to,
-                                          base::instant now)
+std::vector<known_entry> dispatcher_election::select_known_entries(
+    base::data_centre_id recipient_data_centre, base::instant now)
 {
     std::vector<known_entry> out;
-    const auto name = [&](ipv4_address address) {
-        const candidate& one = this->other_entries.at(address);
+    const auto list_entry = [&](ipv4_address address) {
+        const candidate& other = this->other_entries.at(address);
         out.push_back({address,
-                       now - one.last_seen_at,
-                       one.data_centre,
-                       one.cpu_millicores});
+                       now - other.last_seen_at,
+                       other.data_centre,
+                       other.cpu_millicores});
     };
-    for (const ipv4_address address : this->ranked_candidates(to, now)) {
-        if (out.size() == strongest_named)
+    for (const ipv4_address address :
+         this->ranked_candidates(recipient_data_centre, now)) {
+        if (out.size() == max_listed_by_rank)
             break;
-        if (now - this->other_entries.at(address).last_seen_at <= answer_bound)
-            name(address);
+        if (now - this->other_entries.at(address).last_seen_at <= probe_timeout)
+            list_entry(address);
     }
-    const std::size_t most = out.size() + named_in_turn;
+    const std::size_t max_count = out.size() + max_listed_in_rotation;
     auto next = this->other_entries.lower_bound(this->next_address_to_share);
-    for (std::size_t seen = 0; seen < this->other_entries.size(); ++seen) {
+    for (std::size_t visited = 0; visited < this->other_entries.size();
+         ++visited) {
         if (next == this->other_entries.end())
             next = this->other_entries.begin();
         // Whoever is named has not said that it stops.
-        const bool there = now - next->second.last_seen_at <= forgotten_after;
-        if (there && !next->second.stopping)
-            name(next->first);
+        const bool known_lately =
+            now - next->second.last_seen_at <= forget_timeout;
+        if (known_lately && !next->second.stopping)
+            list_entry(next->first);
         ++next;
-        if (out.size() == most)
+        if (out.size() == max_count)
             break;
     }
     this->next_address_to_share =
--- a/src/greengagedrum/gossip/dispatcher_election.hpp
+++ b/src/greengagedrum/gossip/dispatcher_election.hpp
@@ -30,16 +30,16 @@
 class dispatcher_election
 {
 public:
-    dispatcher_election(ipv4_address own,
+    dispatcher_election(ipv4_address own_address,
                         base::data_centre_id data_centre,
-                        std::uint32_t strength,
+                        std::uint32_t cpu_millicores,
                         base::instant started)
-        : own_address(own), data_centre(data_centre), cpu_millicores(strength),
-          started(started)
+        : own_address(own_address), data_centre(data_centre),
+          cpu_millicores(cpu_millicores), started(started)
     {
     }
 
-    void on_message(const message& told, base::instant now);
+    void on_message(const message& received, base::instant now);
     // A message was sent to it, which it is to answer.
     void on_probe_sent(ipv4_address address, base::instant now);
 
@@ -49,7 +49,7 @@
     bool uses_dispatchers(base::instant now);
 
     // This entry places for others too.
-    void set_dispatching(bool serving) { this->dispatching = serving; }
+    void set_dispatching(bool dispatching) { this->dispatching = dispatching; }
 
     // Who places this entry's requests; none: itself.
     std::optional<ipv4_address> dispatcher(base::instant now);
@@ -86,8 +86,9 @@
 
     // For a message to an entry of that data centre: the strongest there, and
     // others in turn.
-    std::vector<known_entry> select_known_entries(base::data_centre_id to,
-                                                  base::instant now);
+    std::vector<known_entry>
+    select_known_entries(base::data_centre_id recipient_data_centre,
+                         base::instant now);
 
 private:
     struct candidate {
@@ -95,7 +96,7 @@
         std::uint32_t cpu_millicores = 0;
         base::instant last_seen_at; // by anyone
         base::instant started_at;   // its process
-        std::optional<base::instant> heard_at;
+        std::optional<base::instant> received_at;
         std::optional<base::instant> probed_at; // and not answered since
         base::instant skipped_until;
         bool stopping = false;
@@ -112,14 +113,15 @@
     bool is_established(ipv4_address address, base::instant now) const;
     bool has_established_dispatcher(base::instant now) const;
     static bool is_recently_started(base::instant started, base::instant now);
-    static bool is_live(const candidate& one, base::instant now);
-    static bool is_dispatching(const candidate& one, base::instant now);
-    std::vector<ipv4_address> ranked_candidates(base::data_centre_id of,
-                                                base::instant now) const;
+    static bool is_live(const candidate& other, base::instant now);
+    static bool is_dispatching(const candidate& other, base::instant now);
+    std::vector<ipv4_address>
+    ranked_candidates(base::data_centre_id in_data_centre,
+                      base::instant now) const;
     std::size_t probe_limit(base::instant now) const;
-    void add_probe_targets(base::data_centre_id of,
-                           std::size_t most,
-                           std::optional<ipv4_address> before,
+    void add_probe_targets(base::data_centre_id in_data_centre,
+                           std::size_t max_count,
+                           std::optional<ipv4_address> above,
                            base::instant now,
                            std::vector<ipv4_address>& out);
 
--- a/src/greengagedrum/gossip/dispatcher_election_probes.cpp
+++ b/src/greengagedrum/gossip/dispatcher_election_probes.cpp
@@ -11,16 +11,17 @@
 {
 
 // Whoever said that another one places for it is not asked again for so long.
-constexpr base::duration delegates_for = std::chrono::seconds(2);
+constexpr base::duration delegation_valid_for = std::chrono::seconds(2);
 
 // How many may be asked at once whether they are there.
-constexpr std::size_t tried_at_once = 3;
-constexpr std::size_t far_tried_at_once = 2;
+constexpr std::size_t probes_at_once = 3;
+constexpr std::size_t remote_probes_at_once = 2;
 
 // While none of them is found at first, twice as many after each such time.
-constexpr base::duration search_step = std::chrono::milliseconds(100);
-constexpr int search_steps = 4;
-constexpr base::duration wide_search = std::chrono::seconds(1);
+constexpr base::duration search_doubling_interval =
+    std::chrono::milliseconds(100);
+constexpr int max_search_doublings = 4;
+constexpr base::duration wide_search_time = std::chrono::seconds(1);
 
 } // namespace
 
@@ -30,22 +31,24 @@
 // Failure guarded against: the strongest entries of another data centre were
 // restarted and left the one that had followed them in place. Whoever asked
 // only them who places there, again and again, never heard of that one.
-void dispatcher_election::add_probe_targets(base::data_centre_id of,
-                                            std::size_t most,
-                                            std::optional<ipv4_address> before,
+void dispatcher_election::add_probe_targets(base::data_centre_id in_data_centre,
+                                            std::size_t max_count,
+                                            std::optional<ipv4_address> above,
                                             base::instant now,
                                             std::vector<ipv4_address>& out)
 {
     std::size_t count = 0;
-    for (const ipv4_address address : this->ranked_candidates(of, now)) {
-        if (address == before || count == most)
+    for (const ipv4_address address :
+         this->ranked_candidates(in_data_centre, now)) {
+        if (address == above || count == max_count)
             return;
-        const candidate& one = this->other_entries.at(address);
-        const bool others_may_place = before || of != this->data_centre;
-        const bool declined = others_may_place && one.delegating &&
-                              one.heard_at &&
-                              now - *one.heard_at <= delegates_for;
-        if (declined || now < one.skipped_until || is_dispatching(one, now))
+        const candidate& other = this->other_entries.at(address);
+        const bool may_not_place = above || in_data_centre != this->data_centre;
+        const bool delegated_lately =
+            may_not_place && other.delegating && other.received_at &&
+            now - *other.received_at <= delegation_valid_for;
+        if (delegated_lately || now < other.skipped_until ||
+            is_dispatching(other, now))
             continue;
         out.push_back(address);
         count += 1;
@@ -57,23 +60,26 @@
 // seconds to pass them over, in which each entry places by itself.
 std::size_t dispatcher_election::probe_limit(base::instant now) const
 {
-    if (!this->searching_since || now - *this->searching_since > wide_search)
-        return tried_at_once;
-    const auto steps = (now - *this->searching_since) / search_step;
-    return tried_at_once << std::min<std::int64_t>(steps, search_steps);
+    if (!this->searching_since ||
+        now - *this->searching_since > wide_search_time)
+        return probes_at_once;
+    const auto doublings =
+        (now - *this->searching_since) / search_doubling_interval;
+    return probes_at_once << std::min<std::int64_t>(doublings,
+                                                    max_search_doublings);
 }
 
 std::vector<ipv4_address> dispatcher_election::probe_targets(base::instant now)
 {
     std::vector<ipv4_address> out;
-    const auto placing = this->dispatcher(now);
-    if (placing)
+    const auto elected = this->dispatcher(now);
+    if (elected)
         this->searching_since.reset();
     else if (!this->searching_since)
         this->searching_since = now;
     this->add_probe_targets(
-        this->data_centre, this->probe_limit(now), placing, now, out);
-    if (!placing)
+        this->data_centre, this->probe_limit(now), elected, now, out);
+    if (!elected)
         std::erase_if(out, [&](ipv4_address address) {
             return !this->outranks_self(address);
         });
@@ -85,21 +91,23 @@
 {
     std::set<base::data_centre_id> data_centres;
     std::vector<ipv4_address> out;
-    for (const auto& [address, one] : this->other_entries) {
-        if (one.data_centre == this->data_centre || one.data_centre.empty())
+    for (const auto& [address, other] : this->other_entries) {
+        if (other.data_centre == this->data_centre || other.data_centre.empty())
             continue;
-        data_centres.insert(one.data_centre);
-        if (is_dispatching(one, now))
+        data_centres.insert(other.data_centre);
+        if (is_dispatching(other, now))
             out.push_back(address);
     }
-    for (const base::data_centre_id place : data_centres) {
-        std::optional<ipv4_address> strongest;
-        for (const ipv4_address address : this->ranked_candidates(place, now)) {
-            if (!strongest &&
+    for (const base::data_centre_id data_centre : data_centres) {
+        std::optional<ipv4_address> first_placing;
+        for (const ipv4_address address :
+             this->ranked_candidates(data_centre, now)) {
+            if (!first_placing &&
                 is_dispatching(this->other_entries.at(address), now))
-                strongest = address;
+                first_placing = address;
         }
-        this->add_probe_targets(place, far_tried_at_once, strongest, now, out);
+        this->add_probe_targets(
+            data_centre, remote_probes_at_once, first_placing, now, out);
     }
     return out;
 }
@@ -108,8 +116,8 @@
 dispatcher_election::silent_in_data_centre(base::instant now) const
 {
     std::vector<ipv4_address> out;
-    for (const auto& [address, one] : this->other_entries) {
-        if (one.data_centre == this->data_centre && !is_live(one, now))
+    for (const auto& [address, other] : this->other_entries) {
+        if (other.data_centre == this->data_centre && !is_live(other, now))
             out.push_back(address);
     }
     return out;
--- a/src/greengagedrum/gossip/gossip_schedule.cpp
+++ b/src/greengagedrum/gossip/gossip_schedule.cpp
@@ -11,62 +11,67 @@
 // A place taken is known everywhere within 10 ms and a datagram's way. Among
 // more entries in a data centre the gap grows with their number, so that what
 // one entry sends them stays bounded by 1,000 datagrams a second.
-constexpr base::duration gap_among_few = std::chrono::milliseconds(10);
-constexpr std::size_t few = 10;
+constexpr base::duration min_mesh_interval = std::chrono::milliseconds(10);
+constexpr std::size_t min_mesh_size = 10;
 
 // Other data centres' upstreams are the second choice, so messages to there may
 // be older; with the square of the number of entries, up to the most that
 // limits and the liveness of peers allow.
-constexpr base::duration far_gap_most = std::chrono::milliseconds(200);
+constexpr base::duration max_remote_interval = std::chrono::milliseconds(200);
 
 // Without a change, as a sign of life: among few entries, and where members
 // have to notice within half a second that their dispatcher is gone.
-constexpr base::duration usual_quiet_gap = std::chrono::milliseconds(200);
-constexpr base::duration dispatched_gap = std::chrono::milliseconds(100);
+constexpr base::duration mesh_heartbeat_interval =
+    std::chrono::milliseconds(200);
+constexpr base::duration dispatched_heartbeat_interval =
+    std::chrono::milliseconds(100);
 
 // A member tells one receiver only. What happens within this time goes into one
 // message: a request that ends, and the next that is asked for.
-constexpr base::duration member_gap = std::chrono::milliseconds(2);
+constexpr base::duration member_interval = std::chrono::milliseconds(2);
 
 } // namespace
 
-void gossip_schedule::set_full_mesh_intervals(std::size_t near_peers,
+void gossip_schedule::set_full_mesh_intervals(std::size_t peers_in_data_centre,
                                               std::size_t all_peers)
 {
-    const auto close = static_cast<std::int64_t>(std::max(few, near_peers));
-    const auto all = static_cast<std::int64_t>(std::max(few, all_peers));
-    constexpr auto least = static_cast<std::int64_t>(few);
-    this->own_data_centre.interval = gap_among_few * close / least;
-    this->other_data_centres.interval =
-        std::min(gap_among_few * (all * all) / (least * least), far_gap_most);
-    this->heartbeat_interval = usual_quiet_gap;
+    const auto near_count = static_cast<std::int64_t>(
+        std::max(min_mesh_size, peers_in_data_centre));
+    const auto all_count =
+        static_cast<std::int64_t>(std::max(min_mesh_size, all_peers));
+    constexpr auto min_count = static_cast<std::int64_t>(min_mesh_size);
+    this->own_data_centre.interval = min_mesh_interval * near_count / min_count;
+    this->other_data_centres.interval = std::min(
+        min_mesh_interval * (all_count * all_count) / (min_count * min_count),
+        max_remote_interval);
+    this->heartbeat_interval = mesh_heartbeat_interval;
 }
 
 void gossip_schedule::set_member_intervals()
 {
-    this->own_data_centre.interval = member_gap;
-    this->other_data_centres.interval = far_gap_most;
-    this->heartbeat_interval = dispatched_gap;
+    this->own_data_centre.interval = member_interval;
+    this->other_data_centres.interval = max_remote_interval;
+    this->heartbeat_interval = dispatched_heartbeat_interval;
 }
 
 // Replies to members go out at once and by themselves.
 void gossip_schedule::set_dispatcher_intervals()
 {
-    this->own_data_centre.interval = dispatched_gap;
-    this->other_data_centres.interval = dispatched_gap;
-    this->heartbeat_interval = dispatched_gap;
+    this->own_data_centre.interval = dispatched_heartbeat_interval;
+    this->other_data_centres.interval = dispatched_heartbeat_interval;
+    this->heartbeat_interval = dispatched_heartbeat_interval;
 }
 
 const gossip_schedule::group_state&
-gossip_schedule::state_of(recipient_group who) const
+gossip_schedule::state_of(recipient_group group) const
 {
-    return who == recipient_group::own_data_centre ? this->own_data_centre
-                                                   : this->other_data_centres;
+    return group == recipient_group::own_data_centre ? this->own_data_centre
+                                                     : this->other_data_centres;
 }
 
-base::duration gossip_schedule::interval(recipient_group who) const
+base::duration gossip_schedule::interval(recipient_group group) const
 {
-    return this->state_of(who).interval;
+    return this->state_of(group).interval;
 }
 
 void gossip_schedule::on_change()
@@ -75,34 +80,34 @@
     this->other_data_centres.change_pending = true;
 }
 
-void gossip_schedule::on_sent(recipient_group who, base::instant now)
+void gossip_schedule::on_sent(recipient_group group, base::instant now)
 {
-    group_state& state = who == recipient_group::own_data_centre
+    group_state& state = group == recipient_group::own_data_centre
                              ? this->own_data_centre
                              : this->other_data_centres;
     state.change_pending = false;
     state.sent_at = now;
 }
 
-bool gossip_schedule::is_due(recipient_group who, base::instant now) const
+bool gossip_schedule::is_due(recipient_group group, base::instant now) const
 {
-    const group_state& state = this->state_of(who);
-    const base::duration passed = now - state.sent_at;
-    return passed >= this->heartbeat_interval ||
-           (state.change_pending && passed >= state.interval);
+    const group_state& state = this->state_of(group);
+    const base::duration elapsed = now - state.sent_at;
+    return elapsed >= this->heartbeat_interval ||
+           (state.change_pending && elapsed >= state.interval);
 }
 
 std::optional<base::instant> gossip_schedule::next_due() const
 {
-    std::optional<base::instant> first;
-    for (const group_state* one :
+    std::optional<base::instant> earliest;
+    for (const group_state* group :
          {&this->own_data_centre, &this->other_data_centres}) {
-        if (!one->change_pending)
+        if (!group->change_pending)
             continue;
-        const base::instant due = one->sent_at + one->interval;
-        first = first ? std::min(*first, due) : due;
+        const base::instant due = group->sent_at + group->interval;
+        earliest = earliest ? std::min(*earliest, due) : due;
     }
-    return first;
+    return earliest;
 }
 
 } // namespace greengagedrum::gossip
--- a/src/greengagedrum/gossip/gossip_schedule.hpp
+++ b/src/greengagedrum/gossip/gossip_schedule.hpp
@@ -18,20 +18,21 @@
 {
 public:
     // Live peers of the own data centre, and of all.
-    void set_full_mesh_intervals(std::size_t near, std::size_t all);
+    void set_full_mesh_intervals(std::size_t peers_in_data_centre,
+                                 std::size_t all_peers);
     // The same where one entry of each data centre places for all.
     void set_member_intervals();
     void set_dispatcher_intervals();
 
     // There is something to tell.
     void on_change();
-    void on_sent(recipient_group who, base::instant now);
+    void on_sent(recipient_group group, base::instant now);
 
-    bool is_due(recipient_group who, base::instant now) const;
+    bool is_due(recipient_group group, base::instant now) const;
     // When a change that is to be told becomes due; empty: there is none.
     std::optional<base::instant> next_due() const;
 
-    base::duration interval(recipient_group who) const;
+    base::duration interval(recipient_group group) const;
 
 private:
     struct group_state {
@@ -40,7 +41,7 @@
         base::duration interval = std::chrono::milliseconds(10);
     };
 
-    const group_state& state_of(recipient_group who) const;
+    const group_state& state_of(recipient_group group) const;
 
     group_state own_data_centre;
     group_state other_data_centres;
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -14,10 +14,11 @@
 
 std::uint32_t milliseconds_of(base::duration value)
 {
-    constexpr std::int64_t most = 3'600'000;
+    constexpr std::int64_t max_count = 3'600'000;
     const auto count =
         std::chrono::duration_cast<std::chrono::milliseconds>(value).count();
-    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(count, 0, most));
+    return static_cast<std::uint32_t>(
+        std::clamp<std::int64_t>(count, 0, max_count));
 }
 
 std::string bytes_of(const flatbuffers::FlatBufferBuilder& builder)
@@ -31,16 +32,16 @@
     return reinterpret_cast<const std::uint8_t*>(bytes.data());
 }
 
-std::string text_of(const flatbuffers::String* from)
+std::string string_of(const flatbuffers::String* from)
 {
     return from == nullptr ? std::string() : from->str();
 }
 
 std::uint32_t microseconds_of(base::duration value)
 {
-    constexpr std::int64_t most = 60'000'000;
+    constexpr std::int64_t max_count = 60'000'000;
     return static_cast<std::uint32_t>(
-        std::clamp<std::int64_t>(value.count(), 0, most));
+        std::clamp<std::int64_t>(value.count(), 0, max_count));
 }
 
 using number_list = flatbuffers::Vector<std::uint32_t>;
@@ -54,17 +55,17 @@
 }
 
 std::vector<traffic::upstream_load>
-uses_of(const flatbuffers::Vector<const wire::Use*>& list,
-        const number_list* gaps)
+loads_of(const flatbuffers::Vector<const wire::Use*>& list,
+         const number_list* gaps)
 {
     std::vector<traffic::upstream_load> out;
-    for (const wire::Use* one : list) {
+    for (const wire::Use* use : list) {
         const std::size_t at = out.size();
-        traffic::upstream_load use{base::upstream_id(one->upstream()),
-                                   one->requests(),
-                                   one->prompt_tokens()};
-        use.event_gap = std::chrono::microseconds(number_at(gaps, at));
-        out.push_back(use);
+        traffic::upstream_load load{base::upstream_id(use->upstream()),
+                                    use->requests(),
+                                    use->prompt_tokens()};
+        load.event_gap = std::chrono::microseconds(number_at(gaps, at));
+        out.push_back(load);
     }
     return out;
 }
@@ -73,23 +74,23 @@
 std::vector<std::uint32_t>
 numbers_of(const number_list* list, std::size_t at, std::size_t count)
 {
-    const std::size_t each = list == nullptr ? 0 : list->size() / count;
-    std::vector<std::uint32_t> out(each);
-    for (std::size_t part = 0; part < each; ++part)
-        out[part] = number_at(list, at * each + part);
+    const std::size_t numbers_each = list == nullptr ? 0 : list->size() / count;
+    std::vector<std::uint32_t> out(numbers_each);
+    for (std::size_t part = 0; part < numbers_each; ++part)
+        out[part] = number_at(list, at * numbers_each + part);
     return out;
 }
 
 std::vector<quota::workspace_usage>
-workspace_uses_of(const flatbuffers::Vector<const wire::WorkspaceUse*>& list,
-                  const wire::Message& from)
+workspace_usage_of(const flatbuffers::Vector<const wire::WorkspaceUse*>& list,
+                   const wire::Message& from)
 {
     std::vector<quota::workspace_usage> out;
-    for (const wire::WorkspaceUse* one : list) {
+    for (const wire::WorkspaceUse* workspace : list) {
         const std::size_t at = out.size();
         out.push_back(
-            {base::workspace_id(one->workspace()),
-             one->used(),
+            {base::workspace_id(workspace->workspace()),
+             workspace->used(),
              number_at(from.workspace_waiting(), at),
              number_at(from.workspace_lately(), at),
              numbers_of(from.workspace_all_lately(), at, list.size())});
@@ -108,37 +109,37 @@
 
 // An entry of an earlier build tells no standings.
 std::vector<known_entry>
-known_of(const flatbuffers::Vector<const wire::Known*>& list,
-         const flatbuffers::Vector<const wire::Standing*>* standings)
+known_entries_of(const flatbuffers::Vector<const wire::Known*>& list,
+                 const flatbuffers::Vector<const wire::Standing*>* standings)
 {
     std::vector<known_entry> out;
-    for (const wire::Known* one : list) {
+    for (const wire::Known* known : list) {
         const auto at = static_cast<flatbuffers::uoffset_t>(out.size());
-        known_entry named{one->address(),
-                          std::chrono::milliseconds(one->age_ms())};
+        known_entry listed{known->address(),
+                           std::chrono::milliseconds(known->age_ms())};
         if (standings != nullptr && at < standings->size()) {
-            named.data_centre.value = standings->Get(at)->data_centre();
-            named.cpu_millicores = standings->Get(at)->strength();
+            listed.data_centre.value = standings->Get(at)->data_centre();
+            listed.cpu_millicores = standings->Get(at)->strength();
         }
-        out.push_back(named);
+        out.push_back(listed);
     }
     return out;
 }
 
-wire::WaitingLevels levels_of(const traffic::queue_report& told)
+wire::WaitingLevels wire_queue_of(const traffic::queue_report& sent)
 {
     std::array<std::uint16_t, traffic::priority_levels> counts{};
-    std::transform(told.lengths.begin(),
-                   told.lengths.end(),
+    std::transform(sent.lengths.begin(),
+                   sent.lengths.end(),
                    counts.begin(),
                    [](std::uint32_t count) {
                        return static_cast<std::uint16_t>(
                            std::min<std::uint32_t>(count, UINT16_MAX));
                    });
-    return {told.service.value, counts};
+    return {sent.service.value, counts};
 }
 
-traffic::queue_report waiting_of(const wire::WaitingLevels& from)
+traffic::queue_report queue_report_of(const wire::WaitingLevels& from)
 {
     traffic::queue_report out{base::upstream_class_id(from.service()), {}};
     for (std::size_t level = 0; level < out.lengths.size(); ++level)
@@ -149,75 +150,76 @@
 
 } // namespace
 
-std::string encode(const message& told)
+std::string encode(const message& sent)
 {
     flatbuffers::FlatBufferBuilder builder;
     std::vector<wire::Use> uses;
     std::vector<std::uint32_t> gaps;
-    for (const auto& one : told.upstream_loads) {
+    for (const auto& load : sent.upstream_loads) {
         uses.emplace_back(
-            one.upstream.value, one.requests, one.pending_prefill_tokens);
-        gaps.push_back(microseconds_of(one.event_gap));
+            load.upstream.value, load.requests, load.pending_prefill_tokens);
+        gaps.push_back(microseconds_of(load.event_gap));
     }
     std::vector<wire::WaitingLevels> waiting;
-    for (const auto& one : told.queue_reports)
-        waiting.push_back(levels_of(one));
-    std::vector<wire::WorkspaceUse> spent;
-    std::vector<std::uint32_t> spent_waiting;
-    std::vector<std::uint32_t> spent_lately;
-    std::vector<std::uint32_t> spent_by_all;
-    for (const auto& one : told.workspace_usage) {
-        spent.emplace_back(one.workspace.value, one.sent_total);
-        spent_waiting.push_back(one.waiting);
-        spent_lately.push_back(one.sent_in_window);
-        spent_by_all.insert(spent_by_all.end(),
-                            one.all_sent_in_window.begin(),
-                            one.all_sent_in_window.end());
+    for (const auto& queue : sent.queue_reports)
+        waiting.push_back(wire_queue_of(queue));
+    std::vector<wire::WorkspaceUse> workspace_uses;
+    std::vector<std::uint32_t> workspace_waiting;
+    std::vector<std::uint32_t> workspace_recent;
+    std::vector<std::uint32_t> workspace_recent_of_all;
+    for (const auto& workspace : sent.workspace_usage) {
+        workspace_uses.emplace_back(workspace.workspace.value,
+                                    workspace.sent_total);
+        workspace_waiting.push_back(workspace.waiting);
+        workspace_recent.push_back(workspace.sent_in_window);
+        workspace_recent_of_all.insert(workspace_recent_of_all.end(),
+                                       workspace.all_sent_in_window.begin(),
+                                       workspace.all_sent_in_window.end());
     }
     std::vector<wire::Known> known;
     std::vector<wire::Standing> standings;
-    for (const auto& one : told.known_entries) {
-        known.emplace_back(one.address, milliseconds_of(one.age));
-        standings.emplace_back(one.data_centre.value, one.cpu_millicores);
+    for (const auto& listed : sent.known_entries) {
+        known.emplace_back(listed.address, milliseconds_of(listed.age));
+        standings.emplace_back(listed.data_centre.value, listed.cpu_millicores);
     }
     flatbuffers::Offset<wire::Report> report;
-    if (told.kind == message_kind::report)
-        report = write_report(builder, told.report);
+    if (sent.kind == message_kind::report)
+        report = write_report(builder, sent.report);
     flatbuffers::Offset<wire::Reply> reply;
-    if (told.kind == message_kind::reply)
-        reply = write_reply(builder, told.reply);
-    const suspect_offsets suspects = write_suspects(builder, told.suspects);
+    if (sent.kind == message_kind::reply)
+        reply = write_reply(builder, sent.reply);
+    const suspect_offsets suspects = write_suspects(builder, sent.suspects);
     const auto root =
         wire::CreateMessage(builder,
-                            told.incarnation.value,
-                            told.sequence,
-                            builder.CreateString(told.instance),
-                            builder.CreateString(told.data_centre),
-                            told.address,
-                            told.stopping,
-                            told.configuration_revision,
-                            told.store_revision,
+                            sent.incarnation.value,
+                            sent.sequence,
+                            builder.CreateString(sent.instance),
+                            builder.CreateString(sent.data_centre),
+                            sent.address,
+                            sent.stopping,
+                            sent.configuration_revision,
+                            sent.store_revision,
                             builder.CreateVectorOfStructs(uses),
-                            builder.CreateVectorOfStructs(spent),
+                            builder.CreateVectorOfStructs(workspace_uses),
                             builder.CreateVectorOfStructs(known),
                             builder.CreateVector(gaps),
                             builder.CreateVectorOfStructs(waiting),
-                            told.change_revision,
-                            milliseconds_of(told.store_age),
-                            builder.CreateVector(spent_waiting),
-                            builder.CreateVector(spent_lately),
-                            builder.CreateVector(spent_by_all),
-                            told.cpu_millicores,
+                            sent.change_revision,
+                            milliseconds_of(sent.store_age),
+                            builder.CreateVector(workspace_waiting),
+                            builder.CreateVector(workspace_recent),
+                            builder.CreateVector(workspace_recent_of_all),
+                            sent.cpu_millicores,
                             builder.CreateVectorOfStructs(standings),
-                            static_cast<std::uint8_t>(told.kind),
-                            told.delegating,
-                            told.change_count,
-                            told.state_digest,
+                            static_cast<std::uint8_t>(sent.kind),
+                            sent.delegating,
+                            sent.change_count,
+                            sent.state_digest,
                             report,
                             reply,
-                            milliseconds_of(told.uptime),
-                            told.dispatching,
-                            suspects.requests,
+                            milliseconds_of(sent.uptime),
+                            sent.dispatching,
+                            suspects.suspects,
                             suspects.crashes);
     builder.Finish(root);
     return bytes_of(builder);
@@ -232,8 +234,8 @@
     message out;
     out.incarnation.value = root->life();
     out.sequence = root->sequence();
-    out.instance = text_of(root->instance());
-    out.data_centre = text_of(root->data_centre());
+    out.instance = string_of(root->instance());
+    out.data_centre = string_of(root->data_centre());
     out.address = root->address();
     out.stopping = root->stopping();
     out.configuration_revision = root->configuration_revision();
@@ -241,15 +243,15 @@
     out.change_revision = root->change_revision();
     out.store_age = std::chrono::milliseconds(root->store_age_ms());
     if (const auto* list = root->uses())
-        out.upstream_loads = uses_of(*list, root->event_gaps_us());
+        out.upstream_loads = loads_of(*list, root->event_gaps_us());
     if (const auto* list = root->waiting_levels()) {
-        for (const wire::WaitingLevels* one : *list)
-            out.queue_reports.push_back(waiting_of(*one));
+        for (const wire::WaitingLevels* levels : *list)
+            out.queue_reports.push_back(queue_report_of(*levels));
     }
     if (const auto* list = root->workspace_uses())
-        out.workspace_usage = workspace_uses_of(*list, *root);
+        out.workspace_usage = workspace_usage_of(*list, *root);
     if (const auto* list = root->known())
-        out.known_entries = known_of(*list, root->standings());
+        out.known_entries = known_entries_of(*list, root->standings());
     out.cpu_millicores = root->strength();
     out.uptime = std::chrono::milliseconds(root->lived_for_ms());
     out.kind = kind_of(root->kind());
@@ -266,23 +268,23 @@
     return out;
 }
 
-std::string encode(const item_transfer& passed)
+std::string encode(const item_transfer& sent)
 {
     flatbuffers::FlatBufferBuilder builder;
     std::vector<flatbuffers::Offset<wire::Item>> items;
-    for (const routing::store_item& one : passed.items)
+    for (const routing::store_item& item : sent.items)
         items.push_back(wire::CreateItem(builder,
-                                         builder.CreateString(one.key),
-                                         builder.CreateString(one.value),
-                                         one.revision,
-                                         one.removed));
+                                         builder.CreateString(item.key),
+                                         builder.CreateString(item.value),
+                                         item.revision,
+                                         item.removed));
     const auto root = wire::CreateItems(builder,
-                                        passed.store_revision,
-                                        passed.complete,
+                                        sent.store_revision,
+                                        sent.complete,
                                         builder.CreateVector(items),
-                                        passed.change_revision,
-                                        passed.incarnation.value,
-                                        passed.change_count);
+                                        sent.change_revision,
+                                        sent.incarnation.value,
+                                        sent.change_count);
     builder.Finish(root);
     return bytes_of(builder);
 }
@@ -301,11 +303,11 @@
     out.change_count = root->changes();
     if (root->items() == nullptr)
         return out;
-    for (const wire::Item* one : *root->items())
-        out.items.push_back({text_of(one->key()),
-                             text_of(one->value()),
-                             one->revision(),
-                             one->removed()});
+    for (const wire::Item* item : *root->items())
+        out.items.push_back({string_of(item->key()),
+                             string_of(item->value()),
+                             item->revision(),
+                             item->removed()});
     return out;
 }
 
--- a/src/greengagedrum/gossip/message.hpp
+++ b/src/greengagedrum/gossip/message.hpp
@@ -81,8 +81,8 @@
     routing::store_item_list items;
 };
 
-std::string encode(const message& told);
-std::string encode(const item_transfer& passed);
+std::string encode(const message& sent);
+std::string encode(const item_transfer& sent);
 
 // Empty for bytes that are no sound message.
 std::optional<message> decode_message(std::string_view bytes);
--- a/src/greengagedrum/gossip/peer_table.cpp
+++ b/src/greengagedrum/gossip/peer_table.cpp
@@ -11,27 +11,28 @@
 
 // A live entry tells at least five times a second; seven messages in a row are
 // not lost by chance.
-constexpr base::duration alive_for = std::chrono::milliseconds(1500);
+constexpr base::duration liveness_timeout = std::chrono::milliseconds(1500);
 
 // After a cut an entry is still counted for so long, as one that may return.
-constexpr base::duration lately = std::chrono::seconds(10);
+constexpr base::duration recently_live_window = std::chrono::seconds(10);
 
 // Those that are silent are told once in this time: a seed that was down, an
 // entry behind a cut that has healed.
-constexpr base::duration retry_period = std::chrono::milliseconds(500);
+constexpr base::duration probe_interval = std::chrono::milliseconds(500);
 
 // An entry that nobody has heard for so long is forgotten, but for seeds.
-constexpr base::duration forgotten_after = std::chrono::seconds(60);
+constexpr base::duration forget_timeout = std::chrono::seconds(60);
 
 // Enough for a new entry to hear of dozens within its first seconds.
-constexpr std::size_t named_at_once = 8;
-constexpr base::duration naming_gap = std::chrono::milliseconds(150);
+constexpr std::size_t max_listed_entries = 8;
+constexpr base::duration share_interval = std::chrono::milliseconds(150);
 
 } // namespace
 
-bool peer_table::is_alive(const peer& one, base::instant now)
+bool peer_table::is_live(const peer& known_peer, base::instant now)
 {
-    return one.heard_at && now - *one.heard_at <= alive_for;
+    return known_peer.received_at &&
+           now - *known_peer.received_at <= liveness_timeout;
 }
 
 void peer_table::add_seed(ipv4_address address)
@@ -40,59 +41,61 @@
         this->peers[address].seed = true;
 }
 
-peer_update peer_table::on_message(const message& told, base::instant now)
+peer_update peer_table::on_message(const message& received, base::instant now)
 {
     // An address may be another process of ours at this very place, before a
     // restart: its messages are not to be taken for a peer's.
-    if (told.address == this->own_address)
+    if (received.address == this->own_address)
         return peer_update::outdated;
-    peer& one = this->peers[told.address];
-    const bool known = one.heard_at.has_value();
-    const bool same_life = known && one.incarnation == told.incarnation;
-    if (same_life && told.sequence <= one.sequence)
+    peer& known_peer = this->peers[received.address];
+    const bool heard_before = known_peer.received_at.has_value();
+    const bool same_incarnation =
+        heard_before && known_peer.incarnation == received.incarnation;
+    if (same_incarnation && received.sequence <= known_peer.sequence)
         return peer_update::outdated;
-    const bool was_alive = one.reported_live;
-    one.instance = told.instance;
-    one.in_own_data_centre = told.data_centre == this->data_centre;
-    one.data_centre = base::data_centre_id(told.data_centre);
-    one.cpu_millicores = told.cpu_millicores;
-    one.incarnation = told.incarnation;
-    one.sequence = told.sequence;
-    one.heard_at = now;
-    one.reported_live = true;
-    one.stopping = told.stopping;
-    one.configuration_revision = told.configuration_revision;
-    one.change_revision = told.change_revision;
-    one.store_revision = told.store_revision;
-    for (const known_entry& named : told.known_entries) {
-        if (named.address != this->own_address && named.age < forgotten_after)
-            this->peers[named.address].learned_at = now;
+    const bool was_live = known_peer.reported_live;
+    known_peer.instance = received.instance;
+    known_peer.in_own_data_centre = received.data_centre == this->data_centre;
+    known_peer.data_centre = base::data_centre_id(received.data_centre);
+    known_peer.cpu_millicores = received.cpu_millicores;
+    known_peer.incarnation = received.incarnation;
+    known_peer.sequence = received.sequence;
+    known_peer.received_at = now;
+    known_peer.reported_live = true;
+    known_peer.stopping = received.stopping;
+    known_peer.configuration_revision = received.configuration_revision;
+    known_peer.change_revision = received.change_revision;
+    known_peer.store_revision = received.store_revision;
+    for (const known_entry& listed : received.known_entries) {
+        if (listed.address != this->own_address && listed.age < forget_timeout)
+            this->peers[listed.address].learned_at = now;
     }
-    if (known && !same_life)
+    if (heard_before && !same_incarnation)
         return peer_update::restarted;
-    return was_alive ? peer_update::none : peer_update::found;
+    return was_live ? peer_update::none : peer_update::found;
 }
 
-std::vector<ipv4_address> peer_table::select_recipients(recipient_group who,
+std::vector<ipv4_address> peer_table::select_recipients(recipient_group group,
                                                         base::instant now)
 {
-    const bool near = who == recipient_group::own_data_centre;
+    const bool to_own_data_centre = group == recipient_group::own_data_centre;
     std::vector<ipv4_address> out;
-    for (auto& [address, one] : this->peers) {
-        const bool alive = is_alive(one, now);
-        if ((alive && one.in_own_data_centre) != near)
+    for (auto& [address, known_peer] : this->peers) {
+        const bool live = is_live(known_peer, now);
+        if ((live && known_peer.in_own_data_centre) != to_own_data_centre)
             continue;
-        if (!alive) {
-            if (now - one.probed_at < retry_period)
+        if (!live) {
+            if (now - known_peer.probed_at < probe_interval)
                 continue;
-            one.probed_at = now;
+            known_peer.probed_at = now;
         }
         out.push_back(address);
     }
     std::erase_if(this->peers, [&](const auto& entry) {
-        const peer& one = entry.second;
-        const base::instant last = one.heard_at.value_or(one.learned_at);
-        return !one.seed && now - last > forgotten_after;
+        const peer& known_peer = entry.second;
+        const base::instant last =
+            known_peer.received_at.value_or(known_peer.learned_at);
+        return !known_peer.seed && now - last > forget_timeout;
     });
     return out;
 }
@@ -100,34 +103,34 @@
 std::vector<ipv4_address> peer_table::silent_seeds(base::instant now) const
 {
     std::vector<ipv4_address> out;
-    for (const auto& [address, one] : this->peers) {
-        if (one.seed && !is_alive(one, now))
+    for (const auto& [address, known_peer] : this->peers) {
+        if (known_peer.seed && !is_live(known_peer, now))
             out.push_back(address);
     }
     return out;
 }
 
-std::vector<known_entry> peer_table::select_known_entries(recipient_group who,
+std::vector<known_entry> peer_table::select_known_entries(recipient_group group,
                                                           base::instant now)
 {
     std::vector<known_entry> out;
-    base::instant& named_at = who == recipient_group::own_data_centre
-                                  ? this->shared_with_own_data_centre_at
-                                  : this->shared_with_others_at;
-    if (now - named_at < naming_gap)
+    base::instant& last_shared_at = group == recipient_group::own_data_centre
+                                        ? this->shared_with_own_data_centre_at
+                                        : this->shared_with_others_at;
+    if (now - last_shared_at < share_interval)
         return out;
-    named_at = now;
+    last_shared_at = now;
     auto next = this->peers.lower_bound(this->next_address_to_share);
-    for (std::size_t seen = 0; seen < this->peers.size(); ++seen) {
+    for (std::size_t visited = 0; visited < this->peers.size(); ++visited) {
         if (next == this->peers.end())
             next = this->peers.begin();
-        if (next->second.heard_at)
+        if (next->second.received_at)
             out.push_back({next->first,
-                           now - *next->second.heard_at,
+                           now - *next->second.received_at,
                            next->second.data_centre,
                            next->second.cpu_millicores});
         ++next;
-        if (out.size() == named_at_once)
+        if (out.size() == max_listed_entries)
             break;
     }
     this->next_address_to_share = next == this->peers.end() ? 0 : next->first;
@@ -137,11 +140,11 @@
 std::vector<std::string> peer_table::take_newly_silent(base::instant now)
 {
     std::vector<std::string> out;
-    for (auto& [address, one] : this->peers) {
-        if (!one.reported_live || is_alive(one, now))
+    for (auto& [address, known_peer] : this->peers) {
+        if (!known_peer.reported_live || is_live(known_peer, now))
             continue;
-        one.reported_live = false;
-        out.push_back(one.instance);
+        known_peer.reported_live = false;
+        out.push_back(known_peer.instance);
     }
     return out;
 }
@@ -149,8 +152,8 @@
 std::size_t peer_table::live_count(base::instant now) const
 {
     std::size_t count = 0;
-    for (const auto& [address, one] : this->peers)
-        count += is_alive(one, now) && !one.stopping ? 1 : 0;
+    for (const auto& [address, known_peer] : this->peers)
+        count += is_live(known_peer, now) && !known_peer.stopping ? 1 : 0;
     return count;
 }
 
@@ -158,7 +161,7 @@
 {
     return static_cast<std::size_t>(std::count_if(
         this->peers.begin(), this->peers.end(), [](const auto& entry) {
-            return !entry.second.heard_at;
+            return !entry.second.received_at;
         }));
 }
 
@@ -166,7 +169,7 @@
 {
     return std::any_of(
         this->peers.begin(), this->peers.end(), [](const auto& entry) {
-            return entry.second.seed && !entry.second.heard_at;
+            return entry.second.seed && !entry.second.received_at;
         });
 }
 
@@ -175,15 +178,18 @@
     return static_cast<std::size_t>(std::count_if(
         this->peers.begin(), this->peers.end(), [&](const auto& entry) {
             return entry.second.in_own_data_centre &&
-                   is_alive(entry.second, now);
+                   is_live(entry.second, now);
         }));
 }
 
 std::size_t peer_table::recently_live_count(base::instant now) const
 {
     std::size_t count = 0;
-    for (const auto& [address, one] : this->peers)
-        count += one.heard_at && now - *one.heard_at <= lately ? 1 : 0;
+    for (const auto& [address, known_peer] : this->peers)
+        count += known_peer.received_at &&
+                         now - *known_peer.received_at <= recently_live_window
+                     ? 1
+                     : 0;
     return count;
 }
 
@@ -191,9 +197,9 @@
 peer_table::rank_in_data_centre(base::instant now) const
 {
     address_rank out;
-    for (const auto& [address, one] : this->peers) {
-        if (!one.in_own_data_centre || !one.heard_at ||
-            now - *one.heard_at > lately)
+    for (const auto& [address, known_peer] : this->peers) {
+        if (!known_peer.in_own_data_centre || !known_peer.received_at ||
+            now - *known_peer.received_at > recently_live_window)
             continue;
         out.entry_count += 1;
         out.lower_count += address < this->own_address ? 1 : 0;
@@ -204,31 +210,31 @@
 std::optional<peer_table::store_source>
 peer_table::newest_store_source(base::instant now, std::uint64_t turn) const
 {
-    std::vector<store_source> known;
-    for (const auto& [address, one] : this->peers) {
-        if (is_alive(one, now) && one.store_revision > 0)
-            known.push_back({address,
-                             one.in_own_data_centre,
-                             one.configuration_revision,
-                             one.change_revision,
-                             one.store_revision});
+    std::vector<store_source> sources;
+    for (const auto& [address, known_peer] : this->peers) {
+        if (is_live(known_peer, now) && known_peer.store_revision > 0)
+            sources.push_back({address,
+                               known_peer.in_own_data_centre,
+                               known_peer.configuration_revision,
+                               known_peer.change_revision,
+                               known_peer.store_revision});
     }
-    if (known.empty())
+    if (sources.empty())
         return std::nullopt;
-    std::rotate(known.begin(),
-                known.begin() +
-                    static_cast<std::ptrdiff_t>(turn % known.size()),
-                known.end());
+    std::rotate(sources.begin(),
+                sources.begin() +
+                    static_cast<std::ptrdiff_t>(turn % sources.size()),
+                sources.end());
     return *std::max_element(
-        known.begin(),
-        known.end(),
-        [](const store_source& one, const store_source& other) {
-            return std::tie(one.configuration_revision,
-                            one.change_revision,
-                            one.in_own_data_centre) <
-                   std::tie(other.configuration_revision,
-                            other.change_revision,
-                            other.in_own_data_centre);
+        sources.begin(),
+        sources.end(),
+        [](const store_source& left, const store_source& right) {
+            return std::tie(left.configuration_revision,
+                            left.change_revision,
+                            left.in_own_data_centre) <
+                   std::tie(right.configuration_revision,
+                            right.change_revision,
+                            right.in_own_data_centre);
         });
 }
 
@@ -236,9 +242,10 @@
 {
     return std::any_of(
         this->peers.begin(), this->peers.end(), [&](const auto& entry) {
-            const peer& one = entry.second;
-            return entry.first < this->own_address && one.in_own_data_centre &&
-                   !one.stopping && is_alive(one, now);
+            const peer& known_peer = entry.second;
+            return entry.first < this->own_address &&
+                   known_peer.in_own_data_centre && !known_peer.stopping &&
+                   is_live(known_peer, now);
         });
 }
 
--- a/src/greengagedrum/gossip/peer_table.hpp
+++ b/src/greengagedrum/gossip/peer_table.hpp
@@ -32,28 +32,28 @@
 class peer_table
 {
 public:
-    peer_table(ipv4_address own,
+    peer_table(ipv4_address own_address,
                std::string data_centre,
-               base::incarnation life)
-        : own_address(own), data_centre(std::move(data_centre)),
-          incarnation(life)
+               base::incarnation incarnation)
+        : own_address(own_address), data_centre(std::move(data_centre)),
+          incarnation(incarnation)
     {
     }
 
     void add_seed(ipv4_address address);
 
-    peer_update on_message(const message& told, base::instant now);
+    peer_update on_message(const message& received, base::instant now);
 
     // Addresses to be told now: those that are alive, of the own data centre
     // or of the others, and with the others once in a while those that may be.
-    std::vector<ipv4_address> select_recipients(recipient_group who,
+    std::vector<ipv4_address> select_recipients(recipient_group group,
                                                 base::instant now);
 
     // Seeds that are not alive.
     std::vector<ipv4_address> silent_seeds(base::instant now) const;
 
     // For the own message: those heard lately, a few at a time in turn.
-    std::vector<known_entry> select_known_entries(recipient_group who,
+    std::vector<known_entry> select_known_entries(recipient_group group,
                                                   base::instant now);
 
     // Those that fell silent since the last call.
@@ -100,7 +100,7 @@
         bool in_own_data_centre = false; // of the own data centre
         base::incarnation incarnation;
         std::uint64_t sequence = 0;
-        std::optional<base::instant> heard_at; // empty: only named by others
+        std::optional<base::instant> received_at; // empty: only named by others
         base::instant learned_at;
         base::instant probed_at;
         bool seed = false;
@@ -111,7 +111,7 @@
         std::uint64_t store_revision = 0;
     };
 
-    static bool is_alive(const peer& one, base::instant now);
+    static bool is_live(const peer& known_peer, base::instant now);
 
     ipv4_address own_address;
     std::string data_centre;
--- a/src/greengagedrum/gossip/suspect_codec.cpp
+++ b/src/greengagedrum/gossip/suspect_codec.cpp
@@ -26,7 +26,7 @@
     return age ? age_ms(*age) : never;
 }
 
-std::optional<base::duration> age_of(std::uint32_t count)
+std::optional<base::duration> optional_age(std::uint32_t count)
 {
     if (count == never)
         return std::nullopt;
@@ -40,19 +40,20 @@
 {
     if (sent.empty())
         return {};
-    std::vector<wire::Suspect> requests;
+    std::vector<wire::Suspect> suspects;
     std::vector<wire::Crash> crashes;
-    for (const quarantine::suspect_report& one : sent) {
-        requests.emplace_back(one.request.high,
-                              one.request.low,
-                              one.workspace.value,
-                              age_ms(one.answered_age),
-                              age_ms(one.trial_age),
-                              static_cast<std::uint32_t>(one.crashes.size()));
-        for (const quarantine::reported_crash& crash : one.crashes)
+    for (const quarantine::suspect_report& suspect : sent) {
+        suspects.emplace_back(
+            suspect.request.high,
+            suspect.request.low,
+            suspect.workspace.value,
+            age_ms(suspect.answered_age),
+            age_ms(suspect.trial_age),
+            static_cast<std::uint32_t>(suspect.crashes.size()));
+        for (const quarantine::reported_crash& crash : suspect.crashes)
             crashes.emplace_back(crash.upstream.value, age_ms(crash.age));
     }
-    return {builder.CreateVectorOfStructs(requests),
+    return {builder.CreateVectorOfStructs(suspects),
             builder.CreateVectorOfStructs(crashes)};
 }
 
@@ -62,14 +63,14 @@
     if (from.suspects() == nullptr || from.crashes() == nullptr)
         return out;
     flatbuffers::uoffset_t next = 0;
-    for (const wire::Suspect* one : *from.suspects()) {
+    for (const wire::Suspect* suspect : *from.suspects()) {
         quarantine::suspect_report received;
-        received.request = {one->request_high(), one->request_low()};
-        received.workspace.value = one->workspace();
-        received.answered_age = age_of(one->answered_age_ms());
-        received.trial_age = age_of(one->trial_age_ms());
+        received.request = {suspect->request_high(), suspect->request_low()};
+        received.workspace.value = suspect->workspace();
+        received.answered_age = optional_age(suspect->answered_age_ms());
+        received.trial_age = optional_age(suspect->trial_age_ms());
         for (std::uint32_t count = 0;
-             count < one->crashes() && next < from.crashes()->size();
+             count < suspect->crashes() && next < from.crashes()->size();
              ++count, ++next) {
             const wire::Crash* crash = from.crashes()->Get(next);
             received.crashes.push_back(
--- a/src/greengagedrum/gossip/suspect_codec.hpp
+++ b/src/greengagedrum/gossip/suspect_codec.hpp
@@ -11,7 +11,7 @@
 {
 
 struct suspect_offsets {
-    flatbuffers::Offset<flatbuffers::Vector<const wire::Suspect*>> requests;
+    flatbuffers::Offset<flatbuffers::Vector<const wire::Suspect*>> suspects;
     flatbuffers::Offset<flatbuffers::Vector<const wire::Crash*>> crashes;
 };
 
--- a/src/greengagedrum/gossip/test/gossip_schedule_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_schedule_test.cpp
@@ -11,54 +11,57 @@
 
 using namespace std::chrono_literals;
 
-constexpr recipient_group near = recipient_group::own_data_centre;
-constexpr recipient_group far = recipient_group::other_data_centres;
+constexpr recipient_group own_data_centre = recipient_group::own_data_centre;
+constexpr recipient_group other_data_centres =
+    recipient_group::other_data_centres;
 
 struct schedule_fixture {
     base::instant now{1h};
-    gossip_schedule tested;
+    gossip_schedule schedule;
 
     schedule_fixture()
     {
-        this->tested.on_sent(near, this->now);
-        this->tested.on_sent(far, this->now);
+        this->schedule.on_sent(own_data_centre, this->now);
+        this->schedule.on_sent(other_data_centres, this->now);
     }
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(schedule_fixture, "few_entries_are_all_told_alike")
+TEST_CASE_FIXTURE(schedule_fixture, "small_fleet_change_same_interval_for_all")
 {
-    this->tested.set_full_mesh_intervals(1, 7);
-    this->tested.on_change();
-    CHECK_FALSE(this->tested.is_due(far, this->now + 9ms));
-    CHECK(this->tested.is_due(near, this->now + 10ms));
-    CHECK(this->tested.is_due(far, this->now + 10ms));
+    this->schedule.set_full_mesh_intervals(1, 7);
+    this->schedule.on_change();
+    CHECK_FALSE(this->schedule.is_due(other_data_centres, this->now + 9ms));
+    CHECK(this->schedule.is_due(own_data_centre, this->now + 10ms));
+    CHECK(this->schedule.is_due(other_data_centres, this->now + 10ms));
 }
 
 // Eighty entries. A place is taken while a message to other data centres is
 // owed in 150 ms: the own data centre hears of it in its 20 ms all the same, or
 // twenty entries meet on that place.
-TEST_CASE_FIXTURE(schedule_fixture, "message_due_far_away_delays_none_nearby")
+TEST_CASE_FIXTURE(schedule_fixture,
+                  "own_data_centre_message_due_elsewhere_not_delayed")
 {
-    this->tested.set_full_mesh_intervals(19, 79);
+    this->schedule.set_full_mesh_intervals(19, 79);
     this->now += 30ms;
-    this->tested.on_change();
-    this->tested.on_sent(near, this->now);
-    CHECK(*this->tested.next_due() == base::instant(1h + 200ms)); // the far one
+    this->schedule.on_change();
+    this->schedule.on_sent(own_data_centre, this->now);
+    CHECK(*this->schedule.next_due() ==
+          base::instant(1h + 200ms)); // the far one
     this->now += 5ms;
-    this->tested.on_change();
-    CHECK(*this->tested.next_due() == this->now + 14ms);
-    CHECK(this->tested.is_due(near, this->now + 14ms));
-    CHECK_FALSE(this->tested.is_due(far, this->now + 14ms));
+    this->schedule.on_change();
+    CHECK(*this->schedule.next_due() == this->now + 14ms);
+    CHECK(this->schedule.is_due(own_data_centre, this->now + 14ms));
+    CHECK_FALSE(this->schedule.is_due(other_data_centres, this->now + 14ms));
 }
 
-TEST_CASE_FIXTURE(schedule_fixture, "quiet_entry_gives_a_sign_of_life")
+TEST_CASE_FIXTURE(schedule_fixture, "schedule_without_change_sends_heartbeat")
 {
-    CHECK_FALSE(this->tested.next_due());
-    CHECK_FALSE(this->tested.is_due(near, this->now + 199ms));
-    CHECK(this->tested.is_due(near, this->now + 200ms));
-    CHECK(this->tested.is_due(far, this->now + 200ms));
+    CHECK_FALSE(this->schedule.next_due());
+    CHECK_FALSE(this->schedule.is_due(own_data_centre, this->now + 199ms));
+    CHECK(this->schedule.is_due(own_data_centre, this->now + 200ms));
+    CHECK(this->schedule.is_due(other_data_centres, this->now + 200ms));
 }
 
 } // namespace greengagedrum::gossip
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -17,12 +17,13 @@
 constexpr ipv4_address seed = 0x0a020001;
 constexpr ipv4_address other = 0x0a030001;
 
-message
-message_from(ipv4_address address, std::uint64_t life, std::uint64_t sequence)
+message message_from(ipv4_address address,
+                     std::uint64_t incarnation,
+                     std::uint64_t sequence)
 {
     message out;
     out.address = address;
-    out.incarnation.value = life;
+    out.incarnation.value = incarnation;
     out.sequence = sequence;
     out.instance = "entry-" + std::to_string(address);
     out.store_revision = 1;
@@ -33,41 +34,41 @@
     base::instant now{1h};
     peer_table table{own_address, "hall", base::incarnation{1}};
 
-    bool told(ipv4_address address)
+    bool sends_to(ipv4_address address)
     {
         auto all = this->table.select_recipients(
             recipient_group::other_data_centres, this->now);
-        const auto near = this->table.select_recipients(
+        const auto own_recipients = this->table.select_recipients(
             recipient_group::own_data_centre, this->now);
-        all.insert(all.end(), near.begin(), near.end());
+        all.insert(all.end(), own_recipients.begin(), own_recipients.end());
         return std::find(all.begin(), all.end(), address) != all.end();
     }
 };
 
 } // namespace
 
-TEST_CASE("message_encoded_and_decoded_is_the_same")
+TEST_CASE("message_encoded_decodes_to_same_fields")
 {
-    message told = message_from(seed, 7, 9);
-    told.data_centre = "hall";
-    told.stopping = true;
-    told.configuration_revision = 5;
-    told.change_revision = 11;
-    told.store_age = 120ms;
-    told.store_revision = 12;
-    told.upstream_loads = {{base::upstream_id("i-1"), 3, 4000, 55ms}};
-    told.queue_reports = {{base::upstream_class_id("models"), {1, 2, 3, 4}}};
-    told.workspace_usage = {{base::workspace_id("gate"),
+    message sent = message_from(seed, 7, 9);
+    sent.data_centre = "hall";
+    sent.stopping = true;
+    sent.configuration_revision = 5;
+    sent.change_revision = 11;
+    sent.store_age = 120ms;
+    sent.store_revision = 12;
+    sent.upstream_loads = {{base::upstream_id("i-1"), 3, 4000, 55ms}};
+    sent.queue_reports = {{base::upstream_class_id("models"), {1, 2, 3, 4}}};
+    sent.workspace_usage = {{base::workspace_id("gate"),
                              123456789012,
                              70,
                              5'000,
                              {9'000, 1, 2, 3}}};
-    told.known_entries = {{other, 250ms}};
-    const auto read = decode_message(encode(told));
+    sent.known_entries = {{other, 250ms}};
+    const auto read = decode_message(encode(sent));
     REQUIRE(read);
-    CHECK(read->incarnation == told.incarnation);
+    CHECK(read->incarnation == sent.incarnation);
     CHECK(read->sequence == 9);
-    CHECK(read->instance == told.instance);
+    CHECK(read->instance == sent.instance);
     CHECK(read->data_centre == "hall");
     CHECK(read->stopping);
     CHECK(read->configuration_revision == 5);
@@ -90,13 +91,13 @@
 }
 
 // What members and dispatchers tell each other, field by field.
-TEST_CASE("report_and_reply_encoded_and_decoded_are_the_same")
+TEST_CASE("report_and_reply_encoded_decode_to_same_fields")
 {
-    message told = message_from(seed, 7, 9);
-    told.kind = message_kind::report;
-    told.cpu_millicores = 500;
-    told.delegating = true;
-    told.known_entries = {{other, 250ms, base::data_centre_id("yard"), 120}};
+    message sent = message_from(seed, 7, 9);
+    sent.kind = message_kind::report;
+    sent.cpu_millicores = 500;
+    sent.delegating = true;
+    sent.known_entries = {{other, 250ms, base::data_centre_id("yard"), 120}};
     dispatch::slot_request wanted;
     wanted.id = {base::request_id{4}, 2};
     wanted.facts.service = base::upstream_class_id("models");
@@ -115,13 +116,13 @@
     wanted.tried_upstreams = {base::upstream_id("i-1")};
     wanted.cost = 1080;
     wanted.charged = true;
-    told.report.slot_requests = {wanted};
-    told.report.running = {
+    sent.report.slot_requests = {wanted};
+    sent.report.running = {
         {{base::request_id{5}, 1}, base::upstream_id("i-2"), 77}};
-    told.report.status_updates = {{12,
+    sent.report.status_updates = {{12,
                                    {base::request_id{6}, 3},
                                    dispatch::send_status::connection_broken}};
-    const auto read = decode_message(encode(told));
+    const auto read = decode_message(encode(sent));
     REQUIRE(read);
     CHECK(read->kind == message_kind::report);
     CHECK(read->cpu_millicores == 500);
@@ -155,12 +156,12 @@
     CHECK(read->report.status_updates.at(0).status ==
           dispatch::send_status::connection_broken);
 
-    told.kind = message_kind::reply;
-    told.reply.acked_status = 12;
-    told.reply.grants = {{wanted.id, base::upstream_id("i-3"), 90ms, 2, 5}};
-    told.reply.denials = {
+    sent.kind = message_kind::reply;
+    sent.reply.acked_status = 12;
+    sent.reply.grants = {{wanted.id, base::upstream_id("i-3"), 90ms, 2, 5}};
+    sent.reply.denials = {
         {{base::request_id{8}, 1}, base::reason::limit_reached, 1500ms}};
-    const auto reply = decode_message(encode(told));
+    const auto reply = decode_message(encode(sent));
     REQUIRE(reply);
     CHECK(reply->report.slot_requests.empty());
     CHECK(reply->reply.acked_status == 12);
@@ -171,14 +172,14 @@
     CHECK(reply->reply.denials.at(0).retry_after == 1500ms);
 }
 
-TEST_CASE("items_encoded_and_decoded_are_the_same")
+TEST_CASE("item_transfer_encoded_decodes_to_same_fields")
 {
-    item_transfer passed;
-    passed.store_revision = 8;
-    passed.complete = true;
-    passed.change_revision = 6;
-    passed.items = {{"op/config", "{}", 3, false}, {"servers/i", "", 4, true}};
-    const auto read = decode_items(encode(passed));
+    item_transfer sent;
+    sent.store_revision = 8;
+    sent.complete = true;
+    sent.change_revision = 6;
+    sent.items = {{"op/config", "{}", 3, false}, {"servers/i", "", 4, true}};
+    const auto read = decode_items(encode(sent));
     REQUIRE(read);
     CHECK(read->store_revision == 8);
     CHECK(read->complete);
@@ -188,7 +189,7 @@
     CHECK(read->items[1].removed);
 }
 
-TEST_CASE("bytes_that_are_no_message_are_refused")
+TEST_CASE("invalid_bytes_decoded_refused")
 {
     const std::string good = encode(message_from(seed, 1, 1));
     for (std::size_t length = 0; length < good.size(); length += 7)
@@ -199,25 +200,25 @@
 
 // The seeds may be down when an entry starts, and up later: they are told
 // again and again, but not with every message.
-TEST_CASE_FIXTURE(peers_fixture, "silent_seed_is_told_once_in_a_while")
+TEST_CASE_FIXTURE(peers_fixture, "silent_seed_probed_at_interval")
 {
     this->table.add_seed(seed);
-    CHECK(this->told(seed));
+    CHECK(this->sends_to(seed));
     this->now += 10ms;
-    CHECK_FALSE(this->told(seed));
+    CHECK_FALSE(this->sends_to(seed));
     this->now += 600ms;
-    CHECK(this->told(seed));
+    CHECK(this->sends_to(seed));
 }
 
-TEST_CASE_FIXTURE(peers_fixture, "entry_named_by_a_peer_is_told")
+TEST_CASE_FIXTURE(peers_fixture, "entry_listed_by_peer_probed_but_not_live")
 {
-    message told = message_from(seed, 1, 1);
-    told.known_entries = {{other, 100ms}, {own_address, 0ms}};
-    CHECK(this->table.on_message(told, this->now) == peer_update::found);
-    CHECK(this->told(seed));
+    message sent = message_from(seed, 1, 1);
+    sent.known_entries = {{other, 100ms}, {own_address, 0ms}};
+    CHECK(this->table.on_message(sent, this->now) == peer_update::found);
+    CHECK(this->sends_to(seed));
     this->now += 600ms;
-    CHECK(this->told(other));
-    CHECK_FALSE(this->told(own_address));
+    CHECK(this->sends_to(other));
+    CHECK_FALSE(this->sends_to(own_address));
     // Being named is no sign of life.
     CHECK(this->table.live_count(this->now) == 1);
 }
@@ -225,13 +226,14 @@
 // Entries of another data centre learn of those here by their names only. When
 // those went into the messages to the own data centre alone, entries met only
 // where both had heard a seed: placed blindly, a day lost 0.05 of its worth.
-TEST_CASE_FIXTURE(peers_fixture, "entries_are_named_to_both_audiences")
+TEST_CASE_FIXTURE(peers_fixture,
+                  "known_entries_listed_to_both_recipient_groups")
 {
     this->table.on_message(message_from(seed, 1, 1), this->now);
-    for (const recipient_group who : {recipient_group::own_data_centre,
-                                      recipient_group::other_data_centres}) {
-        REQUIRE(this->table.select_known_entries(who, this->now).size() == 1);
-        CHECK(this->table.select_known_entries(who, this->now).empty());
+    for (const recipient_group group : {recipient_group::own_data_centre,
+                                        recipient_group::other_data_centres}) {
+        REQUIRE(this->table.select_known_entries(group, this->now).size() == 1);
+        CHECK(this->table.select_known_entries(group, this->now).empty());
     }
     this->now += 200ms;
     CHECK(this->table
@@ -240,19 +242,19 @@
               .size() == 1);
 }
 
-TEST_CASE_FIXTURE(peers_fixture, "entries_named_and_never_heard_are_counted")
+TEST_CASE_FIXTURE(peers_fixture, "entries_never_heard_counted")
 {
     this->table.add_seed(seed);
     CHECK(this->table.never_heard_count() == 1);
-    message told = message_from(seed, 1, 1);
-    told.known_entries = {{other, 100ms}};
-    this->table.on_message(told, this->now);
+    message sent = message_from(seed, 1, 1);
+    sent.known_entries = {{other, 100ms}};
+    this->table.on_message(sent, this->now);
     CHECK(this->table.never_heard_count() == 1);
     this->table.on_message(message_from(other, 1, 1), this->now);
     CHECK(this->table.never_heard_count() == 0);
 }
 
-TEST_CASE_FIXTURE(peers_fixture, "message_received_late_or_twice_is_outdated")
+TEST_CASE_FIXTURE(peers_fixture, "message_received_late_or_twice_outdated")
 {
     CHECK(this->table.on_message(message_from(seed, 1, 5), this->now) ==
           peer_update::found);
@@ -266,14 +268,14 @@
 
 // The time of day was set back by an hour while an entry was restarted: its new
 // life has a lower number than the old one, and is heard all the same.
-TEST_CASE_FIXTURE(peers_fixture, "life_with_a_lower_number_is_heard")
+TEST_CASE_FIXTURE(peers_fixture, "incarnation_with_lower_number_accepted")
 {
     this->table.on_message(message_from(seed, 900, 5), this->now);
     CHECK(this->table.on_message(message_from(seed, 100, 1), this->now) ==
           peer_update::restarted);
 }
 
-TEST_CASE_FIXTURE(peers_fixture, "peer_that_falls_silent_is_reported_once")
+TEST_CASE_FIXTURE(peers_fixture, "silent_peer_reported_once")
 {
     this->table.on_message(message_from(seed, 1, 1), this->now);
     this->now += 1600ms;
@@ -285,7 +287,8 @@
           peer_update::found);
 }
 
-TEST_CASE_FIXTURE(peers_fixture, "peer_with_the_newest_configuration_is_asked")
+TEST_CASE_FIXTURE(peers_fixture,
+                  "newest_store_source_is_peer_with_newest_change")
 {
     message old_one = message_from(seed, 1, 1);
     old_one.change_revision = 4;
@@ -302,7 +305,8 @@
 
 // One entry a data centre reads the store. It is stopped, or falls silent: the
 // next one takes over, without being told by anyone.
-TEST_CASE_FIXTURE(peers_fixture, "reader_nearby_is_the_first_live_entry")
+TEST_CASE_FIXTURE(peers_fixture,
+                  "store_reader_is_live_peer_with_lowest_address")
 {
     CHECK_FALSE(this->table.has_store_reader_in_data_centre(this->now));
     message first = message_from(own_address - 1, 1, 1);
--- a/src/greengagedrum/gossip/test/suspect_codec_test.cpp
+++ b/src/greengagedrum/gossip/test/suspect_codec_test.cpp
@@ -8,17 +8,17 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("suspects_encoded_and_decoded_are_the_same")
+TEST_CASE("suspects_encoded_decode_to_same_fields")
 {
-    message told;
-    told.suspects = {
+    message sent;
+    sent.suspects = {
         {{1, 2},
          base::workspace_id("shop"),
          {{base::upstream_id("i-1"), 50ms}, {base::upstream_id("i-2"), 3s}},
          std::nullopt,
          7s},
         {{3, 4}, base::workspace_id("gate"), {}, 1ms, {}}};
-    const auto read = decode_message(encode(told));
+    const auto read = decode_message(encode(sent));
     REQUIRE(read);
     REQUIRE(read->suspects.size() == 2);
     const quarantine::suspect_report& first = read->suspects.front();
@@ -33,7 +33,7 @@
     CHECK(read->suspects.back().answered_age == 1ms);
 }
 
-TEST_CASE("message_without_suspects_read_as_none")
+TEST_CASE("message_without_suspects_decodes_to_none")
 {
     const auto read = decode_message(encode(message()));
     REQUIRE(read);
