--- a/src/greengagedrum/dispatch/member_request_table.cpp
+++ b/src/greengagedrum/dispatch/member_request_table.cpp
@@ -8,10 +8,12 @@
 namespace
 {
 
-// Own requests are counted from one; no process takes 2^63 of them.
+// Marks ids of members' requests. The entry's own requests are numbered from
+// one, and no process accepts 2^63 of them.
 constexpr std::uint64_t member_request_bit = 1ULL << 63U;
 
-// The scheduler here sends each of them once: what comes after is a new send.
+// The dispatcher's scheduler sends each of these requests once: a repetition by
+// the member is a new send.
 constexpr std::uint32_t only_send_number = 1;
 
 traffic::event to_event(base::request_id id, send_status status)
@@ -44,8 +46,6 @@
     return (id.value & member_request_bit) != 0;
 }
 
-// ---- Reports --------------------------------------------------------------
-
 request_changes
 member_request_table::on_report(base::slot_id member,
                                 base::incarnation incarnation,
@@ -65,7 +65,8 @@
         this->apply_status(sender, update, out);
     std::unordered_map<base::upstream_id, traffic::upstream_load>
         loads_by_upstream;
-    // What it sees of upstreams' speed counts, whoever placed the request.
+    // The upstream speeds that a member sees count, whoever dispatched the
+    // requests.
     for (const traffic::upstream_load& load : loads)
         loads_by_upstream[load.upstream] = {
             load.upstream, 0, 0, load.event_gap};
@@ -78,7 +79,8 @@
             if (send.grant)
                 continue;
         }
-        // Sent by the member itself, or placed by a dispatcher before this one.
+        // Sent by the member without a grant, or dispatched by an earlier
+        // dispatcher.
         traffic::upstream_load& load = loads_by_upstream[running.upstream];
         load.upstream = running.upstream;
         load.requests += 1;
@@ -130,14 +132,13 @@
     }
     send_state& send = this->sends.at(found->second.value);
     send.last_report = member.report_count;
-    // The reply to it was lost, or crossed this report.
+    // The reply was lost, or sent while this report was on its way.
     if (send.grant || send.denial)
         member.reply_due = true;
 }
 
-// A send that a whole report does not name has ended: its caller left, it was
-// given up on, or its end was told in news that a dispatcher before this one
-// took.
+// Ends the sends that the report does not list: their callers left, they were
+// given up, or an earlier dispatcher received the update that they ended.
 void member_request_table::end_unlisted_sends(member_state& member,
                                               request_changes& out)
 {
@@ -189,8 +190,6 @@
     return out;
 }
 
-// ---- Decisions ------------------------------------------------------------
-
 std::optional<limit_charge>
 member_request_table::on_granted(const traffic::send_request& order)
 {
@@ -240,8 +239,6 @@
     return ended.charge;
 }
 
-// ---- Replies --------------------------------------------------------------
-
 bool member_request_table::has_unacknowledged_decision(
     const member_state& member) const
 {
--- a/src/greengagedrum/dispatch/member_request_table.hpp
+++ b/src/greengagedrum/dispatch/member_request_table.hpp
@@ -1,9 +1,10 @@
-// At a dispatcher: the requests of its members, between their reports and the
-// decisions here.
+// A dispatcher's table of its members' requests, between the members' reports
+// and the scheduler that dispatches them.
 //
-// A member's send is one request to the scheduler here, under an id of its own.
-// All of this is rebuilt from the members' next reports, so a dispatcher may
-// die at any moment: its successor hears of every send that waits or runs.
+// Each send of a member is a request of its own to the dispatcher's scheduler,
+// under an id from this table. The members' next reports rebuild the whole
+// table, so a dispatcher may die at any moment: its successor learns of every
+// send that waits or runs.
 #pragma once
 
 #include <greengagedrum/dispatch/messages.hpp>
@@ -20,56 +21,60 @@
 namespace greengagedrum::dispatch
 {
 
-// A cost that a limit holds, or held, for a member's request.
+// What a member's request is charged against its workspace's limit.
 struct limit_charge {
     base::workspace_id workspace;
     double amount = 0;
 };
 
-// What one report means here.
+// What follows from a report, or from the loss of a member, for the dispatcher.
 struct request_changes {
-    std::vector<traffic::event> events; // in order, of known sends
-    // Sends that are new: to be let through by the limit, and then told as
-    // arrived.
+    std::vector<traffic::event> events; // of known sends, in order
+    // New sends: to be admitted by the limit, and then passed to the scheduler
+    // as arrived.
     std::vector<std::pair<base::request_id, slot_request>> new_requests;
-    std::vector<limit_charge> refunds; // of sends that got no place
-    std::vector<traffic::upstream_load>
-        loads_dispatched_elsewhere; // placed by nobody here
+    std::vector<limit_charge> refunds; // of sends that got no slot
+    // Load of sends that this dispatcher did not dispatch.
+    std::vector<traffic::upstream_load> loads_dispatched_elsewhere;
 };
 
 class member_request_table
 {
 public:
-    // Ids given by the book differ from those of own requests.
+    // Whether the id was given by this table. Ids of the entry's own requests
+    // differ.
     static bool is_member_request(base::request_id id);
 
+    // Applies a report. If the incarnation is new, the requests of the one
+    // before end first. `loads` are the loads that the member sees at
+    // upstreams.
     request_changes on_report(base::slot_id member,
                               base::incarnation incarnation,
                               const member_report& received,
                               std::span<const traffic::upstream_load> loads);
 
-    // The member has died or was cut off: what it wanted is nobody's.
+    // The member has died or is partitioned: its requests end here.
     request_changes remove_member(base::slot_id member);
-    // Another entry places from now on.
+    // Another entry is the dispatcher from now on.
     request_changes remove_all_members();
 
-    // The send got a place. What is to be counted against its limit; empty when
-    // it was counted before, or is no longer wanted.
+    // The send got a slot. Returns the charge to its limit; empty if it was
+    // charged before or is no longer wanted.
     std::optional<limit_charge> on_granted(const traffic::send_request& order);
 
-    // The send got none. What the limit is to give back; empty when it had a
-    // place, or is no longer wanted.
+    // The send was denied a slot. Returns the charge to refund; empty if it was
+    // charged before, got a slot earlier or is no longer wanted.
     std::optional<limit_charge> on_denied(base::request_id id,
                                           const base::verdict& verdict);
 
-    // The send was to have a place and has none: asked for again, it is a new
-    // one. What the limit is to give back, as above.
+    // A send that was to get a slot and did not. If asked for again it counts
+    // as a new one. Returns the charge to refund, as above.
     std::optional<limit_charge> forget_send(base::request_id id);
 
-    // Members that have not been told what was decided, or have not shown that
-    // they were.
+    // Members that are due a reply: there is something new, or they have not
+    // shown within the resend interval that they know of a decision.
     std::vector<base::slot_id> members_to_answer(base::instant now) const;
-    // For that member now; all of it that the member has not shown to have.
+    // The reply to that member: all decisions that its reports do not show yet.
     dispatcher_reply build_reply(base::slot_id member, base::instant now);
 
     std::size_t member_count() const { return this->members_by_id.size(); }
@@ -82,8 +87,9 @@
         bool charged = false;
         std::optional<slot_grant> grant;
         std::optional<slot_denial> denial;
-        bool running = false;          // the member shows that it was sent
-        std::uint64_t last_report = 0; // the report that named it last
+        bool running = false; // its member reports it as sent
+        // Count of the last report that listed it.
+        std::uint64_t last_report = 0;
     };
 
     struct member_state {
--- a/src/greengagedrum/dispatch/messages.hpp
+++ b/src/greengagedrum/dispatch/messages.hpp
@@ -1,11 +1,10 @@
-// What the entries of a large data centre and their dispatcher tell each other
-// of requests.
+// The messages between a dispatcher and its members.
 //
-// The dispatcher places the requests of all entries of its data centre; the
-// others are its members. A member stays responsible for its requests: it
-// holds the caller's connection, sends to the upstream that the dispatcher
-// names, and decides alone what may be sent again. Each message is whole, so
-// that a lost one is made good by the next.
+// A dispatcher dispatches the requests of all entries of its data centre; the
+// others are its members. A member stays responsible for its requests: it holds
+// the caller's connection, sends to the upstream that the dispatcher names, and
+// alone decides what may be sent again. Each message carries the whole state,
+// so that the next one makes up for a lost one.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -20,62 +19,62 @@
 namespace greengagedrum::dispatch
 {
 
-// What is not answered, or not shown to have arrived, is told again after this:
-// some round trips, and less than the work of the shortest requests, for which
-// a place would stand idle.
+// Interval at which a message is sent again until its receiver has shown that
+// it arrived: a few round trips, and less than the run time of the shortest
+// requests, during which a granted slot would be idle.
 inline constexpr base::duration resend_interval = std::chrono::milliseconds(25);
 
-// One send of a request, by the member's own numbers.
+// Identifies one send of a request, by the numbers that its member gave.
 struct send_id {
     base::request_id request;
     std::uint32_t send = 0;
     auto operator<=>(const send_id&) const = default;
 };
 
-// A request that waits for a place.
+// A send that waits for a slot.
 struct slot_request {
     send_id id;
-    traffic::request_facts facts; // times from now on
+    traffic::request_facts facts; // times count from now
     std::vector<base::upstream_id> tried_upstreams;
     double cost = 0;      // against its workspace's limit
-    bool charged = false; // the limit holds it already
+    bool charged = false; // the limit was charged for it before
 };
 
 struct running_send {
     send_id id;
     base::upstream_id upstream;
-    std::uint32_t pending_prefill_tokens = 0; // of its prompt
+    std::uint32_t pending_prefill_tokens = 0;
 };
 
 enum class send_status : std::uint8_t {
     first_event,
-    completed,     // the whole answer has come
-    error_answer,  // an answer, but no good one
+    completed,     // the whole answer has been received
+    error_answer,  // an answer that reports an error
     not_sent,      // no connection
-    rejected_full, // the upstream did not run it
-    misdirected,   // another upstream answers there
+    rejected_full, // rejected by the upstream without a run
+    misdirected,   // another upstream answered at the address
     connection_broken,
 };
 
 struct send_status_update {
-    std::uint64_t sequence = 0; // grows by one with each news of a life
+    // Increases by one with each update of an incarnation.
+    std::uint64_t sequence = 0;
     send_id id;
     send_status status = send_status::first_event;
 };
 
 struct member_report {
-    std::uint64_t sequence = 0; // grows with each report of a life
+    std::uint64_t sequence = 0; // increases with each report of an incarnation
     std::vector<slot_request> slot_requests;
     std::vector<running_send> running;
-    std::vector<send_status_update>
-        status_updates; // that the dispatcher may not have
+    std::vector<send_status_update> status_updates; // not acknowledged yet
 };
 
 struct slot_grant {
     send_id id;
     base::upstream_id upstream;
-    base::duration expected_first_event{0}; // to its first event
-    std::uint32_t slots_taken = 0;          // places there, by others
+    base::duration expected_first_event{0};
+    std::uint32_t slots_taken = 0; // taken there by others
     std::uint32_t slots = 0;
 };
 
@@ -86,8 +85,8 @@
 };
 
 struct dispatcher_reply {
-    std::uint64_t acked_report = 0; // the newest one
-    std::uint64_t acked_status = 0; // up to this number
+    std::uint64_t acked_report = 0; // sequence of the latest report applied
+    std::uint64_t acked_status = 0; // sequence of the latest update applied
     std::vector<slot_grant> grants;
     std::vector<slot_denial> denials;
 
--- a/src/greengagedrum/dispatch/send_status_log.cpp
+++ b/src/greengagedrum/dispatch/send_status_log.cpp
@@ -8,9 +8,10 @@
 namespace
 {
 
-// Of a dispatcher that is silent for half a second, at a hundred requests a
-// second; beyond it the oldest are dropped. The dispatcher learns of the end of
-// such a send all the same, since the next report does not name it.
+// Enough for a dispatcher that is silent for half a second, at a hundred
+// requests a second. Beyond it the oldest updates are dropped; the dispatcher
+// still learns that such a send has ended, since the next report does not list
+// it.
 constexpr std::size_t max_updates = 64;
 
 struct status_reader {
--- a/src/greengagedrum/dispatch/send_status_log.hpp
+++ b/src/greengagedrum/dispatch/send_status_log.hpp
@@ -1,4 +1,5 @@
-// At a member: what became of its sends, until its dispatcher has been told.
+// A member's log of what became of its sends: kept until its dispatcher has
+// acknowledged the updates.
 #pragma once
 
 #include <greengagedrum/dispatch/messages.hpp>
@@ -17,7 +18,7 @@
 public:
     void record(const traffic::event& event);
 
-    // The dispatcher has all up to that number.
+    // The dispatcher has received all updates up to that sequence number.
     void acknowledge(std::uint64_t sequence);
 
     std::vector<send_status_update> unacknowledged() const;
@@ -26,7 +27,7 @@
     void record(const send_id& id, send_status status);
 
     std::deque<send_status_update> updates;
-    std::set<send_id> started_sends; // whose first event was noted
+    std::set<send_id> started_sends; // whose first event was recorded
     std::uint64_t last_sequence = 0;
 };
 
--- a/src/greengagedrum/dispatch/test/dispatch_simulation.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_simulation.cpp
@@ -142,8 +142,6 @@
     this->arrive_next();
 }
 
-// ---- Members --------------------------------------------------------------
-
 void dispatch_simulation::member_step(std::size_t number,
                                       const traffic::event& event)
 {
@@ -203,7 +201,7 @@
                    });
 }
 
-// False when it was broken off before.
+// False if the request was cancelled before.
 bool dispatch_simulation::end_work(base::request_id request)
 {
     const auto found = this->upstream_by_request.find(request.value);
@@ -275,8 +273,6 @@
                 base::not_run(denial.reason, denial.retry_after)});
 }
 
-// ---- Their dispatcher -----------------------------------------------------
-
 void dispatch_simulation::receive_report(std::size_t from,
                                          const member_report& report,
                                          std::uint64_t to)
--- a/src/greengagedrum/dispatch/test/dispatch_simulation.hpp
+++ b/src/greengagedrum/dispatch/test/dispatch_simulation.hpp
@@ -1,5 +1,6 @@
-// Members and their dispatcher before one service, in virtual time: reports and
-// replies take their way and some are lost, callers arrive at random.
+// Simulates members and their dispatcher in front of one service, in virtual
+// time: reports and replies take their transit time, some are lost, and callers
+// arrive at random.
 #pragma once
 
 #include <greengagedrum/dispatch/member_request_table.hpp>
@@ -22,14 +23,14 @@
     std::size_t upstreams = 4;
     std::uint32_t slots = 6;
     base::duration work = std::chrono::milliseconds(60);
-    double burst_load = 2;         // of what the upstreams can do, in the burst
-    double load_after_burst = 0.7; // and after it
+    double burst_load = 2; // share of the upstreams' capacity in the burst
+    double load_after_burst = 0.7; // share of the capacity after the burst
     base::duration burst = std::chrono::seconds(5);
     base::duration length = std::chrono::seconds(12);
     base::duration transit_time = std::chrono::milliseconds(1);
-    double loss_rate = 0.02; // of messages
-    // The dispatcher is killed in the burst, and another one takes its place
-    // half a second later.
+    double loss_rate = 0.02; // share of messages
+    // The dispatcher is killed in the burst, and another one starts half a
+    // second later.
     bool dispatcher_dies = false;
     std::uint64_t seed = 7;
 };
@@ -41,8 +42,8 @@
     std::uint32_t sent_twice = 0;
     std::uint32_t max_on_one_upstream = 0;
     double busy = 0; // mean share of slots in the burst, after its first second
-    base::duration last_refused{0}; // came so long after the burst's end
-    std::uint32_t messages = 0;     // of one member, a second, at the most
+    base::duration last_refused{0}; // arrived so long after the burst
+    std::uint32_t messages = 0;     // highest rate of a member per second
 };
 
 class dispatch_simulation
@@ -90,10 +91,10 @@
     base::instant began{std::chrono::hours(1)};
     std::multimap<base::instant, std::function<void()>> events;
     std::vector<member> members;
-    std::unordered_map<base::slot_id, std::size_t> member_indices; // of members
-    std::unique_ptr<traffic::scheduler> dispatcher; // none: it was killed
+    std::unordered_map<base::slot_id, std::size_t> member_indices;
+    std::unique_ptr<traffic::scheduler> dispatcher; // null while killed
     std::unique_ptr<member_request_table> request_table;
-    std::uint64_t term = 0; // grows with each dispatcher
+    std::uint64_t term = 0; // increases with each dispatcher
     std::uint64_t next_request = 1;
     std::map<base::upstream_id, std::uint32_t> running;
     std::map<std::uint64_t, base::upstream_id>
--- a/src/greengagedrum/dispatch/test/dispatch_test.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_test.cpp
@@ -1,4 +1,4 @@
-// What a queue does to callers where one entry of a data centre places.
+// Tests callers' waiting times and slot use under a dispatcher.
 #include <greengagedrum/dispatch/test/dispatch_simulation.hpp>
 
 #include <doctest/doctest.h>
@@ -18,11 +18,11 @@
 
 } // namespace
 
-// Twice as many callers as four servers of six slots can answer come for five
-// seconds, to 9, 86 or 295 entries, for work of 60 ms or 2 s. With each entry
-// placing by itself a freed slot was handed round on news older than the work,
-// 11 of 24 slots were busy, and callers were refused for twenty seconds after
-// the burst.
+// For five seconds, twice as many callers as four servers of six slots can
+// answer come to 9, 86 or 295 entries, with work of 60 ms or 2 s. When each
+// entry dispatched its own requests, a freed slot was passed around on load
+// information older than the work: 11 of 24 slots were busy, and callers were
+// refused for twenty seconds after the burst.
 TEST_CASE("burst_keeps_slots_busy_and_queue_ends_with_it")
 {
     for (const std::size_t members : {9U, 86U, 295U}) {
@@ -47,16 +47,16 @@
             CHECK(result.max_on_one_upstream <= settings.slots + 1);
             CHECK(result.last_refused < 3s);
             CHECK(result.sent_twice == 0);
-            // Of 9 entries each has 90 requests a second itself.
+            // With 9 entries, each has 90 requests a second of its own.
             if (members > 9)
                 CHECK(result.messages < 100);
         }
     }
 }
 
-// The dispatcher is killed in the middle of a burst, and the next one has been
-// told nothing. Nothing runs twice, and no server gets much more than it can
-// run: the members' reports show what runs where.
+// The dispatcher is killed in the middle of a burst, and its successor starts
+// with no state. Nothing runs twice, and no server gets much more than it can
+// run, since the members' reports show what runs where.
 TEST_CASE("killed_dispatcher_no_request_runs_twice")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -72,7 +72,8 @@
     }
 }
 
-// One message in five is lost. What is whole in each is made good by the next.
+// One message in five is lost. Each message carries the whole state, so the
+// next one makes up for it.
 TEST_CASE("lost_messages_no_request_lost")
 {
     simulation_settings settings;
--- a/src/greengagedrum/dispatch/test/member_request_table_test.cpp
+++ b/src/greengagedrum/dispatch/test/member_request_table_test.cpp
@@ -1,4 +1,5 @@
-// A dispatcher's book of its members' sends, message by message.
+// Tests the dispatcher's table of its members' requests, message by message,
+// and the members' status log.
 #include <greengagedrum/dispatch/member_request_table.hpp>
 #include <greengagedrum/dispatch/send_status_log.hpp>
 
@@ -17,7 +18,7 @@
 
 struct request_table_fixture {
     member_request_table table;
-    member_report current_report; // what the member says at present
+    member_report current_report;
     base::instant now{std::chrono::hours(1)};
 
     static slot_request slot_request_for(std::uint64_t request,
@@ -55,7 +56,7 @@
         return this->table.on_granted(order);
     }
 
-    // The member has sent what it was granted.
+    // The member has sent everything that was granted.
     void run_all()
     {
         for (const slot_request& request : this->current_report.slot_requests)
@@ -74,8 +75,8 @@
     CHECK(this->table.members_to_answer(this->now).empty());
 }
 
-// The datagram with a granted place is lost. The member goes on to ask, and is
-// told again until it shows that it has sent the request.
+// The datagram with a slot grant is lost. The member goes on asking, and the
+// grant is sent again until the member shows that it has sent the request.
 TEST_CASE_FIXTURE(request_table_fixture,
                   "slot_grant_sent_until_shown_in_report")
 {
@@ -96,8 +97,8 @@
     CHECK(this->table.build_reply(member, this->now).grants.empty());
 }
 
-// A caller leaves while its request waits, or after the place was granted. The
-// place must not stay taken, and the limit gets back what was not sent.
+// A caller leaves while its request waits, or after the slot was granted. The
+// slot must not stay taken, and the limit refunds what was not sent.
 TEST_CASE_FIXTURE(request_table_fixture, "send_no_longer_listed_ended")
 {
     this->arrive(7);
@@ -113,7 +114,7 @@
     CHECK(granted.refunds.empty());
 }
 
-// The reply is lost, and the member has no reason to say anything.
+// The reply is lost, and the member has nothing new to report.
 TEST_CASE_FIXTURE(request_table_fixture, "reply_not_shown_in_report_sent_again")
 {
     this->grant(this->arrive(7));
@@ -124,7 +125,7 @@
     CHECK(this->table.build_reply(member, this->now).grants.size() == 1);
 }
 
-// A member repeats its report until it knows that it was taken.
+// A member sends its report again until the report is acknowledged.
 TEST_CASE_FIXTURE(request_table_fixture,
                   "report_with_new_request_answered_at_once")
 {
@@ -154,8 +155,8 @@
     CHECK(this->table.build_reply(member, this->now).acked_status == 2);
 }
 
-// A dispatcher takes over from one that died: its members run requests that it
-// has not placed. They take places all the same.
+// A dispatcher takes over from one that died. Its members run requests that it
+// has not dispatched; they take slots all the same.
 TEST_CASE_FIXTURE(request_table_fixture,
                   "sends_of_previous_dispatcher_count_as_load")
 {
@@ -200,7 +201,7 @@
     const dispatcher_reply reply = this->table.build_reply(member, this->now);
     REQUIRE(reply.denials.size() == 1);
     CHECK(reply.denials[0].retry_after == std::chrono::seconds(2));
-    // The member has ended it: nothing else follows.
+    // The member has ended the request: nothing else follows.
     this->current_report.slot_requests.clear();
     const request_changes changes = this->report();
     CHECK(changes.events.empty());
--- a/src/greengagedrum/gossip/dispatch_codec.cpp
+++ b/src/greengagedrum/gossip/dispatch_codec.cpp
@@ -19,7 +19,7 @@
                                       send_status::misdirected,
                                       send_status::connection_broken};
 
-// Reasons for which a place is declined; any other is told as the last.
+// Reasons for which a slot is denied; any other reason is sent as the last one.
 constexpr std::array decline_reasons = {base::reason::limit_reached,
                                         base::reason::no_upstream,
                                         base::reason::overloaded};
@@ -34,7 +34,7 @@
     return static_cast<std::uint32_t>(index);
 }
 
-// What an entry of a later build tells may be beyond the list.
+// A value that only a later build knows is read as the last one of the list.
 template <class List>
 auto value_at(const List& list, std::uint32_t index)
 {
--- a/src/greengagedrum/gossip/dispatch_codec.hpp
+++ b/src/greengagedrum/gossip/dispatch_codec.hpp
@@ -1,4 +1,4 @@
-// The bytes of what members and dispatchers tell each other, within a message.
+// Encodes reports of members and replies of dispatchers into gossip messages.
 #pragma once
 
 #include <greengagedrum/dispatch/messages.hpp>
--- a/src/greengagedrum/gossip/dispatcher_election.cpp
+++ b/src/greengagedrum/gossip/dispatcher_election.cpp
@@ -9,46 +9,51 @@
 namespace
 {
 
-// From here on, and down to there, one entry of each data centre places. Up to
-// some thirty, what each tells all others is less than what it relays.
+// Fleet sizes at which dispatchers start and stop dispatching for all. Up to
+// some thirty entries, the messages of a full mesh are fewer than those that a
+// dispatcher relays.
 constexpr std::size_t dispatchers_used_from = 33;
 constexpr std::size_t dispatchers_used_down_to = 25;
 
-// A dispatcher tells each member ten times a second; after three in a row that
-// were not heard another one places. A process whose share of the processor is
-// used up stands still for up to 100 ms.
+// A dispatcher sends to each member ten times a second, so the timeout covers
+// three messages in a row. A process that has used up its processor quota
+// pauses for up to 100 ms.
 constexpr base::duration liveness_timeout = std::chrono::milliseconds(350);
 
-// An entry that has lived for less has not seen a whole window of the limits,
-// nor how fast upstreams are.
+// Time after which an entry has seen a whole window of the limits and knows how
+// fast upstreams are.
 constexpr base::duration warm_up_time = std::chrono::seconds(10);
 
-// Much stronger, of a dispatcher: a change is worth the pause it costs.
+// An entry replaces an established dispatcher only if it has at least 3/2 of
+// its processor share: a change costs a pause.
 constexpr std::uint32_t replacement_share_halves = 3;
 
-// An entry that does not answer for so long is passed over for a while: it
-// died, or is cut off from this one only.
+// An entry that does not answer a probe within the timeout is skipped for a
+// while: it has died, or is partitioned from this one only.
 constexpr base::duration probe_timeout = std::chrono::milliseconds(400);
 constexpr base::duration skip_time = std::chrono::seconds(2);
 
-// Nobody has had a sign of life for so long: it is gone, or not yet back. As
-// long as limits keep a part for entries behind a cut.
+// An entry that nobody has heard from for so long has died or has not come back
+// yet. Equals the time for which limits reserve a part for partitioned entries.
 constexpr base::duration forget_timeout = std::chrono::seconds(30);
 
-// The age that an entry is named with lacks the message's own way.
+// Bound on the error of the age given for a listed entry, which does not
+// include the transit time of the message.
 constexpr base::duration listed_age_error = std::chrono::milliseconds(100);
 
-// Those that are kept ready to take over: one, and one more for its death.
+// Entries kept ready to take over: a successor, and one more in case it dies.
 constexpr std::size_t standby_count = 2;
 
-// In one message: enough to find the next dispatcher after the loss of several,
-// and to hear of all entries of a few hundred within some seconds.
+// Entries listed in one message: enough to find the next dispatcher after the
+// loss of several, and to learn of all entries of a fleet of a few hundred
+// within some seconds.
 constexpr std::size_t max_listed_by_rank = 4;
 constexpr std::size_t max_listed_in_rotation = 6;
 
 } // namespace
 
-// The strongest goes first, and among equals the lowest address.
+// The entry with the most processor share ranks first; the lowest address
+// breaks ties.
 bool dispatcher_election::outranks_self(ipv4_address address) const
 {
     const std::uint32_t other_millicores =
@@ -63,7 +68,7 @@
     return other.received_at && now - *other.received_at <= liveness_timeout;
 }
 
-// It was heard, and places requests: its own, and those of whoever asks it.
+// Live, and dispatching requests: its own and those of its members, if any.
 bool dispatcher_election::is_dispatching(const candidate& other,
                                          base::instant now)
 {
@@ -91,9 +96,10 @@
             continue;
         candidate& other = this->other_entries[listed.address];
         other.last_seen_at = std::max(other.last_seen_at, now - listed.age);
-        // Failure guarded against: a strong entry is restarted, and whoever
-        // heard it stop goes on taking it for that. When it is next in line,
-        // they look for a dispatcher in vain and place by themselves.
+        // Failure guarded against: an entry with much processor share is
+        // restarted, and entries that received its stopping message go on
+        // taking it for stopping. Once it ranks first they find no dispatcher
+        // and dispatch their own requests.
         if (other.received_at &&
             other.last_seen_at > *other.received_at + listed_age_error)
             other.stopping = false;
@@ -165,9 +171,9 @@
     return this->current_dispatcher;
 }
 
-// Failure guarded against: entries are restarted one after the other, and each
-// strong one that is back takes the place of the one that had followed it: two
-// changes for each stop, the second to a process that knows nothing of
+// Failure guarded against: in a rolling restart, each high-ranked entry that
+// comes back replaces the one that had succeeded it. That makes two changes of
+// dispatcher for each stop, the second to a process that knows nothing of the
 // upstreams.
 std::optional<ipv4_address>
 dispatcher_election::higher_ranked_dispatcher(base::instant now) const
@@ -185,7 +191,7 @@
     return std::nullopt;
 }
 
-// One that goes after this entry and is to go on.
+// A dispatcher that ranks below this entry and is to stay in place.
 std::optional<ipv4_address>
 dispatcher_election::incumbent_dispatcher(base::instant now) const
 {
@@ -216,7 +222,8 @@
     return now - started < warm_up_time;
 }
 
-// It places for others, and its process has seen enough to do it well.
+// A live dispatcher whose process has run long enough to know limits and
+// upstreams.
 bool dispatcher_election::is_established(ipv4_address address,
                                          base::instant now) const
 {
@@ -241,7 +248,8 @@
     const auto found = this->other_entries.find(address);
     if (found == this->other_entries.end())
         return false;
-    // One that stops places its own requests to the end, and tells of them.
+    // A stopping entry goes on dispatching its own requests until the end, and
+    // sends its load.
     if (is_live(found->second, now) && !found->second.delegating)
         return false;
     const base::data_centre_id in_data_centre = found->second.data_centre;
@@ -345,7 +353,7 @@
          ++visited) {
         if (next == this->other_entries.end())
             next = this->other_entries.begin();
-        // Whoever is named has not said that it stops.
+        // Entries that announced their stop are not listed.
         const bool known_lately =
             now - next->second.last_seen_at <= forget_timeout;
         if (known_lately && !next->second.stopping)
--- a/src/greengagedrum/gossip/dispatcher_election.hpp
+++ b/src/greengagedrum/gossip/dispatcher_election.hpp
@@ -1,17 +1,20 @@
-// Which entry of each data centre places the requests of all entries there.
+// Elects the entry of each data centre that dispatches the requests of all
+// entries there: the dispatcher.
 //
-// Among few entries each places its own requests and tells all others of them.
-// Among many that takes thousands of messages a second for each entry, and what
-// they say is older than most requests run. So one entry of each data centre,
-// its dispatcher, places for all of them, and only dispatchers tell each other.
+// In a small fleet each entry dispatches its own requests and sends its load to
+// all others. In a large fleet that full mesh would cost each entry thousands
+// of messages a second, and the loads received would be older than most
+// requests run. One dispatcher for each data centre dispatches for all of its
+// entries instead, and only dispatchers exchange loads.
 //
-// Each entry finds out for itself: the dispatcher is the strongest entry of the
-// data centre that was heard within half a second. One that has just started
-// leaves another in place for a while, however strong it is, and for good
-// unless it is much stronger: a change costs callers a pause, and the new one
-// knows little yet. Two entries may differ for a moment, and then two
-// dispatchers place; what they place beyond an upstream's places waits there,
-// nothing else follows. So no agreement is needed.
+// Each entry elects by itself: the dispatcher is the entry of the data centre
+// with the most processor share among those heard from within the liveness
+// timeout. An entry that has just started leaves an established dispatcher in
+// place for a while, and for good unless its own processor share is much
+// larger, since a change costs callers a pause and the new dispatcher knows
+// little of the upstreams yet. Two entries may elect differently for a moment,
+// and then both dispatch. What they dispatch beyond an upstream's slots waits
+// at the upstream and has no other effect, so the entries need no consensus.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -40,52 +43,55 @@
     }
 
     void on_message(const message& received, base::instant now);
-    // A message was sent to it, which it is to answer.
+    // A probe was sent to that entry, which has to answer.
     void on_probe_sent(ipv4_address address, base::instant now);
 
-    // Entries with any sign of life lately, this one included.
+    // Entries heard from or listed by others within the last 30 s, this one
+    // included.
     std::size_t entry_count(base::instant now) const;
-    // Many entries: one of each data centre places for all.
+    // Whether the fleet is so large that dispatchers are used; with hysteresis.
     bool uses_dispatchers(base::instant now);
 
-    // This entry places for others too.
+    // Sets whether this entry is a dispatcher.
     void set_dispatching(bool dispatching) { this->dispatching = dispatching; }
 
-    // Who places this entry's requests; none: itself.
+    // The dispatcher of this entry; empty if it dispatches its own requests.
     std::optional<ipv4_address> dispatcher(base::instant now);
 
-    // Those that would go before the dispatcher, or before this entry, and may
-    // be there: to be asked whether they are.
+    // Entries to probe: those ranked above the dispatcher, or above this entry
+    // if there is no dispatcher, that may be up.
     std::vector<ipv4_address> probe_targets(base::instant now);
 
-    // Entries that place for other data centres, as far as is known, and
-    // those that may.
+    // The known dispatchers of other data centres, and higher-ranked entries
+    // there that may be the dispatcher.
     std::vector<ipv4_address> remote_dispatcher_candidates(base::instant now);
 
-    // Entries of the own data centre that were not heard for a while.
+    // Entries of the own data centre that are not live.
     std::vector<ipv4_address> silent_in_data_centre(base::instant now) const;
 
-    // It does not place any more, and another one of its data centre does.
+    // Whether that entry no longer dispatches requests and another one of its
+    // data centre does.
     bool is_replaced(ipv4_address address, base::instant now) const;
 
-    // Entries that are first in line after this one, as long as it places.
+    // The live entries that would take over from this dispatcher, the first
+    // successor first.
     std::vector<ipv4_address> standby_entries(base::instant now) const;
 
-    // Entries of the own data centre that would place before this one.
+    // Number of entries of the own data centre that rank above this one.
     std::size_t higher_ranked_count(base::instant now) const;
 
-    // Others that place, of any data centre, this one not counted.
+    // Number of other live entries that dispatch requests, in all data centres.
     std::size_t other_dispatcher_count(base::instant now) const;
-    // Another entry of the own data centre places.
+    // Whether another live entry of the own data centre dispatches requests.
     bool has_dispatcher_in_data_centre(base::instant now) const;
 
-    // Other data centres of which nobody was heard lately, and entries of the
-    // own one that are known of.
+    // Number of other data centres with listed entries from which no message
+    // has ever come, and number of known entries in the own data centre.
     std::size_t never_heard_data_centre_count(base::instant now) const;
     std::size_t known_count_in_data_centre(base::instant now) const;
 
-    // For a message to an entry of that data centre: the strongest there, and
-    // others in turn.
+    // Known entries to list in a message to an entry of that data centre: the
+    // highest-ranked ones there, and others in rotation.
     std::vector<known_entry>
     select_known_entries(base::data_centre_id recipient_data_centre,
                          base::instant now);
@@ -94,14 +100,16 @@
     struct candidate {
         base::data_centre_id data_centre;
         std::uint32_t cpu_millicores = 0;
-        base::instant last_seen_at; // by anyone
-        base::instant started_at;   // its process
+        base::instant last_seen_at; // by this entry or by one that listed it
+        base::instant started_at;   // of its process
         std::optional<base::instant> received_at;
-        std::optional<base::instant> probed_at; // and not answered since
+        // When the probe that awaits an answer was sent; empty if there is
+        // none.
+        std::optional<base::instant> probed_at;
         base::instant skipped_until;
         bool stopping = false;
-        bool delegating = false;            // another one places for it
-        bool dispatches_for_others = false; // it places for others
+        bool delegating = false; // it delegates dispatching to another entry
+        bool dispatches_for_others = false; // it is a dispatcher
     };
 
     using candidates = std::map<ipv4_address, candidate>;
@@ -130,9 +138,10 @@
     std::uint32_t cpu_millicores; // thousandths of a processor
     base::instant started;
     bool dispatching = false;
-    std::optional<ipv4_address>
-        current_dispatcher; // the dispatcher, when last asked
-    std::optional<base::instant> searching_since; // none was found since then
+    // Result of the last election.
+    std::optional<ipv4_address> current_dispatcher;
+    // Start of the search for a dispatcher; empty if one is known.
+    std::optional<base::instant> searching_since;
     candidates other_entries;
     ipv4_address next_address_to_share = 0;
     bool dispatchers_in_use = false;
--- a/src/greengagedrum/gossip/dispatcher_election_probes.cpp
+++ b/src/greengagedrum/gossip/dispatcher_election_probes.cpp
@@ -1,4 +1,4 @@
-// Whom an entry asks, or tells, that may place requests.
+// Probes of the election: which entries may be dispatchers and are asked.
 #include <greengagedrum/gossip/dispatcher_election.hpp>
 
 #include <algorithm>
@@ -10,14 +10,16 @@
 namespace
 {
 
-// Whoever said that another one places for it is not asked again for so long.
+// An entry that said that it delegates to a dispatcher is not probed again for
+// so long.
 constexpr base::duration delegation_valid_for = std::chrono::seconds(2);
 
-// How many may be asked at once whether they are there.
+// Entries probed at the same time.
 constexpr std::size_t probes_at_once = 3;
 constexpr std::size_t remote_probes_at_once = 2;
 
-// While none of them is found at first, twice as many after each such time.
+// While a search finds no dispatcher, the number of probes doubles after each
+// interval, a few times; after the wide search it is back at its start.
 constexpr base::duration search_doubling_interval =
     std::chrono::milliseconds(100);
 constexpr int max_search_doublings = 4;
@@ -25,12 +27,14 @@
 
 } // namespace
 
-// Those of one data centre that go before `before`, in order, unless they were
-// asked in vain.
+// Adds up to `max_count` entries of a data centre that rank above the entry
+// `above`, in rank order. Leaves out those that did not answer lately or said
+// that they do not dispatch.
 //
-// Failure guarded against: the strongest entries of another data centre were
-// restarted and left the one that had followed them in place. Whoever asked
-// only them who places there, again and again, never heard of that one.
+// Failure guarded against: the highest-ranked entries of another data centre
+// were restarted and left the dispatcher that had succeeded them in place. An
+// entry that probed only those, again and again, never learned of that
+// dispatcher.
 void dispatcher_election::add_probe_targets(base::data_centre_id in_data_centre,
                                             std::size_t max_count,
                                             std::optional<ipv4_address> above,
@@ -55,9 +59,9 @@
     }
 }
 
-// Failure guarded against: a data centre is cut in two, and those on one side
-// that go first in line are all on the other. Asked three at a time, it takes
-// seconds to pass them over, in which each entry places by itself.
+// Failure guarded against: a network partition splits a data centre, and the
+// entries that rank first are all on the other side. Probed three at a time,
+// skipping them takes seconds, in which each entry dispatches its own requests.
 std::size_t dispatcher_election::probe_limit(base::instant now) const
 {
     if (!this->searching_since ||
--- a/src/greengagedrum/gossip/gossip_schedule.cpp
+++ b/src/greengagedrum/gossip/gossip_schedule.cpp
@@ -8,26 +8,27 @@
 namespace
 {
 
-// A place taken is known everywhere within 10 ms and a datagram's way. Among
-// more entries in a data centre the gap grows with their number, so that what
-// one entry sends them stays bounded by 1,000 datagrams a second.
+// A slot taken at an upstream is known to all entries within 10 ms and a
+// datagram's transit time. With more entries in a data centre the interval
+// grows with their number, which bounds what one entry sends them at 1,000
+// datagrams a second.
 constexpr base::duration min_mesh_interval = std::chrono::milliseconds(10);
 constexpr std::size_t min_mesh_size = 10;
 
-// Other data centres' upstreams are the second choice, so messages to there may
-// be older; with the square of the number of entries, up to the most that
-// limits and the liveness of peers allow.
+// Upstreams of other data centres are the second choice, so loads from there
+// may be older. The interval grows with the square of the number of entries, up
+// to the maximum that the limits and the liveness of peers allow.
 constexpr base::duration max_remote_interval = std::chrono::milliseconds(200);
 
-// Without a change, as a sign of life: among few entries, and where members
-// have to notice within half a second that their dispatcher is gone.
+// Heartbeat intervals without a change: in a full mesh, and where members have
+// to notice within half a second that their dispatcher is gone.
 constexpr base::duration mesh_heartbeat_interval =
     std::chrono::milliseconds(200);
 constexpr base::duration dispatched_heartbeat_interval =
     std::chrono::milliseconds(100);
 
-// A member tells one receiver only. What happens within this time goes into one
-// message: a request that ends, and the next that is asked for.
+// A member sends to its dispatcher only. Changes within this time share one
+// message, such as a request that ends and the next one that asks for a slot.
 constexpr base::duration member_interval = std::chrono::milliseconds(2);
 
 } // namespace
@@ -54,7 +55,7 @@
     this->heartbeat_interval = dispatched_heartbeat_interval;
 }
 
-// Replies to members go out at once and by themselves.
+// Replies to members are sent at once, outside this schedule.
 void gossip_schedule::set_dispatcher_intervals()
 {
     this->own_data_centre.interval = dispatched_heartbeat_interval;
--- a/src/greengagedrum/gossip/gossip_schedule.hpp
+++ b/src/greengagedrum/gossip/gossip_schedule.hpp
@@ -1,8 +1,9 @@
-// When an entry tells its next message to whom.
+// Decides when an entry sends its next gossip message to which group of peers.
 //
-// Messages are told at changes, but not closer to each other than a gap, which
-// differs between the own data centre and the others; without a change they are
-// told now and then as a sign of life.
+// A message is sent when something has changed, but no sooner than the group's
+// interval after the message before; the own data centre and the other data
+// centres have intervals of their own. Without a change a heartbeat is sent at
+// a longer interval.
 #pragma once
 
 #include <greengagedrum/base/time.hpp>
@@ -17,19 +18,22 @@
 class gossip_schedule
 {
 public:
-    // Live peers of the own data centre, and of all.
+    // Intervals of a full mesh, in which each entry sends to every other one.
+    // The counts are of live peers, in the own data centre and in all.
     void set_full_mesh_intervals(std::size_t peers_in_data_centre,
                                  std::size_t all_peers);
-    // The same where one entry of each data centre places for all.
+    // Intervals of a member: an entry that delegates dispatching to a
+    // dispatcher.
     void set_member_intervals();
     void set_dispatcher_intervals();
 
-    // There is something to tell.
+    // The state to send has changed for both groups.
     void on_change();
     void on_sent(recipient_group group, base::instant now);
 
     bool is_due(recipient_group group, base::instant now) const;
-    // When a change that is to be told becomes due; empty: there is none.
+    // The earliest time at which a pending change may be sent; empty if no
+    // change is pending.
     std::optional<base::instant> next_due() const;
 
     base::duration interval(recipient_group group) const;
--- a/src/greengagedrum/gossip/message.cpp
+++ b/src/greengagedrum/gossip/message.cpp
@@ -46,7 +46,8 @@
 
 using number_list = flatbuffers::Vector<std::uint32_t>;
 
-// Zero where an entry of an earlier build tells none.
+// Zero if the list is missing or too short, as from an entry of an earlier
+// build.
 std::uint32_t number_at(const number_list* list, std::size_t at)
 {
     if (list == nullptr || at >= list->size())
@@ -70,7 +71,8 @@
     return out;
 }
 
-// Of a list that has equally many numbers for each of `count`, those of one.
+// The numbers of element `at`, from a flat list with equally many numbers for
+// each of `count` elements.
 std::vector<std::uint32_t>
 numbers_of(const number_list* list, std::size_t at, std::size_t count)
 {
@@ -98,7 +100,8 @@
     return out;
 }
 
-// One of a later build's is no load, and asks for nothing.
+// A kind that only a later build knows is read as one that carries no load and
+// needs no answer.
 message_kind kind_of(std::uint8_t from)
 {
     constexpr auto last = message_kind::dispatcher_load;
@@ -107,7 +110,7 @@
                : message_kind::dispatcher_query_reply;
 }
 
-// An entry of an earlier build tells no standings.
+// An entry of an earlier build sends no standings.
 std::vector<known_entry>
 known_entries_of(const flatbuffers::Vector<const wire::Known*>& list,
                  const flatbuffers::Vector<const wire::Standing*>* standings)
--- a/src/greengagedrum/gossip/message.hpp
+++ b/src/greengagedrum/gossip/message.hpp
@@ -1,4 +1,7 @@
-// What one entry tells the others of itself, whole in each datagram.
+// The gossip messages between entries, as values and as bytes.
+//
+// Each datagram carries the whole state of its sender, so a lost one is made up
+// for by the next.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -18,73 +21,75 @@
 namespace greengagedrum::gossip
 {
 
-// An IPv4 address in the order of its digits: 10.1.0.25 is 0x0a010019.
+// An IPv4 address in host byte order: 10.1.0.25 is 0x0a010019.
 using ipv4_address = std::uint32_t;
 
 struct known_entry {
     ipv4_address address = 0;
-    base::duration age{0}; // since it was last heard
+    base::duration age{0}; // since the last message from it
     base::data_centre_id data_centre{};
     std::uint32_t cpu_millicores = 0; // thousandths of a processor
 };
 
 enum class message_kind : std::uint8_t {
-    load,             // what the sender uses, where each entry places its own
-    report,           // to the entry that places the sender's requests
-    reply,            // and back
-    dispatcher_query, // asks who places requests where the sender is
+    load,             // load of the sender, in a full mesh
+    report,           // from a member to its dispatcher
+    reply,            // from the dispatcher to a member
+    dispatcher_query, // asks for the dispatcher of the sender's data centre
     dispatcher_query_reply,
-    // The same as a load, from one that places for all of its data centre.
+    // A load message of a dispatcher, for its whole data centre.
     dispatcher_load,
 };
 
 struct message {
     message_kind kind = message_kind::load;
-    // Another entry places the sender's requests.
+    // The sender delegates the dispatching of its requests to a dispatcher.
     bool delegating = false;
-    // The sender places requests of others.
+    // The sender is a dispatcher: it dispatches the requests of other entries.
     bool dispatching = false;
     base::incarnation incarnation;
-    std::uint64_t sequence = 0; // grows with each message of a life
+    std::uint64_t sequence = 0; // increases with each message of an incarnation
     std::string instance;
     std::string data_centre;
     ipv4_address address = 0;
     bool stopping = false;
     std::uint64_t configuration_revision = 0;
-    std::uint64_t store_revision = 0; // as of which the upstreams are known
-    // How often what the sender believes has changed since its start: whoever
-    // has passed on all of them knows what it knows.
+    std::uint64_t store_revision = 0; // of the sender's list of upstreams
+    // Number of changes of the sender's cluster state since its start. An entry
+    // that has applied as many of them has the same state.
     std::uint64_t change_count = 0;
-    std::uint64_t state_digest = 0; // alike at entries that believe the same
-    // Of the newest change known of configuration or upstreams; reports that
-    // change nothing move the store's revision on all the time.
+    // Equal at entries with the same cluster state.
+    std::uint64_t state_digest = 0;
+    // Store revision of the newest known change of configuration or upstreams.
+    // The store's own revision also advances with reports that change neither.
     std::uint64_t change_revision = 0;
-    base::duration store_age{0}; // since the store last answered the sender
+    base::duration store_age{0}; // since the store's last answer to the sender
     std::vector<traffic::upstream_load> upstream_loads;
     std::vector<traffic::queue_report> queue_reports;
     std::vector<quota::workspace_usage> workspace_usage;
     std::vector<known_entry> known_entries;
     std::uint32_t cpu_millicores = 0; // thousandths of a processor
-    base::duration uptime{0};         // the sender's process, at least
+    // Uptime of the sender's process: a lower bound, capped at an hour.
+    base::duration uptime{0};
     dispatch::member_report report;
     dispatch::dispatcher_reply reply;
     std::vector<quarantine::suspect_report> suspects;
 };
 
-// Items of the store that one entry passes to another.
+// Items of the store that one entry sends to another.
 struct item_transfer {
     std::uint64_t store_revision = 0;
     std::uint64_t change_revision = 0; // as in a message
     base::incarnation incarnation;     // of the sender
-    std::uint64_t change_count = 0;    // of it
-    bool complete = false; // all that there is; what is missing was removed
+    std::uint64_t change_count = 0;    // of the sender
+    bool complete = false; // all items; those not listed were removed
     routing::store_item_list items;
 };
 
 std::string encode(const message& sent);
 std::string encode(const item_transfer& sent);
 
-// Empty for bytes that are no sound message.
+// Empty if the bytes are not a valid message.
 std::optional<message> decode_message(std::string_view bytes);
 std::optional<item_transfer> decode_items(std::string_view bytes);
 
--- a/src/greengagedrum/gossip/peer_table.cpp
+++ b/src/greengagedrum/gossip/peer_table.cpp
@@ -9,21 +9,23 @@
 namespace
 {
 
-// A live entry tells at least five times a second; seven messages in a row are
+// A live entry sends at least five times a second; seven messages in a row are
 // not lost by chance.
 constexpr base::duration liveness_timeout = std::chrono::milliseconds(1500);
 
-// After a cut an entry is still counted for so long, as one that may return.
+// After a network partition an entry is counted for so long as one that may
+// come back.
 constexpr base::duration recently_live_window = std::chrono::seconds(10);
 
-// Those that are silent are told once in this time: a seed that was down, an
-// entry behind a cut that has healed.
+// Interval at which silent peers are probed: a seed that was down, or an entry
+// behind a partition that has healed.
 constexpr base::duration probe_interval = std::chrono::milliseconds(500);
 
-// An entry that nobody has heard for so long is forgotten, but for seeds.
+// An entry that nobody has heard from for so long is removed, unless it is a
+// seed.
 constexpr base::duration forget_timeout = std::chrono::seconds(60);
 
-// Enough for a new entry to hear of dozens within its first seconds.
+// Lets a new entry learn of dozens of others within its first seconds.
 constexpr std::size_t max_listed_entries = 8;
 constexpr base::duration share_interval = std::chrono::milliseconds(150);
 
@@ -43,8 +45,8 @@
 
 peer_update peer_table::on_message(const message& received, base::instant now)
 {
-    // An address may be another process of ours at this very place, before a
-    // restart: its messages are not to be taken for a peer's.
+    // A message from the own address comes from an earlier process of this
+    // entry, before a restart, and not from a peer.
     if (received.address == this->own_address)
         return peer_update::outdated;
     peer& known_peer = this->peers[received.address];
--- a/src/greengagedrum/gossip/peer_table.hpp
+++ b/src/greengagedrum/gossip/peer_table.hpp
@@ -1,8 +1,10 @@
-// The other entries: who was heard of, who is alive, whom to tell what.
+// The table of the other entries: which are known, which are live, and which a
+// message goes to next.
 //
-// Entries find each other through a few seed addresses that may be down, and
-// then through each other: each message names some entries that its sender has
-// heard. Liveness rests on messages received, never on what others say of it.
+// Entries find each other through a few seed addresses, any of which may be
+// down, and then by gossip: each message lists some entries that its sender
+// knows. An entry counts as live only through messages received from it, never
+// because another entry lists it.
 #pragma once
 
 #include <greengagedrum/gossip/message.hpp>
@@ -18,12 +20,12 @@
 
 enum class peer_update : std::uint8_t {
     none,
-    found,     // first heard, or heard again after silence
-    restarted, // another process in its place
-    outdated   // the message is older than one already taken
+    found,     // first message, or first one after silence
+    restarted, // another incarnation at the same address
+    outdated   // older than a message already applied
 };
 
-// Whom a message is for.
+// The peers that a message goes to.
 enum class recipient_group : std::uint8_t {
     own_data_centre,
     other_data_centres,
@@ -44,31 +46,34 @@
 
     peer_update on_message(const message& received, base::instant now);
 
-    // Addresses to be told now: those that are alive, of the own data centre
-    // or of the others, and with the others once in a while those that may be.
+    // Addresses to send to now: the live peers of that group. The group of the
+    // other data centres also includes peers that are not live, each once per
+    // probe interval.
     std::vector<ipv4_address> select_recipients(recipient_group group,
                                                 base::instant now);
 
-    // Seeds that are not alive.
+    // Seeds that are not live.
     std::vector<ipv4_address> silent_seeds(base::instant now) const;
 
-    // For the own message: those heard lately, a few at a time in turn.
+    // A few known entries to list in the next message, in rotation; empty until
+    // the share interval has passed.
     std::vector<known_entry> select_known_entries(recipient_group group,
                                                   base::instant now);
 
-    // Those that fell silent since the last call.
+    // Instance names of peers that became silent since the last call.
     std::vector<std::string> take_newly_silent(base::instant now);
 
     std::size_t live_count(base::instant now) const;
-    // Named by seeds or peers, and never heard.
+    // Number of seeds and listed peers from which no message has come yet.
     std::size_t never_heard_count() const;
     bool has_never_heard_seed() const;
     std::size_t live_count_in_data_centre(base::instant now) const;
-    // Alive now, or not long ago.
+    // Number of peers heard from within the last 10 s.
     std::size_t recently_live_count(base::instant now) const;
 
-    // Of those of the own data centre, this entry included: how many there
-    // are, and how many of them have a lower address.
+    // This entry's rank by address among the entries of its data centre: how
+    // many there are, itself included, and how many have a lower address. Peers
+    // heard from within the last 10 s count.
     struct address_rank {
         std::size_t entry_count = 1;
         std::size_t lower_count = 0;
@@ -82,14 +87,14 @@
         std::uint64_t change_revision = 0;
         std::uint64_t store_revision = 0;
     };
-    // The live peer with the newest configuration and the newest change known
-    // of the store's, of the own data centre if there is one; `turn` picks
-    // among equals.
+    // The live peer with the newest configuration and, among these, the newest
+    // known change of the store; peers of the own data centre are preferred.
+    // `turn` picks among equals.
     std::optional<store_source> newest_store_source(base::instant now,
                                                     std::uint64_t turn) const;
 
-    // A live peer of the own data centre comes before this entry: it is to
-    // read the store for both.
+    // Whether a live peer of the own data centre has a lower address. That peer
+    // then reads the store for both.
     bool has_store_reader_in_data_centre(base::instant now) const;
 
 private:
@@ -97,10 +102,11 @@
         std::string instance;
         base::data_centre_id data_centre;
         std::uint32_t cpu_millicores = 0;
-        bool in_own_data_centre = false; // of the own data centre
+        bool in_own_data_centre = false;
         base::incarnation incarnation;
         std::uint64_t sequence = 0;
-        std::optional<base::instant> received_at; // empty: only named by others
+        std::optional<base::instant>
+            received_at; // empty: only listed by others
         base::instant learned_at;
         base::instant probed_at;
         bool seed = false;
@@ -118,7 +124,7 @@
     base::incarnation incarnation;
     std::map<ipv4_address, peer> peers;
     ipv4_address next_address_to_share = 0;
-    // When others were named last, to each audience.
+    // When known entries were last listed to each group.
     base::instant shared_with_own_data_centre_at;
     base::instant shared_with_others_at;
 };
--- a/src/greengagedrum/gossip/suspect_codec.cpp
+++ b/src/greengagedrum/gossip/suspect_codec.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint32_t never = std::numeric_limits<std::uint32_t>::max();
 
-// Up to 49 days.
+// Capped at 49 days, the largest value below `never`.
 std::uint32_t age_ms(base::duration age)
 {
     const auto count =
--- a/src/greengagedrum/gossip/suspect_codec.hpp
+++ b/src/greengagedrum/gossip/suspect_codec.hpp
@@ -1,4 +1,4 @@
-// Requests that crash upstreams, as the bytes of a gossip message.
+// Encodes the requests suspected of crashing upstreams into gossip messages.
 #pragma once
 
 #include <greengagedrum/gossip/gossip_generated.h>
@@ -15,7 +15,7 @@
     flatbuffers::Offset<flatbuffers::Vector<const wire::Crash*>> crashes;
 };
 
-// Null offsets where there is nothing to tell.
+// Null offsets if the list is empty.
 suspect_offsets
 write_suspects(flatbuffers::FlatBufferBuilder& builder,
                std::span<const quarantine::suspect_report> sent);
--- a/src/greengagedrum/gossip/test/dispatcher_election_test.cpp
+++ b/src/greengagedrum/gossip/test/dispatcher_election_test.cpp
@@ -1,4 +1,4 @@
-// Which entry of each data centre places requests, as one entry sees it.
+// Tests the election of dispatchers, from the view of one entry.
 #include <greengagedrum/gossip/dispatcher_election.hpp>
 
 #include <doctest/doctest.h>
@@ -66,7 +66,8 @@
     CHECK(this->election.uses_dispatchers(this->now));
 }
 
-// An entry more or less must not turn the whole fleet's way of placing round.
+// One entry more or less must not switch the whole fleet between a full mesh
+// and dispatchers.
 TEST_CASE_FIXTURE(election_fixture,
                   "fleet_size_near_threshold_keeps_dispatchers")
 {
@@ -94,7 +95,7 @@
 }
 
 // The dispatcher dies. Its members find the next one within half a second, and
-// ask those that may be it at once.
+// probe the candidates at once.
 TEST_CASE_FIXTURE(election_fixture,
                   "silent_dispatcher_successor_probed_and_elected")
 {
@@ -126,8 +127,8 @@
     CHECK_FALSE(this->election.dispatcher(this->now));
 }
 
-// A dead entry is named by others for a while. Whoever waited for its answer
-// for ever would never place by itself.
+// A dead entry is listed by others for a while. An entry that waited for its
+// answer without a timeout would never dispatch its own requests.
 TEST_CASE_FIXTURE(election_fixture,
                   "unresponsive_entry_skipped_then_probed_again")
 {
@@ -167,8 +168,8 @@
     CHECK(this->election.never_heard_data_centre_count(this->now) == 0);
 }
 
-// The strongest of another data centre leave a weaker one in place, which
-// nobody elsewhere ever finds.
+// The highest-ranked entries of another data centre leave a lower-ranked
+// dispatcher in place, which entries elsewhere would never find.
 TEST_CASE_FIXTURE(election_fixture,
                   "remote_dispatcher_below_delegating_entries_found")
 {
@@ -189,8 +190,8 @@
     CHECK_FALSE(has_address(next, 10));
 }
 
-// All that go first in line are behind a cut: the first that is not is found
-// within half a second.
+// All entries that rank first are behind a network partition. The first one
+// that is not is found within half a second.
 TEST_CASE_FIXTURE(election_fixture, "many_silent_candidates_probes_double")
 {
     message sent = this->message_from(200, small_share, "yard");
@@ -207,13 +208,13 @@
         }
     }
     CHECK(probed.size() == 40);
-    // Not for ever: those behind a long cut are asked a few at a time.
+    // During a long partition only a few are probed at a time.
     this->now += 5s;
     CHECK(this->election.probe_targets(this->now).size() <= 3);
 }
 
-// A dispatcher elsewhere falls silent and another one of its data centre
-// places: nothing is kept for the first any more.
+// A dispatcher of another data centre becomes silent and another one there
+// dispatches. Nothing is reserved for the first one any more.
 TEST_CASE_FIXTURE(election_fixture,
                   "silent_remote_dispatcher_with_successor_replaced")
 {
@@ -227,8 +228,9 @@
     CHECK(this->election.is_replaced(11, this->now));
 }
 
-// A dispatcher elsewhere stops as planned. It places what it has to the end and
-// goes on telling of it, so it counts beside the one that takes over.
+// A dispatcher of another data centre stops in good order. It dispatches its
+// remaining requests and still sends its load, so it counts beside its
+// successor.
 TEST_CASE_FIXTURE(election_fixture,
                   "stopping_remote_dispatcher_counts_until_silent")
 {
@@ -244,8 +246,8 @@
     CHECK(this->election.is_replaced(11, this->now));
 }
 
-// Entries are restarted in turn. The strongest is back, and leaves the one that
-// had followed it in place until it has lived for ten seconds itself.
+// A rolling restart. The highest-ranked entry is back, and leaves its successor
+// in place until it has run for ten seconds itself.
 TEST_CASE_FIXTURE(election_fixture,
                   "restarted_entry_keeps_established_dispatcher")
 {
@@ -263,7 +265,8 @@
     CHECK_FALSE(first_ranked.dispatcher(this->now));
 }
 
-// Of two that are about as strong the one that places goes on.
+// Of two entries with about the same processor share the one that dispatches
+// stays.
 TEST_CASE_FIXTURE(election_fixture, "dispatcher_of_same_cpu_share_stays")
 {
     dispatcher_election next(1, hall, small_share, this->now);
@@ -280,8 +283,8 @@
     CHECK_FALSE(next.dispatcher(this->now));
 }
 
-// The dispatcher hears of a stronger entry that has just started, and goes on;
-// so do its members.
+// The dispatcher hears from a higher-ranked entry that has just started, and
+// stays; its members keep it as well.
 TEST_CASE_FIXTURE(election_fixture,
                   "dispatcher_ignores_higher_ranked_new_entry")
 {
@@ -310,7 +313,8 @@
     CHECK(this->election.dispatcher(this->now) == 70);
 }
 
-// After a start of all entries nobody has lived for long: the strongest places.
+// After a start of the whole fleet no entry has run for long: the
+// highest-ranked one dispatches.
 TEST_CASE_FIXTURE(election_fixture, "new_entries_only_highest_ranked_elected")
 {
     dispatcher_election first_ranked(1, hall, large_share, this->now);
@@ -320,8 +324,8 @@
     CHECK_FALSE(first_ranked.dispatcher(this->now));
 }
 
-// A strong entry that said that another one places for it is not asked ten
-// times a second by all others, as long as they have a dispatcher.
+// A high-ranked entry that said that it delegates to a dispatcher is not probed
+// ten times a second by all others as long as they have a dispatcher.
 TEST_CASE_FIXTURE(election_fixture, "delegating_entry_probed_rarely")
 {
     this->receive_from(40, small_share);
@@ -337,7 +341,8 @@
     CHECK(has_address(this->election.probe_targets(this->now), 70));
 }
 
-// A strong entry said that it stops, and is back: others have heard it since.
+// A high-ranked entry announced its stop and has come back: others have heard
+// from it since.
 TEST_CASE_FIXTURE(election_fixture, "entry_listed_after_its_stop_probed_again")
 {
     message sent = this->message_from(70, large_share, "hall");
@@ -360,8 +365,7 @@
         CHECK(listed.address != 70);
 }
 
-// A dispatcher keeps two entries ready to take over: those that would be
-// chosen.
+// A dispatcher keeps two standby entries: those that would be elected.
 TEST_CASE_FIXTURE(election_fixture, "standby_entries_are_highest_ranked_live")
 {
     this->receive_from(60);
@@ -375,8 +379,8 @@
           std::vector<ipv4_address>{63, 49});
 }
 
-// An entry that has just started must hear who places where it is, whoever it
-// asks.
+// An entry that has just started must learn of the dispatcher of its data
+// centre, whichever entry it asks.
 TEST_CASE_FIXTURE(election_fixture,
                   "highest_ranked_of_data_centre_always_listed")
 {
--- a/src/greengagedrum/gossip/test/gossip_schedule_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_schedule_test.cpp
@@ -1,4 +1,4 @@
-// How soon a place that was taken is known elsewhere.
+// Tests when messages of changes and heartbeats are due.
 #include <greengagedrum/gossip/gossip_schedule.hpp>
 
 #include <doctest/doctest.h>
@@ -37,9 +37,9 @@
     CHECK(this->schedule.is_due(other_data_centres, this->now + 10ms));
 }
 
-// Eighty entries. A place is taken while a message to other data centres is
-// owed in 150 ms: the own data centre hears of it in its 20 ms all the same, or
-// twenty entries meet on that place.
+// Eighty entries. A slot is taken while a message to other data centres is due
+// in 150 ms. The own data centre still has to learn of it within its 20 ms, or
+// twenty entries dispatch to the same slot.
 TEST_CASE_FIXTURE(schedule_fixture,
                   "own_data_centre_message_due_elsewhere_not_delayed")
 {
@@ -48,7 +48,7 @@
     this->schedule.on_change();
     this->schedule.on_sent(own_data_centre, this->now);
     CHECK(*this->schedule.next_due() ==
-          base::instant(1h + 200ms)); // the far one
+          base::instant(1h + 200ms)); // to other data centres
     this->now += 5ms;
     this->schedule.on_change();
     CHECK(*this->schedule.next_due() == this->now + 14ms);
--- a/src/greengagedrum/gossip/test/gossip_test.cpp
+++ b/src/greengagedrum/gossip/test/gossip_test.cpp
@@ -1,4 +1,4 @@
-// Messages between entries: their bytes, and who is believed to be there.
+// Tests the encoding of gossip messages, and the peer table.
 #include <greengagedrum/gossip/peer_table.hpp>
 
 #include <doctest/doctest.h>
@@ -90,7 +90,7 @@
     CHECK(read->known_entries.at(0).age == 250ms);
 }
 
-// What members and dispatchers tell each other, field by field.
+// Messages between members and dispatchers, field by field.
 TEST_CASE("report_and_reply_encoded_decode_to_same_fields")
 {
     message sent = message_from(seed, 7, 9);
@@ -198,7 +198,7 @@
     CHECK_FALSE(decode_items(std::string(64, '\xff')));
 }
 
-// The seeds may be down when an entry starts, and up later: they are told
+// Seeds may be down when an entry starts and come up later, so they are probed
 // again and again, but not with every message.
 TEST_CASE_FIXTURE(peers_fixture, "silent_seed_probed_at_interval")
 {
@@ -219,13 +219,14 @@
     this->now += 600ms;
     CHECK(this->sends_to(other));
     CHECK_FALSE(this->sends_to(own_address));
-    // Being named is no sign of life.
+    // A listed entry does not count as live.
     CHECK(this->table.live_count(this->now) == 1);
 }
 
-// Entries of another data centre learn of those here by their names only. When
-// those went into the messages to the own data centre alone, entries met only
-// where both had heard a seed: placed blindly, a day lost 0.05 of its worth.
+// Entries of another data centre learn of the entries here only from lists in
+// messages. When those lists went to the own data centre alone, entries met
+// only through a common seed: dispatching without knowing each other's load
+// lost 0.05 of a simulated day's worth.
 TEST_CASE_FIXTURE(peers_fixture,
                   "known_entries_listed_to_both_recipient_groups")
 {
@@ -266,8 +267,8 @@
           peer_update::none);
 }
 
-// The time of day was set back by an hour while an entry was restarted: its new
-// life has a lower number than the old one, and is heard all the same.
+// The clock was set back by an hour while an entry was restarted. Its new
+// incarnation has a lower number than the old one and is accepted all the same.
 TEST_CASE_FIXTURE(peers_fixture, "incarnation_with_lower_number_accepted")
 {
     this->table.on_message(message_from(seed, 900, 5), this->now);
@@ -303,8 +304,8 @@
     CHECK_FALSE(this->table.newest_store_source(this->now, 0));
 }
 
-// One entry a data centre reads the store. It is stopped, or falls silent: the
-// next one takes over, without being told by anyone.
+// One entry of each data centre reads the store. When that entry stops or
+// becomes silent the next one takes over without any message.
 TEST_CASE_FIXTURE(peers_fixture,
                   "store_reader_is_live_peer_with_lowest_address")
 {
--- a/src/greengagedrum/gossip/test/suspect_codec_test.cpp
+++ b/src/greengagedrum/gossip/test/suspect_codec_test.cpp
@@ -1,4 +1,4 @@
-// What entries tell of requests that crash upstreams, as bytes and back.
+// Tests the encoding of requests suspected of crashing upstreams.
 #include <greengagedrum/gossip/message.hpp>
 
 #include <doctest/doctest.h>
