--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -95,7 +95,7 @@
     const dispatch::request_changes news =
         this->members.on_report(member, life, told, uses);
     this->state.scheduler.on_peer_report(
-        member, news.uses_placed_elsewhere, {}, this->state.clock());
+        member, news.loads_dispatched_elsewhere, {}, this->state.clock());
     this->apply_member_changes(news);
 }
 
@@ -108,7 +108,7 @@
     const dispatch::request_changes& news)
 {
     const base::instant now = this->state.clock();
-    for (const dispatch::limit_charge& cost : news.released_charges)
+    for (const dispatch::limit_charge& cost : news.refunds)
         this->state.limiter.refund_unsent(cost.workspace, cost.amount, now);
     for (const traffic::event& one : news.events)
         this->submit_event(one);
@@ -129,7 +129,7 @@
         this->log_over_limit(
             wanted.facts.workspace, wanted.cost, wanted.facts.priority, *over);
         // The limit has nothing of it to give back.
-        this->members.on_declined(
+        this->members.on_denied(
             id, base::not_run(base::reason::limit_reached, over));
         return;
     }
@@ -169,7 +169,7 @@
 
 void request_handler::decline_slot(const traffic::end_request& order)
 {
-    const auto cost = this->members.on_declined(order.request, order.verdict);
+    const auto cost = this->members.on_denied(order.request, order.verdict);
     if (cost)
         this->state.limiter.refund_unsent(
             cost->workspace, cost->amount, this->state.clock());
--- a/src/greengagedrum/entry/peer_sending.cpp
+++ b/src/greengagedrum/entry/peer_sending.cpp
@@ -58,7 +58,7 @@
         return;
     gossip::message out = this->own_message(gossip::message_kind::reply);
     out.delegating = true;
-    out.workspace_uses = this->state.limiter.window_usage(now);
+    out.workspace_usage = this->state.limiter.window_usage(now);
     this->transport.send(gossip::encode(out), *this->dispatcher);
 }
 
@@ -104,7 +104,7 @@
     if (!this->dispatcher)
         return;
     gossip::message out = this->own_message(gossip::message_kind::report);
-    out.upstream_uses = this->state.scheduler.own_load(now);
+    out.upstream_loads = this->state.scheduler.own_load(now);
     out.report = this->events.make_report();
     out.suspects = this->suspects_for(this->suspects_to_near, now);
     this->reported_at = now;
@@ -122,7 +122,7 @@
     if (!to_try.empty()) {
         gossip::message out = this->own_message(gossip::message_kind::report);
         if (this->state.delegating && !this->dispatcher) {
-            out.upstream_uses = this->state.scheduler.own_load(now);
+            out.upstream_loads = this->state.scheduler.own_load(now);
             out.report = this->events.make_report();
         }
         const std::string bytes = gossip::encode(out);
@@ -179,7 +179,7 @@
         out.suspects = suspects;
         out.reply = this->events.make_reply(slot);
         if (std::find(next.begin(), next.end(), one.address) != next.end())
-            out.workspace_uses = this->state.limiter.window_usage(now);
+            out.workspace_usage = this->state.limiter.window_usage(now);
         this->transport.send(gossip::encode(out), one.address);
     }
 }
--- a/src/greengagedrum/gossip/gossip_schedule.hpp
+++ b/src/greengagedrum/gossip/gossip_schedule.hpp
@@ -1,8 +1,9 @@
-// When an entry tells its next message to whom.
+// Decides when an entry sends its next gossip message to which group of peers.
 //
-// Messages are told at changes, but not closer to each other than a gap, which
-// differs between the own data centre and the others; without a change they are
-// told now and then as a sign of life.
+// A message is sent when something has changed, but no sooner than the group's
+// interval after the message before; the own data centre and the other data
+// centres have intervals of their own. Without a change a heartbeat is sent at
+// a longer interval.
 #pragma once
 
 #include <greengagedrum/base/time.hpp>
@@ -17,21 +18,25 @@
 class gossip_schedule
 {
 public:
-    // Live peers of the own data centre, and of all.
-    void set_full_mesh_intervals(std::size_t near, std::size_t all);
-    // The same where one entry of each data centre places for all.
+    // Intervals of a full mesh, in which each entry sends to every other one.
+    // The counts are of live peers, in the own data centre and in all.
+    void set_full_mesh_intervals(std::size_t peers_in_data_centre,
+                                 std::size_t all_peers);
+    // Intervals of a member: an entry that delegates dispatching to a
+    // dispatcher.
     void set_member_intervals();
     void set_dispatcher_intervals();
 
-    // There is something to tell.
+    // The state to send has changed for both groups.
     void on_change();
-    void on_sent(recipient_group who, base::instant now);
+    void on_sent(recipient_group group, base::instant now);
 
-    bool is_due(recipient_group who, base::instant now) const;
-    // When a change that is to be told becomes due; empty: there is none.
+    bool is_due(recipient_group group, base::instant now) const;
+    // The earliest time at which a pending change may be sent; empty if no
+    // change is pending.
     std::optional<base::instant> next_due() const;
 
-    base::duration interval(recipient_group who) const;
+    base::duration interval(recipient_group group) const;
 
 private:
     struct group_state {
@@ -40,7 +45,7 @@
         base::duration interval = std::chrono::milliseconds(10);
     };
 
-    const group_state& state_of(recipient_group who) const;
+    const group_state& state_of(recipient_group group) const;
 
     group_state own_data_centre;
     group_state other_data_centres;
