--- a/src/greengagedrum/entry/peer_counting.cpp
+++ b/src/greengagedrum/entry/peer_counting.cpp
@@ -10,19 +10,20 @@
 {
 
 // Until members have found their new dispatcher.
-constexpr base::duration gather_time = std::chrono::milliseconds(300);
+constexpr base::duration member_gather_time = std::chrono::milliseconds(300);
 
 // A place that another data centre's dispatcher frees is left to it as long.
-constexpr base::duration gossip_gap_among_many = std::chrono::milliseconds(10);
+constexpr base::duration gossip_interval_of_dispatchers =
+    std::chrono::milliseconds(10);
 
 } // namespace
 
-void peer_protocol::count_entries(base::instant now)
+void peer_protocol::update_counts(base::instant now)
 {
-    this->note_awake(now);
-    this->share_cold_upstreams(now);
-    if (this->large)
-        return this->count_among_many(now);
+    this->track_uptime(now);
+    this->update_slow_start_share(now);
+    if (this->uses_dispatchers)
+        return this->update_counts_with_dispatchers(now);
     traffic::scheduler& scheduler = this->state.scheduler;
     scheduler.set_entry_count(this->table.recently_live_count(now) + 1);
     scheduler.set_gossip_interval(
@@ -35,28 +36,30 @@
 // Failure guarded against: an entry that is cut off from all others has no
 // members, places by itself, and would give each workspace its whole limit
 // beside the one that the others give.
-void peer_protocol::count_among_many(base::instant now)
+void peer_protocol::update_counts_with_dispatchers(base::instant now)
 {
-    const std::size_t all = this->order.entry_count(now);
-    const std::size_t placing = this->order.other_dispatcher_count(now) + 1;
+    const std::size_t all = this->election.entry_count(now);
+    const std::size_t dispatchers =
+        this->election.other_dispatcher_count(now) + 1;
     traffic::scheduler& scheduler = this->state.scheduler;
-    scheduler.set_entry_count(this->members.empty() ? all : placing);
+    scheduler.set_entry_count(this->members.empty() ? all : dispatchers);
     scheduler.set_retrying_entry_count(all);
-    scheduler.set_gossip_interval(gossip_gap_among_many);
-    const std::size_t unheard = this->order.never_heard_data_centre_count(now) +
-                                this->unheard_near(now);
+    scheduler.set_gossip_interval(gossip_interval_of_dispatchers);
+    const std::size_t unheard =
+        this->election.never_heard_data_centre_count(now) +
+        this->unheard_in_data_centre(now);
     this->state.limiter.set_never_heard_peer_count(unheard);
-    this->state.limiter.set_unreported_member_share(this->unreported_part(now),
+    this->state.limiter.set_unreported_member_share(this->unreported_share(now),
                                                     now);
-    this->forget_replaced(now);
-    const entry_counts counted{placing, unheard};
-    if (this->state.delegating || counted == this->counts)
+    this->forget_replaced_dispatchers(now);
+    const entry_counts counted{dispatchers, unheard};
+    if (this->state.delegating || counted == this->logged_counts)
         return;
-    this->counts = counted;
+    this->logged_counts = counted;
     this->state.log.write(now,
                           "peers",
                           "dispatchers_counted",
-                          {{"dispatchers", placing},
+                          {{"dispatchers", dispatchers},
                            {"unheard", unheard},
                            {"members", this->members.size()},
                            {"entries", all}});
@@ -65,28 +68,30 @@
 // Entries of this data centre that may let requests through where they can't be
 // heard. Members come one by one after a change of dispatchers; an entry with
 // none for longer is cut off.
-std::size_t peer_protocol::unheard_near(base::instant now) const
+std::size_t peer_protocol::unheard_in_data_centre(base::instant now) const
 {
-    const bool gathered = now - this->placing_since >= gather_time;
+    const bool gathered = now - this->dispatching_since >= member_gather_time;
     if (this->members.empty())
-        return gathered ? std::max(this->unheard_alone,
-                                   this->order.known_count_in_data_centre(now))
-                        : this->unheard_alone;
-    if (gathered || this->members.size() >= this->unheard_alone)
+        return gathered
+                   ? std::max(this->unheard_at_takeover,
+                              this->election.known_count_in_data_centre(now))
+                   : this->unheard_at_takeover;
+    if (gathered || this->members.size() >= this->unheard_at_takeover)
         return 0;
-    return this->unheard_alone - this->members.size();
+    return this->unheard_at_takeover - this->members.size();
 }
 
 // Of the entries of this data centre, the part that reports to nobody that this
 // one hears. An entry with no members is counted for by unheard_near().
-double peer_protocol::unreported_part(base::instant now) const
+double peer_protocol::unreported_share(base::instant now) const
 {
     if (this->state.delegating || this->state.stopping ||
-        this->members.empty() || now - this->placing_since < gather_time ||
-        this->order.has_dispatcher_in_data_centre(now))
+        this->members.empty() ||
+        now - this->dispatching_since < member_gather_time ||
+        this->election.has_dispatcher_in_data_centre(now))
         return 0;
-    const std::size_t reporting = 1 + this->members_heard(now);
-    const std::size_t all = 1 + this->order.known_count_in_data_centre(now);
+    const std::size_t reporting = 1 + this->members_reporting(now);
+    const std::size_t all = 1 + this->election.known_count_in_data_centre(now);
     return reporting >= all
                ? 0
                : 1 - static_cast<double>(reporting) / static_cast<double>(all);
@@ -95,10 +100,10 @@
 // Failure guarded against: a dispatcher falls silent and another one of its
 // data centre takes over. With a part of each limit kept for the first as for
 // one behind a cut, work within the limits was refused for half a minute.
-void peer_protocol::forget_replaced(base::instant now)
+void peer_protocol::forget_replaced_dispatchers(base::instant now)
 {
-    std::erase_if(this->counting, [&](const auto& one) {
-        if (!this->order.is_replaced(one.second, now))
+    std::erase_if(this->counted_dispatchers, [&](const auto& one) {
+        if (!this->election.is_replaced(one.second, now))
             return false;
         this->state.limiter.forget_peer(one.first);
         return true;
--- a/src/greengagedrum/entry/peer_protocol.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -12,18 +12,18 @@
 
 // Of the bound within which a change has to be in force, an entry rests for six
 // tenths at most: the rest is for two calls of the store, one of them lost.
-constexpr std::int64_t rest_parts = 6;
+constexpr std::int64_t peer_reliance_parts = 6;
 constexpr std::int64_t all_parts = 10;
 
 // A reader's watch takes up to 500 ms, its message up to 200 ms more.
-constexpr base::duration answer_takes = std::chrono::milliseconds(800);
+constexpr base::duration max_watch_delay = std::chrono::milliseconds(800);
 
-constexpr base::duration ask_gap = std::chrono::milliseconds(250);
-constexpr base::duration ask_bound = std::chrono::milliseconds(400);
+constexpr base::duration fetch_interval = std::chrono::milliseconds(250);
+constexpr base::duration fetch_timeout = std::chrono::milliseconds(400);
 
 // Who is alive is looked at so often; nothing that follows from it is due
 // sooner.
-constexpr base::duration look_gap = std::chrono::milliseconds(20);
+constexpr base::duration check_interval = std::chrono::milliseconds(20);
 
 constexpr std::string_view since_path = "/items?since=";
 constexpr std::string_view after_path = "/items?after=";
@@ -63,38 +63,39 @@
     if (!target.starts_with(life_part))
         return std::nullopt;
     target.remove_prefix(life_part.size());
-    base::incarnation life;
-    if (std::from_chars(target.data(), end, life.value).ec != std::errc())
+    base::incarnation incarnation;
+    if (std::from_chars(target.data(), end, incarnation.value).ec !=
+        std::errc())
         return std::nullopt;
-    out.incarnation = life;
+    out.incarnation = incarnation;
     return out;
 }
 
 peer_protocol::peer_protocol(const settings& given,
-                             base::incarnation life,
+                             base::incarnation incarnation,
                              shared_state& state,
                              peer_events events,
                              peer_transport transport)
-    : own(given), life(life), state(state), events(std::move(events)),
-      transport(std::move(transport)),
+    : own_settings(given), incarnation(incarnation), state(state),
+      events(std::move(events)), transport(std::move(transport)),
       table(relay::asio::ip::make_address_v4(given.ip).to_uint(),
             given.data_centre,
-            life),
-      order(relay::asio::ip::make_address_v4(given.ip).to_uint(),
-            base::data_centre_id(given.data_centre),
-            strength_of(given),
-            state.clock()),
-      began(state.clock()), awake_since(state.clock()),
-      counted_at(state.clock()), half_since(state.clock()),
-      dispatcher_at(state.clock()), placing_since(state.clock())
+            incarnation),
+      election(relay::asio::ip::make_address_v4(given.ip).to_uint(),
+               base::data_centre_id(given.data_centre),
+               strength_of(given),
+               state.clock()),
+      started_at(state.clock()), running_since(state.clock()),
+      counted_at(state.clock()), half_dispatched_since(state.clock()),
+      dispatcher_seen_at(state.clock()), dispatching_since(state.clock())
 {
-    state.scheduler.set_slow_start_share(this->share);
+    state.scheduler.set_slow_start_share(this->current_share);
     this->apply_settings(given);
 }
 
 void peer_protocol::apply_settings(const settings& given)
 {
-    this->own = given;
+    this->own_settings = given;
     for (const base::ip_endpoint& one : given.seeds)
         this->table.add_seed(
             relay::asio::ip::make_address_v4(one.ip).to_uint());
@@ -126,7 +127,7 @@
     const gossip::peer_update news = this->table.on_message(*message, now);
     if (news == gossip::peer_update::outdated)
         return;
-    this->order.on_message(*message, now);
+    this->election.on_message(*message, now);
     if (news != gossip::peer_update::none)
         this->state.log.write(
             now,
@@ -136,46 +137,47 @@
             {{"peer", message->instance},
              {"config_revision", message->configuration_revision},
              {"store_revision", message->store_revision}});
-    this->take_suspects(*message, now);
-    this->peer_read_at = std::max(this->peer_read_at, now - message->store_age);
+    this->merge_suspects(*message, now);
+    this->peer_store_answer_at =
+        std::max(this->peer_store_answer_at, now - message->store_age);
     switch (message->kind) {
     case gossip::message_kind::load:
-        if (this->large)
-            this->answer_greeting(*message, now);
+        if (this->uses_dispatchers)
+            this->answer_dispatcher_query(*message, now);
         else
-            this->take_load(*message, now);
+            this->on_load(*message, now);
         break;
     case gossip::message_kind::dispatcher_load:
-        this->take_load(*message, now);
+        this->on_load(*message, now);
         break;
     case gossip::message_kind::report:
-        this->take_report(*message, now);
+        this->on_report(*message, now);
         break;
     case gossip::message_kind::reply:
-        this->take_reply(*message, now);
+        this->on_reply(*message, now);
         break;
     case gossip::message_kind::dispatcher_query:
-        this->answer_greeting(*message, now);
+        this->answer_dispatcher_query(*message, now);
         break;
     case gossip::message_kind::dispatcher_query_reply:
         break;
     }
     if (news != gossip::peer_update::none)
         this->update_role(now);
-    if (this->large && this->dispatcher == message->address)
-        return this->follow(*message, now);
+    if (this->uses_dispatchers && this->dispatcher == message->address)
+        return this->sync_with_dispatcher(*message, now);
     if (message->configuration_revision >
             this->state.cluster.configuration_revision() ||
         message->change_revision > this->state.cluster.last_change_revision())
-        this->ask_peer(now);
+        this->fetch_if_outdated(now);
 }
 
 // When the newest answer that any peer had is older, nobody may be reading.
-base::duration peer_protocol::read_lately() const
+base::duration peer_protocol::store_answer_max_age() const
 {
     return store_reader::poll_interval_for(
-               this->own.bounds.shortest_update_delay()) +
-           answer_takes;
+               this->own_settings.bounds.shortest_update_delay()) +
+           max_watch_delay;
 }
 
 // Failures guarded against: the reader of a data centre dies, is frozen or is
@@ -187,11 +189,12 @@
 {
     const base::instant now = this->state.clock();
     const base::duration bound =
-        this->own.bounds.shortest_update_delay() * rest_parts / all_parts;
-    if (this->large)
-        return this->dispatcher_reads(bound, now);
-    return now - this->own_read_at < bound &&
-           now - this->peer_read_at <= this->read_lately() &&
+        this->own_settings.bounds.shortest_update_delay() *
+        peer_reliance_parts / all_parts;
+    if (this->uses_dispatchers)
+        return this->dispatcher_reads_store(bound, now);
+    return now - this->own_store_answer_at < bound &&
+           now - this->peer_store_answer_at <= this->store_answer_max_age() &&
            this->table.has_store_reader_in_data_centre(now);
 }
 
@@ -200,9 +203,9 @@
 void peer_protocol::schedule_gossip()
 {
     this->schedule.on_change();
-    if (this->large)
-        this->answer_members();
-    this->tell_due();
+    if (this->uses_dispatchers)
+        this->send_replies();
+    this->send_due();
     this->set_timer();
 }
 
@@ -220,65 +223,67 @@
 void peer_protocol::on_timer()
 {
     this->timer_due_at.reset();
-    this->tell_due();
+    this->send_due();
     this->set_timer();
 }
 
-gossip::message peer_protocol::own_message(gossip::message_kind kind)
+gossip::message peer_protocol::make_message(gossip::message_kind kind)
 {
     const base::instant now = this->state.clock();
     gossip::message out;
     out.kind = kind;
     out.delegating = this->state.delegating;
-    out.dispatching = this->is_serving();
-    out.incarnation = this->life;
+    out.dispatching = this->is_serving_members();
+    out.incarnation = this->incarnation;
     out.sequence = ++this->sequence;
-    out.instance = this->own.instance;
-    out.data_centre = this->own.data_centre;
-    out.address = relay::asio::ip::make_address_v4(this->own.ip).to_uint();
-    out.cpu_millicores = strength_of(this->own);
-    out.uptime = now - this->began;
+    out.instance = this->own_settings.instance;
+    out.data_centre = this->own_settings.data_centre;
+    out.address =
+        relay::asio::ip::make_address_v4(this->own_settings.ip).to_uint();
+    out.cpu_millicores = strength_of(this->own_settings);
+    out.uptime = now - this->started_at;
     out.stopping = this->state.stopping;
     out.configuration_revision = this->state.cluster.configuration_revision();
     out.store_revision = this->state.cluster.store_revision();
     out.change_revision = this->state.cluster.last_change_revision();
     out.change_count = this->state.cluster.change_count();
     out.state_digest = this->state.cluster.content_digest();
-    out.store_age = now - this->own_read_at;
+    out.store_age = now - this->own_store_answer_at;
     return out;
 }
 
-gossip::message peer_protocol::own_load(gossip::recipient_group who)
+gossip::message peer_protocol::make_load_message(gossip::recipient_group who)
 {
     const base::instant now = this->state.clock();
-    gossip::message out =
-        this->own_message(this->large ? gossip::message_kind::dispatcher_load
-                                      : gossip::message_kind::load);
+    gossip::message out = this->make_message(
+        this->uses_dispatchers ? gossip::message_kind::dispatcher_load
+                               : gossip::message_kind::load);
     out.upstream_uses = this->state.scheduler.own_load(now);
     out.waiting_by_service = this->state.scheduler.own_queue_reports(now);
     out.workspace_uses = this->state.limiter.own_usage(now);
     out.known_entries = this->table.select_known_entries(who, now);
-    out.suspects = this->suspects_for(
-        who == gossip::recipient_group::own_data_centre ? this->suspects_to_near
-                                                        : this->suspects_to_far,
-        now);
+    out.suspects =
+        this->suspects_to_send(who == gossip::recipient_group::own_data_centre
+                                   ? this->near_suspects_sent_at
+                                   : this->far_suspects_sent_at,
+                               now);
     return out;
 }
 
-void peer_protocol::tell_due()
+void peer_protocol::send_due()
 {
     const base::instant now = this->state.clock();
-    if (this->large)
-        return this->tell_among_many(now);
+    if (this->uses_dispatchers)
+        return this->send_due_with_dispatchers(now);
     for (const gossip::recipient_group who :
          {gossip::recipient_group::own_data_centre,
           gossip::recipient_group::other_data_centres}) {
         if (this->schedule.is_due(who, now))
-            this->tell(who);
+            this->send_load(who);
     }
 }
 
-void peer_protocol::tell(gossip::recipient_group who)
+void peer_protocol::send_load(gossip::recipient_group who)
 {
     const base::instant now = this->state.clock();
     this->schedule.on_sent(who, now);
@@ -286,7 +291,7 @@
         this->table.select_recipients(who, now);
     if (to_tell.empty())
         return;
-    const std::string bytes = gossip::encode(this->own_load(who));
+    const std::string bytes = gossip::encode(this->make_load_message(who));
     for (const gossip::ipv4_address address : to_tell)
         this->transport.send(bytes, address);
 }
@@ -296,10 +301,10 @@
 void peer_protocol::tick(bool store_fails)
 {
     const base::instant now = this->state.clock();
-    this->tell_due();
-    if (now - this->looked_at < look_gap)
+    this->send_due();
+    if (now - this->checked_at < check_interval)
         return;
-    this->looked_at = now;
+    this->checked_at = now;
     this->update_role(now);
     for (const std::string& peer : this->table.take_newly_silent(now)) {
         this->state.log.write(now, "peers", "peer_silent", {{"peer", peer}});
@@ -307,49 +312,52 @@
         this->members.erase(base::slot_id(peer));
         this->events.member_lost(base::slot_id(peer));
     }
-    this->count_entries(now);
+    this->update_counts(now);
     this->state.limiter.update_silent_peers(now);
-    const auto newest = this->table.newest_store_source(now, this->turn);
+    const auto newest =
+        this->table.newest_store_source(now, this->source_rotation);
     const bool changed =
         newest &&
         newest->change_revision > this->state.cluster.last_change_revision();
     if (store_fails || changed)
-        this->ask_peer(now);
+        this->fetch_if_outdated(now);
 }
 
-void peer_protocol::ask_peer(base::instant now)
+void peer_protocol::fetch_if_outdated(base::instant now)
 {
-    if (this->asking || now - this->asked_at < ask_gap)
+    if (this->fetching || now - this->fetch_started_at < fetch_interval)
         return;
-    const auto source = this->table.newest_store_source(now, ++this->turn);
+    const auto source =
+        this->table.newest_store_source(now, ++this->source_rotation);
     if (!source ||
         (source->store_revision <= this->state.cluster.store_revision() &&
          source->change_revision <= this->state.cluster.last_change_revision()))
         return;
-    this->ask_for_items(source->address,
-                        {std::min(this->state.cluster.last_change_revision(),
-                                  this->state.cluster.configuration_revision()),
-                         std::nullopt},
-                        now);
+    this->fetch_items(source->address,
+                      {std::min(this->state.cluster.last_change_revision(),
+                                this->state.cluster.configuration_revision()),
+                       std::nullopt},
+                      now);
 }
 
-void peer_protocol::ask_for_items(gossip::ipv4_address of,
-                                  const item_query& what,
-                                  base::instant now)
+void peer_protocol::fetch_items(gossip::ipv4_address of,
+                                const item_query& what,
+                                base::instant now)
 {
-    this->asking = true;
-    this->asked_at = now;
+    this->fetching = true;
+    this->fetch_started_at = now;
     const base::ip_endpoint to{relay::asio::ip::address_v4(of).to_string(),
-                               this->own.control_address.port};
+                               this->own_settings.control_address.port};
     this->transport.ask(
         to,
         item_query_target(what),
-        ask_bound,
+        fetch_timeout,
         [this, to](tl::expected<relay::fetched, std::string> got) {
-            this->asking = false;
+            this->fetching = false;
             if (got && got->status == relay::status_ok) {
                 if (const auto items = gossip::decode_items(got->body)) {
-                    this->passed = {items->incarnation, items->change_count};
+                    this->synced_position = {items->incarnation,
+                                             items->change_count};
                     return this->events.items_received(*items);
                 }
             }
--- a/src/greengagedrum/entry/peer_protocol.hpp
+++ b/src/greengagedrum/entry/peer_protocol.hpp
@@ -59,7 +59,7 @@
 {
 public:
     peer_protocol(const settings& given,
-                  base::incarnation life,
+                  base::incarnation incarnation,
                   shared_state& state,
                   peer_events events,
                   peer_transport transport);
@@ -83,7 +83,10 @@
     // Another entry is to read the store for this one, and what was heard of
     // it lately shows that someone does.
     bool peer_reads_store() const;
-    void record_store_answer() { this->own_read_at = this->state.clock(); }
+    void record_store_answer()
+    {
+        this->own_store_answer_at = this->state.clock();
+    }
 
     void apply_settings(const settings& given);
 
@@ -91,56 +94,59 @@
     std::size_t recently_live_peers() const;
 
 private:
-    void tell_due();
-    void tell(gossip::recipient_group who);
+    void send_due();
+    void send_load(gossip::recipient_group who);
     void set_timer();
-    gossip::message own_message(gossip::message_kind kind);
-    gossip::message own_load(gossip::recipient_group who);
+    gossip::message make_message(gossip::message_kind kind);
+    gossip::message make_load_message(gossip::recipient_group who);
 
     // ---- Among many entries
-    void take_suspects(const gossip::message& received, base::instant now);
+    void merge_suspects(const gossip::message& received, base::instant now);
     std::vector<quarantine::suspect_report>
-    suspects_for(base::instant& sent_all_at, base::instant now);
-    void take_load(const gossip::message& told, base::instant now);
-    void take_report(const gossip::message& told, base::instant now);
-    void take_reply(const gossip::message& told, base::instant now);
-    void answer_greeting(const gossip::message& told, base::instant now);
-    void follow(const gossip::message& told, base::instant now);
-    void ask_dispatcher(const gossip::message& told, base::instant now);
-    void take_limits(const gossip::message& told, base::instant now);
-    std::size_t unheard_near(base::instant now) const;
-    std::size_t members_heard(base::instant now) const;
-    double unreported_part(base::instant now) const;
-    base::duration read_lately() const;
-    bool dispatcher_reads(base::duration bound, base::instant now) const;
-    bool is_serving() const;
+    suspects_to_send(base::instant& sent_all_at, base::instant now);
+    void on_load(const gossip::message& received, base::instant now);
+    void on_report(const gossip::message& received, base::instant now);
+    void on_reply(const gossip::message& received, base::instant now);
+    void answer_dispatcher_query(const gossip::message& received,
+                                 base::instant now);
+    void sync_with_dispatcher(const gossip::message& received,
+                              base::instant now);
+    void fetch_from_dispatcher(const gossip::message& received,
+                               base::instant now);
+    void on_limits(const gossip::message& received, base::instant now);
+    std::size_t unheard_in_data_centre(base::instant now) const;
+    std::size_t members_reporting(base::instant now) const;
+    double unreported_share(base::instant now) const;
+    base::duration store_answer_max_age() const;
+    bool dispatcher_reads_store(base::duration bound, base::instant now) const;
+    bool is_serving_members() const;
     void update_role(base::instant now);
     void set_role(bool delegating, base::instant now);
-    void count_entries(base::instant now);
-    void note_awake(base::instant now);
-    bool places_for_half(base::instant now) const;
-    traffic::slow_start_share cold_share(base::instant now) const;
-    void share_cold_upstreams(base::instant now);
-    void count_among_many(base::instant now);
-    void forget_replaced(base::instant now);
-    void tell_among_many(base::instant now);
+    void update_counts(base::instant now);
+    void track_uptime(base::instant now);
+    bool dispatches_for_half(base::instant now) const;
+    traffic::slow_start_share compute_slow_start_share(base::instant now) const;
+    void update_slow_start_share(base::instant now);
+    void update_counts_with_dispatchers(base::instant now);
+    void forget_replaced_dispatchers(base::instant now);
+    void send_due_with_dispatchers(base::instant now);
     bool is_report_overdue(base::instant now) const;
-    void tell_dispatcher(base::instant now);
-    void tell_members(base::instant now);
+    void send_report(base::instant now);
+    void send_to_members(base::instant now);
     void hand_over_limits(base::instant now);
-    void answer_members();
-    void tell_far(base::instant now);
-    void greet_silent(base::instant now);
-    void greet(const std::vector<gossip::ipv4_address>& to_greet,
-               base::instant now);
-    void look_for_silent(base::instant now);
-    void ask_peer(base::instant now);
-    void ask_for_items(gossip::ipv4_address of,
-                       const item_query& what,
-                       base::instant now);
-
-    settings own;
-    base::incarnation life;
+    void send_replies();
+    void send_to_other_data_centres(base::instant now);
+    void query_silent(base::instant now);
+    void send_dispatcher_query(const std::vector<gossip::ipv4_address>& targets,
+                               base::instant now);
+    void probe_silent(base::instant now);
+    void fetch_if_outdated(base::instant now);
+    void fetch_items(gossip::ipv4_address of,
+                     const item_query& what,
+                     base::instant now);
+
+    settings own_settings;
+    base::incarnation incarnation;
     shared_state& state;
     peer_events events;
     peer_transport transport;
@@ -148,20 +154,20 @@
     std::uint64_t sequence = 0;
     gossip::gossip_schedule schedule;
     std::optional<base::instant> timer_due_at; // by the transport
-    base::instant looked_at;
-    base::instant asked_at;
-    base::instant own_read_at;  // the store's last answer, to this entry
-    base::instant peer_read_at; // the same of its peers, the newest
-    std::uint64_t turn = 0;
-    bool asking = false;
+    base::instant checked_at;
+    base::instant fetch_started_at;
+    base::instant own_store_answer_at; // the store's last answer, to this entry
+    base::instant peer_store_answer_at; // the same of its peers, the newest
+    std::uint64_t source_rotation = 0;
+    bool fetching = false;
     // When suspects that are not news were last sent.
-    base::instant suspects_to_near;
-    base::instant suspects_to_far;
-    base::instant suspects_to_members;
+    base::instant near_suspects_sent_at;
+    base::instant far_suspects_sent_at;
+    base::instant member_suspects_sent_at;
 
     // What an entry believed, and after which of its changes.
-    struct change_point {
-        base::incarnation life;
+    struct change_position {
+        base::incarnation incarnation;
         std::uint64_t changes = 0;
     };
 
@@ -170,37 +176,39 @@
         base::instant heard_at;
     };
 
-    gossip::dispatcher_election order;
-    base::instant began;       // this process
-    base::instant awake_since; // without a pause
+    gossip::dispatcher_election election;
+    base::instant started_at;    // this process
+    base::instant running_since; // without a pause
     base::instant counted_at;
-    base::instant half_since; // placing for half of its data centre, or more
-    traffic::slow_start_share share; // of cold upstreams; none at first
-    bool large = false;
+    base::instant
+        half_dispatched_since; // placing for half of its data centre, or more
+    traffic::slow_start_share current_share; // of cold upstreams; none at first
+    bool uses_dispatchers = false;
     std::optional<gossip::ipv4_address> dispatcher; // none: this entry
-    base::instant dispatcher_at;                    // when there was one last
-    base::instant placing_since;                    // this entry, by itself
-    change_point passed; // to this entry, by whoever was asked last
+    base::instant dispatcher_seen_at;               // when there was one last
+    base::instant dispatching_since;                // this entry, by itself
+    change_position synced_position; // to this entry, by whoever was asked last
     std::uint64_t dispatcher_digest = 0;
     base::instant reported_at;
     std::uint64_t unanswered_report = 0; // by sequence; 0: none
-    base::instant beat_at;
-    base::instant greeted_at;
-    std::size_t next_greeted = 0;
-    std::uint32_t farewells = 0; // still to be told to other data centres
-    std::size_t unheard_alone = 0;
+    base::instant heartbeat_at;
+    base::instant query_sent_at;
+    std::size_t next_to_query = 0;
+    std::uint32_t role_notices_left =
+        0; // still to be told to other data centres
+    std::size_t unheard_at_takeover = 0;
     // As the dispatcher told them last, to one that is next in line.
-    std::optional<limit_handover> limits;
+    std::optional<limit_handover> received_limits;
     std::unordered_map<base::slot_id, member> members;
     // Others that place, of which the limiter was told.
-    std::unordered_map<base::slot_id, gossip::ipv4_address> counting;
+    std::unordered_map<base::slot_id, gossip::ipv4_address> counted_dispatchers;
     struct entry_counts {
         std::size_t dispatchers = 0;
         std::size_t unheard = 0;
         bool operator==(const entry_counts&) const = default;
     };
-    entry_counts counts;
-    std::unordered_map<gossip::ipv4_address, base::instant> greetings_answered;
+    entry_counts logged_counts;
+    std::unordered_map<gossip::ipv4_address, base::instant> query_answered_at;
 };
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/peer_sending.cpp
+++ b/src/greengagedrum/entry/peer_sending.cpp
@@ -10,31 +10,31 @@
 {
 
 // To all that are told without having something to tell.
-constexpr base::duration beat = std::chrono::milliseconds(100);
+constexpr base::duration heartbeat_interval = std::chrono::milliseconds(100);
 
 // Entries that may be back are greeted a few at a time: a restarted one may
 // know of seeds only that are down.
-constexpr base::duration greet_gap = std::chrono::milliseconds(500);
-constexpr std::size_t greeted_at_once = 4;
+constexpr base::duration query_interval = std::chrono::milliseconds(500);
+constexpr std::size_t queries_at_once = 4;
 
 // Between two messages that also tell of suspects what is not new.
-constexpr base::duration suspects_gap = std::chrono::milliseconds(250);
+constexpr base::duration suspects_interval = std::chrono::milliseconds(250);
 
 // A member that reported so lately is told of signs of life.
-constexpr base::duration member_for = std::chrono::milliseconds(1500);
+constexpr base::duration member_max_silence = std::chrono::milliseconds(1500);
 
 } // namespace
 
 // What is not new is told by turns, so that an entry that has just started, or
 // was cut off, learns of it within a second.
 std::vector<quarantine::suspect_report>
-peer_protocol::suspects_for(base::instant& sent_all_at, base::instant now)
+peer_protocol::suspects_to_send(base::instant& sent_all_at, base::instant now)
 {
     quarantine::suspect_table& suspects =
         this->state.scheduler.crash_suspects();
     if (suspects.empty())
         return {};
-    const bool all = now - sent_all_at >= suspects_gap;
+    const bool all = now - sent_all_at >= suspects_interval;
     if (all)
         sent_all_at = now;
     return suspects.collect_reports(now, all);
@@ -44,8 +44,8 @@
 // limits by that very message.
 void peer_protocol::begin_stop()
 {
-    if (this->large && !this->state.delegating)
-        this->tell_members(this->state.clock());
+    if (this->uses_dispatchers && !this->state.delegating)
+        this->send_to_members(this->state.clock());
     this->schedule_gossip();
 }
 
@@ -56,37 +56,38 @@
 {
     if (!this->dispatcher)
         return;
-    gossip::message out = this->own_message(gossip::message_kind::reply);
+    gossip::message out = this->make_message(gossip::message_kind::reply);
     out.delegating = true;
     out.workspace_uses = this->state.limiter.window_usage(now);
     this->transport.send(gossip::encode(out), *this->dispatcher);
 }
 
-void peer_protocol::tell_among_many(base::instant now)
+void peer_protocol::send_due_with_dispatchers(base::instant now)
 {
     using gossip::recipient_group;
-    const bool beats = now - this->beat_at >= beat;
-    if (beats)
-        this->beat_at = now;
+    const bool heartbeat_due = now - this->heartbeat_at >= heartbeat_interval;
+    if (heartbeat_due)
+        this->heartbeat_at = now;
     if (this->state.delegating) {
         const bool news =
             this->schedule.is_due(recipient_group::own_data_centre, now);
         if (news || this->is_report_overdue(now)) {
             this->schedule.on_sent(recipient_group::own_data_centre, now);
-            this->tell_dispatcher(now);
+            this->send_report(now);
         }
-    } else if (beats) {
+    } else if (heartbeat_due) {
         this->schedule.on_sent(recipient_group::own_data_centre, now);
-        this->tell_members(now);
+        this->send_to_members(now);
     }
     if (!this->state.delegating)
-        this->answer_members();
-    if (beats)
-        this->look_for_silent(now);
-    const bool to_far = !this->state.delegating || this->farewells > 0;
-    if (to_far &&
+        this->send_replies();
+    if (heartbeat_due)
+        this->probe_silent(now);
+    const bool sends_far =
+        !this->state.delegating || this->role_notices_left > 0;
+    if (sends_far &&
         this->schedule.is_due(recipient_group::other_data_centres, now))
-        this->tell_far(now);
+        this->send_to_other_data_centres(now);
     else if (this->state.delegating)
         this->schedule.on_sent(recipient_group::other_data_centres, now);
 }
@@ -99,82 +100,83 @@
            now - this->reported_at >= dispatch::resend_interval;
 }
 
-void peer_protocol::tell_dispatcher(base::instant now)
+void peer_protocol::send_report(base::instant now)
 {
     if (!this->dispatcher)
         return;
-    gossip::message out = this->own_message(gossip::message_kind::report);
+    gossip::message out = this->make_message(gossip::message_kind::report);
     out.upstream_uses = this->state.scheduler.own_load(now);
     out.report = this->events.make_report();
-    out.suspects = this->suspects_for(this->suspects_to_near, now);
+    out.suspects = this->suspects_to_send(this->near_suspects_sent_at, now);
     this->reported_at = now;
     this->unanswered_report = out.sequence;
-    this->order.on_probe_sent(*this->dispatcher, now);
+    this->election.on_probe_sent(*this->dispatcher, now);
     this->transport.send(gossip::encode(out), *this->dispatcher);
 }
 
 // Those that would place in place of the present one are asked with a whole
 // report, so that the first of them to answer can begin.
-void peer_protocol::look_for_silent(base::instant now)
+void peer_protocol::probe_silent(base::instant now)
 {
-    const std::vector<gossip::ipv4_address> to_try =
-        this->order.probe_targets(now);
-    if (!to_try.empty()) {
-        gossip::message out = this->own_message(gossip::message_kind::report);
+    const std::vector<gossip::ipv4_address> targets =
+        this->election.probe_targets(now);
+    if (!targets.empty()) {
+        gossip::message out = this->make_message(gossip::message_kind::report);
         if (this->state.delegating && !this->dispatcher) {
             out.upstream_uses = this->state.scheduler.own_load(now);
             out.report = this->events.make_report();
         }
         const std::string bytes = gossip::encode(out);
-        for (const gossip::ipv4_address address : to_try) {
-            this->order.on_probe_sent(address, now);
+        for (const gossip::ipv4_address address : targets) {
+            this->election.on_probe_sent(address, now);
             this->transport.send(bytes, address);
         }
     }
-    if (now - this->greeted_at >= greet_gap)
-        this->greet_silent(now);
+    if (now - this->query_sent_at >= query_interval)
+        this->query_silent(now);
 }
 
-void peer_protocol::greet_silent(base::instant now)
+void peer_protocol::query_silent(base::instant now)
 {
-    this->greeted_at = now;
-    std::vector<gossip::ipv4_address> to_greet = this->table.silent_seeds(now);
+    this->query_sent_at = now;
+    std::vector<gossip::ipv4_address> targets = this->table.silent_seeds(now);
     if (!this->state.delegating) {
         const std::vector<gossip::ipv4_address> silent =
-            this->order.silent_in_data_centre(now);
+            this->election.silent_in_data_centre(now);
         for (std::size_t count = 0;
-             count < std::min(greeted_at_once, silent.size());
+             count < std::min(queries_at_once, silent.size());
              ++count)
-            to_greet.push_back(silent.at(this->next_greeted++ % silent.size()));
+            targets.push_back(silent.at(this->next_to_query++ % silent.size()));
     }
-    if (!to_greet.empty())
-        this->greet(to_greet, now);
+    if (!targets.empty())
+        this->send_dispatcher_query(targets, now);
 }
 
-void peer_protocol::greet(const std::vector<gossip::ipv4_address>& to_greet,
-                          base::instant now)
+void peer_protocol::send_dispatcher_query(
+    const std::vector<gossip::ipv4_address>& targets, base::instant now)
 {
     gossip::message out =
-        this->own_message(gossip::message_kind::dispatcher_query);
-    out.known_entries = this->order.select_known_entries(
-        base::data_centre_id(this->own.data_centre), now);
+        this->make_message(gossip::message_kind::dispatcher_query);
+    out.known_entries = this->election.select_known_entries(
+        base::data_centre_id(this->own_settings.data_centre), now);
     const std::string bytes = gossip::encode(out);
-    for (const gossip::ipv4_address address : to_greet)
+    for (const gossip::ipv4_address address : targets)
         this->transport.send(bytes, address);
 }
 
-void peer_protocol::tell_members(base::instant now)
+void peer_protocol::send_to_members(base::instant now)
 {
     const std::vector<gossip::known_entry> known =
-        this->order.select_known_entries(
-            base::data_centre_id(this->own.data_centre), now);
+        this->election.select_known_entries(
+            base::data_centre_id(this->own_settings.data_centre), now);
     const std::vector<gossip::ipv4_address> next =
-        this->order.standby_entries(now);
-    const auto suspects = this->suspects_for(this->suspects_to_members, now);
+        this->election.standby_entries(now);
+    const auto suspects =
+        this->suspects_to_send(this->member_suspects_sent_at, now);
     for (const auto& [slot, one] : this->members) {
-        if (now - one.heard_at > member_for)
+        if (now - one.heard_at > member_max_silence)
             continue;
-        gossip::message out = this->own_message(gossip::message_kind::reply);
+        gossip::message out = this->make_message(gossip::message_kind::reply);
         out.known_entries = known;
         out.suspects = suspects;
         out.reply = this->events.make_reply(slot);
@@ -184,35 +186,35 @@
     }
 }
 
-void peer_protocol::answer_members()
+void peer_protocol::send_replies()
 {
     if (this->state.delegating)
         return;
     for (const base::slot_id slot : this->events.members_awaiting_reply()) {
         const auto found = this->members.find(slot);
-        gossip::message out = this->own_message(gossip::message_kind::reply);
+        gossip::message out = this->make_message(gossip::message_kind::reply);
         out.reply = this->events.make_reply(slot);
         if (found != this->members.end())
             this->transport.send(gossip::encode(out), found->second.address);
     }
 }
 
-void peer_protocol::tell_far(base::instant now)
+void peer_protocol::send_to_other_data_centres(base::instant now)
 {
     this->schedule.on_sent(gossip::recipient_group::other_data_centres, now);
     if (this->state.delegating)
-        this->farewells -= 1;
+        this->role_notices_left -= 1;
     const std::vector<gossip::ipv4_address> far =
-        this->order.remote_dispatcher_candidates(now);
+        this->election.remote_dispatcher_candidates(now);
     if (far.empty())
         return;
     gossip::message out =
-        this->own_load(gossip::recipient_group::other_data_centres);
-    out.known_entries = this->order.select_known_entries(
-        base::data_centre_id(this->own.data_centre), now);
+        this->make_load_message(gossip::recipient_group::other_data_centres);
+    out.known_entries = this->election.select_known_entries(
+        base::data_centre_id(this->own_settings.data_centre), now);
     const std::string bytes = gossip::encode(out);
     for (const gossip::ipv4_address address : far) {
-        this->order.on_probe_sent(address, now);
+        this->election.on_probe_sent(address, now);
         this->transport.send(bytes, address);
     }
 }
