--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
@@ -102,11 +102,11 @@
     transport.start_timer = [this, &fresh](base::duration after) {
         fresh.timer_due_at = this->now + after;
     };
-    transport.ask = [](const base::ip_endpoint&,
-                       const std::string&,
-                       base::duration,
-                       const relay::http_get::answer& tell) {
-        tell(tl::unexpected(std::string("not played")));
+    transport.fetch = [](const base::ip_endpoint&,
+                         const std::string&,
+                         base::duration,
+                         const relay::http_get::answer& on_answer) {
+        on_answer(tl::unexpected(std::string("not played")));
     };
     fresh.protocol =
         std::make_unique<peer_protocol>(this->settings_of(number),
--- a/src/greengagedrum/entry/peer_protocol.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -27,7 +27,7 @@
 
 constexpr std::string_view since_path = "/items?since=";
 constexpr std::string_view after_path = "/items?after=";
-constexpr std::string_view life_part = "&life=";
+constexpr std::string_view life_parameter = "&life=";
 
 std::uint32_t strength_of(const settings& given)
 {
@@ -37,13 +37,13 @@
 
 } // namespace
 
-std::string item_query_target(const item_query& asked)
+std::string item_query_target(const item_query& query)
 {
-    const std::string number = std::to_string(asked.position);
-    if (!asked.incarnation)
+    const std::string number = std::to_string(query.position);
+    if (!query.incarnation)
         return std::string(since_path) + number;
-    return std::string(after_path) + number + std::string(life_part) +
-           std::to_string(asked.incarnation->value);
+    return std::string(after_path) + number + std::string(life_parameter) +
+           std::to_string(query.incarnation->value);
 }
 
 std::optional<item_query> parse_item_query(std::string_view target)
@@ -60,9 +60,9 @@
     if (!after)
         return out;
     target.remove_prefix(static_cast<std::size_t>(number.ptr - target.data()));
-    if (!target.starts_with(life_part))
+    if (!target.starts_with(life_parameter))
         return std::nullopt;
-    target.remove_prefix(life_part.size());
+    target.remove_prefix(life_parameter.size());
     base::incarnation incarnation;
     if (std::from_chars(target.data(), end, incarnation.value).ec !=
         std::errc())
@@ -341,16 +341,16 @@
 }
 
 void peer_protocol::fetch_items(gossip::ipv4_address of,
-                                const item_query& what,
+                                const item_query& query,
                                 base::instant now)
 {
     this->fetching = true;
     this->fetch_started_at = now;
     const base::ip_endpoint to{relay::asio::ip::address_v4(of).to_string(),
                                this->own_settings.control_address.port};
-    this->transport.ask(
+    this->transport.fetch(
         to,
-        item_query_target(what),
+        item_query_target(query),
         fetch_timeout,
         [this, to](tl::expected<relay::fetched, std::string> got) {
             this->fetching = false;
--- a/src/greengagedrum/entry/peer_protocol.hpp
+++ b/src/greengagedrum/entry/peer_protocol.hpp
@@ -52,7 +52,7 @@
 };
 
 // The target under which it is asked, and its reading.
-std::string item_query_target(const item_query& asked);
+std::string item_query_target(const item_query& query);
 std::optional<item_query> parse_item_query(std::string_view target);
 
 class peer_protocol
@@ -142,7 +142,7 @@
     void probe_silent(base::instant now);
     void fetch_if_outdated(base::instant now);
     void fetch_items(gossip::ipv4_address of,
-                     const item_query& what,
+                     const item_query& query,
                      base::instant now);
 
     settings own_settings;
--- a/src/greengagedrum/entry/peer_socket.cpp
+++ b/src/greengagedrum/entry/peer_socket.cpp
@@ -20,58 +20,59 @@
 peer_transport peer_socket::transport()
 {
     peer_transport out;
-    out.send = [this](std::string_view told, gossip::ipv4_address to) {
-        this->send(told, to);
+    out.send = [this](std::string_view bytes, gossip::ipv4_address to) {
+        this->send(bytes, to);
     };
     out.start_timer = [this](base::duration after) {
         this->start_timer(after);
     };
-    out.ask = [this](const base::ip_endpoint& of,
-                     const std::string& target,
-                     base::duration bound,
-                     relay::http_get::answer tell) {
-        this->client->ask(of, target, bound, std::move(tell));
+    out.fetch = [this](const base::ip_endpoint& of,
+                       const std::string& target,
+                       base::duration bound,
+                       relay::http_get::answer on_answer) {
+        this->client->ask(of, target, bound, std::move(on_answer));
     };
     return out;
 }
 
-void peer_socket::start(datagram_handler told, std::function<void()> due)
+void peer_socket::start(datagram_handler handler,
+                        std::function<void()> timer_handler)
 {
-    this->arrived = std::move(told);
-    this->on_timer = std::move(due);
+    this->on_datagram = std::move(handler);
+    this->on_timer = std::move(timer_handler);
     this->receive();
 }
 
 void peer_socket::receive()
 {
     this->socket.async_receive_from(
-        relay::asio::buffer(this->bytes),
-        this->sender,
-        [this](relay::error_code fault, std::size_t count) {
-            if (fault == relay::asio::error::operation_aborted)
+        relay::asio::buffer(this->receive_buffer),
+        this->remote,
+        [this](relay::error_code error, std::size_t count) {
+            if (error == relay::asio::error::operation_aborted)
                 return;
             // A datagram that was refused somewhere shows here as a fault.
-            if (!fault)
-                this->arrived({this->bytes.data(), count},
-                              this->sender.address().to_string());
+            if (!error)
+                this->on_datagram({this->receive_buffer.data(), count},
+                                  this->remote.address().to_string());
             this->receive();
         });
 }
 
-void peer_socket::send(std::string_view told, gossip::ipv4_address to)
+void peer_socket::send(std::string_view bytes, gossip::ipv4_address to)
 {
     const relay::udp::endpoint receiver(relay::asio::ip::address_v4(to),
                                         this->port);
     relay::error_code ignored;
     this->socket.send_to(
-        relay::asio::buffer(told.data(), told.size()), receiver, 0, ignored);
+        relay::asio::buffer(bytes.data(), bytes.size()), receiver, 0, ignored);
 }
 
 void peer_socket::start_timer(base::duration after)
 {
     this->timer.expires_after(after);
-    this->timer.async_wait([this](relay::error_code fault) {
-        if (!fault)
+    this->timer.async_wait([this](relay::error_code error) {
+        if (!error)
             this->on_timer();
     });
 }
--- a/src/greengagedrum/entry/peer_socket.hpp
+++ b/src/greengagedrum/entry/peer_socket.hpp
@@ -26,7 +26,7 @@
     // Valid as long as this object is.
     peer_transport transport();
 
-    void start(datagram_handler arrived, std::function<void()> on_timer);
+    void start(datagram_handler on_datagram, std::function<void()> on_timer);
 
 private:
     void receive();
@@ -34,13 +34,13 @@
     void start_timer(base::duration after);
 
     relay::udp::socket socket;
-    relay::udp::endpoint sender;
+    relay::udp::endpoint remote;
     // FlatBuffers read numbers where they lie.
-    alignas(std::uint64_t) std::array<char, 65'536> bytes{};
+    alignas(std::uint64_t) std::array<char, 65'536> receive_buffer{};
     relay::asio::steady_timer timer;
     std::shared_ptr<relay::http_get> client;
     std::uint16_t port;
-    datagram_handler arrived;
+    datagram_handler on_datagram;
     std::function<void()> on_timer;
 };
 
--- a/src/greengagedrum/entry/peer_transport.hpp
+++ b/src/greengagedrum/entry/peer_transport.hpp
@@ -25,8 +25,8 @@
     std::function<void(const base::ip_endpoint& of,
                        const std::string& target,
                        base::duration bound,
-                       relay::http_get::answer tell)>
-        ask;
+                       relay::http_get::answer on_answer)>
+        fetch;
 };
 
 } // namespace greengagedrum::entry
