--- a/src/greengagedrum/entry/exchange.cpp
+++ b/src/greengagedrum/entry/exchange.cpp
@@ -10,8 +10,8 @@
 
 // Bytes that a caller may be behind before its stream is read no further, and
 // from where on it is read again.
-constexpr std::size_t behind_most = 256U << 10U;
-constexpr std::size_t behind_little = 32U << 10U;
+constexpr std::size_t unsent_high_water = 256U << 10U;
+constexpr std::size_t unsent_low_water = 32U << 10U;
 
 constexpr unsigned first_redirect = 300;
 constexpr unsigned first_server_error = 500;
@@ -23,14 +23,14 @@
            type->starts_with("text/event-stream");
 }
 
-traffic::interruption_cause cause_of(relay::call_fault what)
+traffic::interruption_cause break_cause_of(relay::call_fault what)
 {
     return what == relay::call_fault::malformed
                ? traffic::interruption_cause::malformed
                : traffic::interruption_cause::connection_lost;
 }
 
-unsigned status_of(const base::verdict& verdict)
+unsigned status_code_of(const base::verdict& verdict)
 {
     if (verdict.run == base::run_state::not_run)
         return verdict.why == base::reason::limit_reached ? 429 : 503;
@@ -41,9 +41,9 @@
 
 exchange::exchange(relay::asio::io_context& context,
                    relay::caller_ptr caller,
-                   request_info origin,
+                   request_info request,
                    owner_events events)
-    : context(context), caller(std::move(caller)), origin(std::move(origin)),
+    : context(context), caller(std::move(caller)), request(std::move(request)),
       events(std::move(events))
 {
 }
@@ -65,34 +65,35 @@
         if (!kept && relay::is_hop_header(head.headers, one.name))
             continue;
         // It has had events beyond the one that it named.
-        if (!this->last_id.empty() &&
+        if (!this->last_event_id.empty() &&
             relay::same_name(one.name, platform::resume_header))
             continue;
         out.append(one.name).append(": ").append(one.value).append("\r\n");
     }
     platform::write_upstream_marks(
-        {to.name, this->origin.workspace, time_left, this->last_id}, out);
+        {to.name, this->request.workspace, time_left, this->last_event_id},
+        out);
     const bool bodiless = head.method == "GET" || head.method == "HEAD";
     if (!body.empty() || !bodiless)
         out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
     return out + "\r\n" + body;
 }
 
-relay::upstream_events exchange::call_events()
+relay::upstream_events exchange::make_call_events()
 {
     relay::upstream_events out;
     const auto self = this->shared_from_this();
     out.not_connected = [self] {
         self->call.reset();
-        self->report("no connection");
+        self->report_outcome("no connection");
         self->events.on_event(
-            traffic::connect_failed{self->origin.id, self->number});
+            traffic::connect_failed{self->request.id, self->send_number});
     };
     out.head = [self] { self->on_head(); };
     out.body = [self](std::string_view bytes) { self->on_body(bytes); };
     out.done = [self] { self->on_done(); };
-    out.broken = [self](relay::call_fault what, const std::string& why) {
-        self->on_broken(cause_of(what), why);
+    out.broken = [self](relay::call_fault what, const std::string& error) {
+        self->on_broken(break_cause_of(what), error);
     };
     return out;
 }
@@ -101,16 +102,16 @@
                     const routing::published_upstream& to,
                     base::duration time_left)
 {
-    this->number = send_number;
+    this->send_number = send_number;
     this->answer = relay::answer_head();
-    this->held_body.clear();
+    this->buffered_body.clear();
     this->splitter = relay::event_splitter();
     this->streaming = false;
-    this->events_seen = 0;
-    this->held_back = false;
+    this->event_count = 0;
+    this->reading_paused = false;
     this->call = std::make_shared<relay::upstream_call>(
         this->context,
-        this->call_events(),
+        this->make_call_events(),
         this->caller->head().method == "HEAD");
     this->call->start(to.address, this->request_text(to, time_left));
 }
@@ -124,11 +125,11 @@
 
 // ---- What comes back ------------------------------------------------------
 
-std::string exchange::head_fault() const
+std::string exchange::head_error() const
 {
     const platform::answer_marks marks =
         platform::read_answer_marks(this->answer);
-    if (marks.attempt != this->origin.marks.attempt)
+    if (marks.attempt != this->request.marks.attempt)
         return "the answer is another request's";
     const bool success = this->answer.status >= relay::status_ok &&
                          this->answer.status < first_redirect;
@@ -143,9 +144,9 @@
 void exchange::on_head()
 {
     this->answer = this->call->head();
-    if (!this->origin.stream || !is_event_stream(this->answer))
+    if (!this->request.stream || !is_event_stream(this->answer))
         return;
-    const std::string fault = this->head_fault();
+    const std::string fault = this->head_error();
     if (!fault.empty()) {
         this->stop_send();
         return this->on_broken(traffic::interruption_cause::malformed, fault);
@@ -156,7 +157,7 @@
 void exchange::on_body(std::string_view bytes)
 {
     if (!this->streaming) {
-        this->held_body += bytes;
+        this->buffered_body += bytes;
         return;
     }
     this->splitter.feed(bytes);
@@ -169,34 +170,34 @@
     while (const auto one = this->splitter.next()) {
         // A resumed stream goes on after the last event; one that repeats
         // itself is not passed on twice.
-        const auto last = relay::event_number(this->last_id);
+        const auto last = relay::event_number(this->last_event_id);
         const auto fresh = relay::event_number(one->id);
         if (last && fresh && *fresh <= *last)
             continue;
         if (!one->id.empty())
-            this->last_id = one->id;
-        this->events_seen += 1;
+            this->last_event_id = one->id;
+        this->event_count += 1;
         pieces += one->bytes;
     }
     if (pieces.empty())
         return;
     if (!this->caller->pieces_begun())
-        this->caller->begin_pieces(this->caller_head());
+        this->caller->begin_pieces(this->caller_response_head());
     this->caller->send_piece(pieces);
-    if (this->caller->unsent() > behind_most) {
-        this->held_back = true;
+    if (this->caller->unsent() > unsent_high_water) {
+        this->reading_paused = true;
         this->call->pause(true);
     }
     this->events.on_event(traffic::events_received{
-        this->origin.id, this->number, this->events_seen});
+        this->request.id, this->send_number, this->event_count});
 }
 
 void exchange::resume_reading()
 {
-    if (!this->held_back || !this->call ||
-        this->caller->unsent() > behind_little)
+    if (!this->reading_paused || !this->call ||
+        this->caller->unsent() > unsent_low_water)
         return;
-    this->held_back = false;
+    this->reading_paused = false;
     this->call->pause(false);
 }
 
@@ -204,15 +205,15 @@
 {
     this->call.reset();
     if (this->streaming) {
-        this->report({});
-        this->events.on_event(
-            traffic::answer_received{this->origin.id, this->number, true});
+        this->report_outcome({});
+        this->events.on_event(traffic::answer_received{
+            this->request.id, this->send_number, true});
         return;
     }
-    this->judge();
+    this->classify_answer();
 }
 
-void exchange::judge()
+void exchange::classify_answer()
 {
     const platform::answer_marks marks =
         platform::read_answer_marks(this->answer);
@@ -220,46 +221,48 @@
         this->answer.status == platform::misdirected_status;
     // Failure guarded against: an answer that bears another request's id says
     // "not run" of that one; believed, this one would be sent a second time.
-    const bool of_another =
-        !marks.attempt.empty() && marks.attempt != this->origin.marks.attempt;
-    if ((misdirected || marks.not_run) && !of_another) {
-        this->report(misdirected ? "another upstream answers there"
-                                 : "turned away");
+    const bool of_other_request =
+        !marks.attempt.empty() && marks.attempt != this->request.marks.attempt;
+    if ((misdirected || marks.not_run) && !of_other_request) {
+        this->report_outcome(misdirected ? "another upstream answers there"
+                                         : "turned away");
         this->events.on_event(
-            traffic::send_rejected{this->origin.id,
-                                   this->number,
+            traffic::send_rejected{this->request.id,
+                                   this->send_number,
                                    misdirected ? traffic::rejection::misdirected
                                                : traffic::rejection::not_run});
         return;
     }
-    const std::string fault = this->head_fault();
+    const std::string fault = this->head_error();
     if (!fault.empty())
         return this->on_broken(traffic::interruption_cause::malformed, fault);
-    this->report({});
+    this->report_outcome({});
     this->events.on_event(
-        traffic::answer_received{this->origin.id,
-                                 this->number,
+        traffic::answer_received{this->request.id,
+                                 this->send_number,
                                  this->answer.status < first_server_error});
 }
 
 void exchange::on_broken(traffic::interruption_cause cause,
-                         const std::string& why)
+                         const std::string& error)
 {
     this->call.reset();
-    this->report(why);
-    this->events.on_event(
-        traffic::answer_interrupted{this->origin.id, this->number, cause});
+    this->report_outcome(error);
+    this->events.on_event(traffic::answer_interrupted{
+        this->request.id, this->send_number, cause});
 }
 
-void exchange::report(std::string why) const
+void exchange::report_outcome(std::string error) const
 {
-    this->events.on_send_ended(send_outcome{
-        this->number, this->answer.status, this->events_seen, std::move(why)});
+    this->events.on_send_ended(send_outcome{this->send_number,
+                                            this->answer.status,
+                                            this->event_count,
+                                            std::move(error)});
 }
 
 // ---- To the caller --------------------------------------------------------
 
-std::string exchange::caller_head() const
+std::string exchange::caller_response_head() const
 {
     std::string out = "HTTP/1.1 " + std::to_string(this->answer.status) + " " +
                       this->answer.reason + "\r\n";
@@ -277,9 +280,10 @@
     if (closing)
         this->caller->set_closing();
     if (!this->streaming)
-        return this->caller->answer(this->caller_head(), this->held_body);
+        return this->caller->answer(this->caller_response_head(),
+                                    this->buffered_body);
     if (!this->caller->pieces_begun())
-        this->caller->begin_pieces(this->caller_head());
+        this->caller->begin_pieces(this->caller_response_head());
     this->caller->send_piece(this->splitter.take_rest());
     this->caller->end_pieces();
 }
@@ -291,14 +295,15 @@
     if (this->caller->pieces_begun())
         return this->caller->abort();
     this->caller->answer(
-        relay::own_answer{status_of(verdict),
+        relay::own_answer{status_code_of(verdict),
                           std::string(base::to_string(verdict.why)),
                           verdict.retry_after});
 }
 
 void exchange::abandon()
 {
-    const bool leave_running = !this->origin.repeatable && !this->origin.stream;
+    const bool leave_running =
+        !this->request.repeatable && !this->request.stream;
     if (!leave_running)
         return this->stop_send();
     // Its call holds it until it ends; nobody is told.
--- a/src/greengagedrum/entry/exchange.hpp
+++ b/src/greengagedrum/entry/exchange.hpp
@@ -45,10 +45,10 @@
 
     exchange(relay::asio::io_context& context,
              relay::caller_ptr caller,
-             request_info origin,
+             request_info request,
              owner_events events);
 
-    void send(std::uint32_t number,
+    void send(std::uint32_t send_number,
               const routing::published_upstream& to,
               base::duration time_left);
     void stop_send();
@@ -64,38 +64,38 @@
     // Reads on once the caller has taken what was sent.
     void resume_reading();
 
-    const request_info& info() const { return this->origin; }
+    const request_info& info() const { return this->request; }
     unsigned status() const { return this->answer.status; }
     const relay::caller_ptr& caller_connection() const { return this->caller; }
 
 private:
     std::string request_text(const routing::published_upstream& to,
                              base::duration time_left) const;
-    relay::upstream_events call_events();
+    relay::upstream_events make_call_events();
     void on_head();
     void on_body(std::string_view bytes);
     void on_done();
-    void on_broken(traffic::interruption_cause cause, const std::string& why);
+    void on_broken(traffic::interruption_cause cause, const std::string& error);
     void forward_events();
-    void judge();
+    void classify_answer();
     // Empty when the head can be this request's answer.
-    std::string head_fault() const;
-    std::string caller_head() const;
-    void report(std::string why) const;
+    std::string head_error() const;
+    std::string caller_response_head() const;
+    void report_outcome(std::string error) const;
 
     relay::asio::io_context& context;
     relay::caller_ptr caller;
-    request_info origin;
+    request_info request;
     owner_events events;
     std::shared_ptr<relay::upstream_call> call;
-    std::uint32_t number = 0;
+    std::uint32_t send_number = 0;
     relay::answer_head answer; // of the send under way, or the last
-    std::string held_body;
+    std::string buffered_body;
     relay::event_splitter splitter;
     bool streaming = false;
-    std::uint32_t events_seen = 0;
-    std::string last_id; // of the last event that the caller was sent
-    bool held_back = false;
+    std::uint32_t event_count = 0;
+    std::string last_event_id; // of the last event that the caller was sent
+    bool reading_paused = false;
 };
 
 } // namespace greengagedrum::entry
