--- a/src/greengagedrum/entry/entry_lifecycle.cpp
+++ b/src/greengagedrum/entry/entry_lifecycle.cpp
@@ -20,9 +20,9 @@
 
 // A turn of the loop takes milliseconds. One that is this late means that the
 // process stood still, and that what it believes is as old.
-constexpr base::duration pause_least = std::chrono::milliseconds(400);
+constexpr base::duration pause_threshold = std::chrono::milliseconds(400);
 // With neither store nor peers in reach, an old state is better than none.
-constexpr base::duration pause_most = std::chrono::milliseconds(500);
+constexpr base::duration pause_timeout = std::chrono::milliseconds(500);
 
 // From SIGTERM on the balancer is told to send no more; it asks once a second
 // and needs two answers. Connections that come meanwhile are served.
@@ -170,10 +170,11 @@
 // peer has told anew.
 void entry::detect_pause(base::instant now)
 {
-    const base::duration asleep = suspended_time();
-    const bool late = now - this->last_tick > pause_least;
-    const bool was_suspended = asleep - this->total_suspended > pause_least;
-    this->total_suspended = asleep;
+    const base::duration suspended_so_far = suspended_time();
+    const bool late = now - this->last_tick > pause_threshold;
+    const bool was_suspended =
+        suspended_so_far - this->total_suspended > pause_threshold;
+    this->total_suspended = suspended_so_far;
     if (late || was_suspended) {
         this->pause_detected_at = now;
         this->state.scheduler.set_paused(true);
@@ -186,7 +187,8 @@
               static_cast<double>((now - this->last_tick).count()) / 1000},
              {"suspended", was_suspended}});
     }
-    if (this->pause_detected_at && now - *this->pause_detected_at > pause_most)
+    if (this->pause_detected_at &&
+        now - *this->pause_detected_at > pause_timeout)
         this->end_pause("time");
 }
 
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -9,7 +9,7 @@
 // counted before the first is ended, for then others may be sent.
 void request_handler::count_waiting_requests()
 {
-    std::vector<std::pair<base::request_id, base::duration>> beyond;
+    std::vector<std::pair<base::request_id, base::duration>> over_limit;
     for (auto& [id, request] : this->requests) {
         if (request.sent_at)
             continue;
@@ -22,9 +22,9 @@
             continue;
         this->log_over_limit(
             request.workspace, request.cost, request.priority, *over);
-        beyond.emplace_back(id, *over);
+        over_limit.emplace_back(id, *over);
     }
-    for (const auto& [id, retry_after] : beyond)
+    for (const auto& [id, retry_after] : over_limit)
         this->refuse_waiting_request(id, retry_after);
 }
 
@@ -56,27 +56,28 @@
                                      base::duration retry_after)
 {
     const base::instant now = this->state.clock();
-    const quota::limit_status seen =
+    const quota::limit_status view =
         this->state.limiter.status_of(workspace, now);
     const double kept = this->state.limiter.reserved_for_higher_priority(
         workspace, cost, priority, now);
-    const routing::workspace* of =
+    const routing::workspace* known_workspace =
         this->state.cluster.routes()->find_workspace(workspace);
-    this->state.log.write(now,
-                          "limits",
-                          "limit_reached",
-                          {{"workspace", of ? of->name : std::string()},
-                           {"cost", cost},
-                           {"priority", priority},
-                           {"kept_for_more_urgent", kept},
-                           {"limit_level", seen.bucket_level},
-                           {"sent_here", seen.own_sent},
-                           {"sent", seen.all_sent},
-                           {"waiting", seen.all_waiting},
-                           {"bound", seen.window_bound},
-                           {"absent_share", seen.absent_share},
-                           {"window_known", seen.window_known},
-                           {"retry_after_ms", to_milliseconds(retry_after)}});
+    this->state.log.write(
+        now,
+        "limits",
+        "limit_reached",
+        {{"workspace", known_workspace ? known_workspace->name : std::string()},
+         {"cost", cost},
+         {"priority", priority},
+         {"kept_for_more_urgent", kept},
+         {"limit_level", view.bucket_level},
+         {"sent_here", view.own_sent},
+         {"sent", view.all_sent},
+         {"waiting", view.all_waiting},
+         {"bound", view.window_bound},
+         {"absent_share", view.absent_share},
+         {"window_known", view.window_known},
+         {"retry_after_ms", to_milliseconds(retry_after)}});
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -38,17 +38,17 @@
 }
 
 void request_handler::on_dispatcher_reply(
-    const dispatch::dispatcher_reply& what)
+    const dispatch::dispatcher_reply& reply)
 {
-    this->journal.acknowledge(what.acked_status);
-    for (const dispatch::slot_grant& one : what.grants)
+    this->journal.acknowledge(reply.acked_status);
+    for (const dispatch::slot_grant& one : reply.grants)
         this->submit_event(traffic::slot_granted{one.id.request,
                                                  one.id.send,
                                                  one.upstream,
                                                  one.expected_first_event,
                                                  one.slots_taken,
                                                  one.slots});
-    for (const dispatch::slot_denial& one : what.denials)
+    for (const dispatch::slot_denial& one : reply.denials)
         this->submit_event(
             traffic::slot_declined{one.id.request,
                                    one.id.send,
@@ -88,15 +88,15 @@
 
 void request_handler::on_member_report(
     base::slot_id member,
-    base::incarnation life,
-    const dispatch::member_report& told,
-    std::span<const traffic::upstream_load> uses)
+    base::incarnation incarnation,
+    const dispatch::member_report& report,
+    std::span<const traffic::upstream_load> loads)
 {
-    const dispatch::request_changes news =
-        this->members.on_report(member, life, told, uses);
+    const dispatch::request_changes changes =
+        this->members.on_report(member, incarnation, report, loads);
     this->state.scheduler.on_peer_report(
-        member, news.uses_placed_elsewhere, {}, this->state.clock());
-    this->apply_member_changes(news);
+        member, changes.uses_placed_elsewhere, {}, this->state.clock());
+    this->apply_member_changes(changes);
 }
 
 void request_handler::on_member_lost(base::slot_id member)
@@ -105,32 +105,34 @@
 }
 
 void request_handler::apply_member_changes(
-    const dispatch::request_changes& news)
+    const dispatch::request_changes& changes)
 {
     const base::instant now = this->state.clock();
-    for (const dispatch::limit_charge& cost : news.released_charges)
+    for (const dispatch::limit_charge& cost : changes.released_charges)
         this->state.limiter.refund_unsent(cost.workspace, cost.amount, now);
-    for (const traffic::event& one : news.events)
+    for (const traffic::event& one : changes.events)
         this->submit_event(one);
-    for (const auto& [id, wanted] : news.new_requests)
+    for (const auto& [id, wanted] : changes.new_requests)
         this->add_member_request(id, wanted);
 }
 
 void request_handler::add_member_request(base::request_id id,
                                          const dispatch::slot_request& wanted)
 {
-    const auto over =
+    const auto retry_after =
         wanted.charged ? std::nullopt
                        : this->state.limiter.try_acquire(wanted.facts.workspace,
                                                          wanted.cost,
                                                          wanted.facts.priority,
                                                          this->state.clock());
-    if (over) {
-        this->log_over_limit(
-            wanted.facts.workspace, wanted.cost, wanted.facts.priority, *over);
+    if (retry_after) {
+        this->log_over_limit(wanted.facts.workspace,
+                             wanted.cost,
+                             wanted.facts.priority,
+                             *retry_after);
         // The limit has nothing of it to give back.
         this->members.on_declined(
-            id, base::not_run(base::reason::limit_reached, over));
+            id, base::not_run(base::reason::limit_reached, retry_after));
         return;
     }
     traffic::request_facts facts = wanted.facts;
