--- a/src/greengagedrum/entry/fleet_test/fault_injection.cpp
+++ b/src/greengagedrum/entry/fleet_test/fault_injection.cpp
@@ -11,44 +11,44 @@
 
 using namespace std::chrono_literals;
 
-constexpr base::duration stop_takes = 3s;
-constexpr base::duration start_takes = 600ms;
+constexpr base::duration stop_duration = 3s;
+constexpr base::duration start_duration = 600ms;
 
 } // namespace
 
-bool virtual_fleet::is_cut(gossip::ipv4_address from,
-                           gossip::ipv4_address to) const
+bool virtual_fleet::is_partitioned(gossip::ipv4_address from,
+                                   gossip::ipv4_address to) const
 {
     const double at = this->seconds();
     if (at < this->plan.cut_from ||
         at >= this->plan.cut_from + this->plan.cut_for)
         return false;
-    const auto behind = [&](gossip::ipv4_address address) {
+    const auto is_behind_partition = [&](gossip::ipv4_address address) {
         const std::size_t number = address - first_address;
         return number % this->plan.data_centres == 0 &&
                number < this->plan.entries / 2;
     };
-    return behind(from) != behind(to);
+    return is_behind_partition(from) != is_behind_partition(to);
 }
 
-void virtual_fleet::end(std::size_t number)
+void virtual_fleet::stop_process(std::size_t number)
 {
     if (!this->nodes[number])
         return;
-    this->owner.before_stop(*this->nodes[number]);
+    this->owner_hooks.before_stop(*this->nodes[number]);
     this->nodes[number].reset();
-    this->back_at[number] = this->now + start_takes;
+    this->restart_at[number] = this->now + start_duration;
 }
 
-void virtual_fleet::restart_due()
+void virtual_fleet::restart_due_entries()
 {
     for (std::size_t number = 0; number < this->nodes.size(); ++number) {
         std::unique_ptr<node>& one = this->nodes[number];
-        if (!one && this->now >= this->back_at[number])
+        if (!one && this->now >= this->restart_at[number])
             this->start(number);
         if (one && one->state.stopping &&
-            this->now - one->stopped_at >= stop_takes) {
-            this->end(number);
+            this->now - one->stopped_at >= stop_duration) {
+            this->stop_process(number);
         }
     }
     if (this->plan.restart_gap.count() == 0 ||
@@ -68,7 +68,7 @@
     stopped->protocol->begin_stop();
 }
 
-void virtual_fleet::trouble_due()
+void virtual_fleet::inject_due_faults()
 {
     const auto each_dispatcher = [this](const auto& what) {
         for (std::size_t number = 0; number < this->nodes.size(); ++number) {
@@ -79,7 +79,8 @@
     if (this->next_killed < this->plan.killed_at.size() &&
         this->seconds() >= this->plan.killed_at[this->next_killed]) {
         this->next_killed += 1;
-        each_dispatcher([this](std::size_t number) { this->end(number); });
+        each_dispatcher(
+            [this](std::size_t number) { this->stop_process(number); });
     }
     if (this->next_frozen < this->plan.frozen_at.size() &&
         this->seconds() >= this->plan.frozen_at[this->next_frozen]) {
@@ -94,14 +95,14 @@
         for (std::size_t number = this->plan.remaining_entries;
              number < this->nodes.size();
              ++number) {
-            this->end(number);
-            this->back_at[number] = base::instant::max();
+            this->stop_process(number);
+            this->restart_at[number] = base::instant::max();
         }
     }
     if (!this->all_killed && this->seconds() >= this->plan.all_killed_at) {
         this->all_killed = true;
         for (std::size_t number = 0; number < this->nodes.size(); ++number)
-            this->end(number);
+            this->stop_process(number);
     }
 }
 
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -10,10 +10,10 @@
 
 using namespace std::chrono_literals;
 
-const base::workspace_id busy("busy");
+const base::workspace_id busy_workspace("busy");
 constexpr base::duration window = 8s;
 constexpr double mean_cost = 1000;
-constexpr double roles_found = 1; // seconds from the start of all entries
+constexpr double roles_settled = 1; // seconds from the start of all entries
 // Of the limit, and in tokens, that lag may exceed it by.
 constexpr double overshoot = 0.25;
 constexpr double slack_seconds = 0.6; // of the limit's rate
@@ -21,7 +21,7 @@
 } // namespace
 
 limited_fleet::limited_fleet(const fleet_plan& plan)
-    : plan(plan), dice(plan.seed), works(plan.entries),
+    : plan(plan), dice(plan.seed), processes(plan.entries),
       fleet(plan, this->hooks())
 {
     this->fleet.start();
@@ -36,7 +36,7 @@
     out.before_stop = [this](node& one) {
         if (one.state.stopping)
             this->result.unanswered +=
-                static_cast<std::uint32_t>(this->of(one).requests.size());
+                static_cast<std::uint32_t>(this->state_of(one).requests.size());
     };
     return out;
 }
@@ -85,85 +85,91 @@
 
 void limited_fleet::configure(node& one)
 {
-    this->of(one) = work();
+    this->state_of(one) = process_state();
     const double limit = this->limit();
     one.state.limiter.set_tolerance({window, overshoot, slack_seconds * limit});
     routing::configuration config;
     routing::workspace known;
-    known.id = busy;
+    known.id = busy_workspace;
     known.limit = {limit, limit, true, 0};
     config.workspaces.push_back(known);
     one.state.limiter.set_limits(config, this->fleet.time());
 }
 
-peer_events limited_fleet::events_of(node& of)
+peer_events limited_fleet::events_of(node& process)
 {
     peer_events out;
     out.peer_load_changed = [] {};
     out.items_received = [](const gossip::item_transfer&) {};
-    out.delegation_started = [this, &of] {
-        of.state.delegating = true;
+    out.delegation_started = [this, &process] {
+        process.state.delegating = true;
         const dispatch::request_changes news =
-            this->of(of).book.remove_all_members();
+            this->state_of(process).book.remove_all_members();
         for (const dispatch::limit_charge& cost : news.released_charges)
-            of.state.limiter.refund_unsent(
+            process.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
     };
-    out.delegation_ended = [this, &of](std::size_t unheard,
-                                       const limit_handover* known) {
-        this->place_alone(of, unheard, known);
+    out.delegation_ended = [this, &process](std::size_t unheard,
+                                            const limit_handover* known) {
+        this->dispatch_alone(process, unheard, known);
     };
-    out.make_report = [this, &of] { return this->report_of(of); };
-    out.reply_received = [this, &of](const dispatch::dispatcher_reply& what) {
-        this->replied(of, what);
+    out.make_report = [this, &process] { return this->make_report(process); };
+    out.reply_received = [this,
+                          &process](const dispatch::dispatcher_reply& what) {
+        this->on_reply(process, what);
     };
-    out.report_received = [this, &of](base::slot_id member,
-                                      const gossip::message& told) {
-        this->reported(of, member, told);
+    out.report_received = [this, &process](base::slot_id member,
+                                           const gossip::message& told) {
+        this->on_report(process, member, told);
     };
-    out.member_lost = [this, &of](base::slot_id member) {
+    out.member_lost = [this, &process](base::slot_id member) {
         for (const dispatch::limit_charge& cost :
-             this->of(of).book.remove_member(member).released_charges)
-            of.state.limiter.refund_unsent(
+             this->state_of(process)
+                 .book.remove_member(member)
+                 .released_charges)
+            process.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
     };
-    out.members_awaiting_reply = [this, &of] {
-        return this->of(of).book.members_to_answer(this->fleet.time());
+    out.members_awaiting_reply = [this, &process] {
+        return this->state_of(process).book.members_to_answer(
+            this->fleet.time());
     };
-    out.make_reply = [this, &of](base::slot_id member) {
-        return this->of(of).book.build_reply(member, this->fleet.time());
+    out.make_reply = [this, &process](base::slot_id member) {
+        return this->state_of(process).book.build_reply(member,
+                                                        this->fleet.time());
     };
     return out;
 }
 
 // ---- Requests ---------------------------------------------------------------
 
-void limited_fleet::let_through(double cost)
+void limited_fleet::admit(double cost)
 {
-    this->let.emplace_back(this->fleet.time(), cost);
-    this->result.let += cost;
+    this->admitted.emplace_back(this->fleet.time(), cost);
+    this->result.admitted_share += cost;
 }
 
-void limited_fleet::arrive(node& at, double cost)
+void limited_fleet::on_request(node& at, double cost)
 {
     this->result.asked += 1;
     if (at.state.delegating) {
-        this->of(at).requests[this->next_request++] = {
+        this->state_of(at).requests[this->next_request++] = {
             this->fleet.time(), cost, false};
         at.protocol->schedule_gossip();
         return;
     }
-    if (at.state.limiter.try_acquire(busy, cost, 0, this->fleet.time())) {
+    if (at.state.limiter.try_acquire(
+            busy_workspace, cost, 0, this->fleet.time())) {
         this->result.refused += 1;
         return;
     }
-    at.state.limiter.on_sent(busy, cost, this->fleet.time());
-    this->let_through(cost);
+    at.state.limiter.on_sent(busy_workspace, cost, this->fleet.time());
+    this->admit(cost);
 }
 
-void limited_fleet::place_alone(node& one,
-                                std::size_t unheard,
-                                const limit_handover* known)
+void limited_fleet::dispatch_alone(node& one,
+                                   std::size_t unheard,
+                                   const limit_handover* known)
 {
     if (known != nullptr)
         one.state.limiter.take_over(known->sender,
@@ -175,25 +181,26 @@
     one.state.limiter.set_never_heard_peer_count(unheard);
     one.state.limiter.update_silent_peers(this->fleet.time());
     one.state.delegating = false;
-    for (const auto& [id, request] : this->of(one).requests) {
+    for (const auto& [id, request] : this->state_of(one).requests) {
         if (one.state.limiter.try_acquire(
-                busy, request.cost, 0, this->fleet.time())) {
+                busy_workspace, request.cost, 0, this->fleet.time())) {
             this->result.refused += 1;
             continue;
         }
-        one.state.limiter.on_sent(busy, request.cost, this->fleet.time());
-        this->let_through(request.cost);
+        one.state.limiter.on_sent(
+            busy_workspace, request.cost, this->fleet.time());
+        this->admit(request.cost);
     }
-    this->of(one).requests.clear();
+    this->state_of(one).requests.clear();
 }
 
-dispatch::member_report limited_fleet::report_of(const node& member)
+dispatch::member_report limited_fleet::make_report(const node& member)
 {
     dispatch::member_report out;
-    for (const auto& [id, request] : this->of(member).requests) {
+    for (const auto& [id, request] : this->state_of(member).requests) {
         dispatch::slot_request wanted;
         wanted.id = {base::request_id{id}, 1};
-        wanted.facts.workspace = busy;
+        wanted.facts.workspace = busy_workspace;
         wanted.facts.time_left = 10s;
         wanted.facts.first_event_timeout = 2s;
         wanted.cost = request.cost;
@@ -202,19 +209,19 @@
     return out;
 }
 
-void limited_fleet::reported(node& dispatcher,
-                             base::slot_id member,
-                             const gossip::message& told)
+void limited_fleet::on_report(node& dispatcher,
+                              base::slot_id member,
+                              const gossip::message& told)
 {
     quota::usage_limiter& limiter = dispatcher.state.limiter;
-    dispatch::member_request_table& book = this->of(dispatcher).book;
+    dispatch::member_request_table& book = this->state_of(dispatcher).book;
     const dispatch::request_changes news = book.on_report(
         member, told.incarnation, told.report, told.upstream_uses);
     for (const dispatch::limit_charge& cost : news.released_charges)
         limiter.refund_unsent(cost.workspace, cost.amount, this->fleet.time());
     for (const auto& [id, wanted] : news.new_requests) {
-        const auto over =
-            limiter.try_acquire(busy, wanted.cost, 0, this->fleet.time());
+        const auto over = limiter.try_acquire(
+            busy_workspace, wanted.cost, 0, this->fleet.time());
         if (over) {
             book.on_declined(id,
                              base::not_run(base::reason::limit_reached, *over));
@@ -225,27 +232,28 @@
         order.send = 1;
         order.upstream = base::upstream_id("any");
         book.on_granted(order);
-        limiter.on_sent(busy, wanted.cost, this->fleet.time());
+        limiter.on_sent(busy_workspace, wanted.cost, this->fleet.time());
     }
 }
 
-void limited_fleet::replied(node& member,
-                            const dispatch::dispatcher_reply& what)
+void limited_fleet::on_reply(node& member,
+                             const dispatch::dispatcher_reply& what)
 {
     for (const dispatch::slot_grant& one : what.grants) {
-        const auto found = this->of(member).requests.find(one.id.request.value);
-        if (found == this->of(member).requests.end())
+        const auto found =
+            this->state_of(member).requests.find(one.id.request.value);
+        if (found == this->state_of(member).requests.end())
             continue;
-        this->let_through(found->second.cost);
-        this->of(member).requests.erase(found);
+        this->admit(found->second.cost);
+        this->state_of(member).requests.erase(found);
     }
     for (const dispatch::slot_denial& one : what.denials) {
-        if (this->of(member).requests.erase(one.id.request.value) > 0)
+        if (this->state_of(member).requests.erase(one.id.request.value) > 0)
             this->result.refused += 1;
     }
 }
 
-void limited_fleet::ask()
+void limited_fleet::generate_requests()
 {
     constexpr double step_seconds = 0.005;
     double due = this->plan.requests * step_seconds;
@@ -255,7 +263,7 @@
         due -= 1;
         node* to = this->fleet.serving(this->dice() % this->fleet.size());
         if (to != nullptr)
-            this->arrive(*to, mean_cost * 2 * this->draw());
+            this->on_request(*to, mean_cost * 2 * this->draw());
     }
 }
 
@@ -263,7 +271,7 @@
 
 void limited_fleet::count_changes(const node& one)
 {
-    work& own = this->of(one);
+    process_state& own = this->state_of(one);
     if (own.was_delegating == one.state.delegating)
         return;
     own.was_delegating = one.state.delegating;
@@ -271,46 +279,47 @@
     this->result.dispatcher_changes += counts ? 1 : 0;
 }
 
-void limited_fleet::judge()
+void limited_fleet::check_window()
 {
     double held = 0;
-    for (const auto& [at, cost] : this->let)
+    for (const auto& [at, cost] : this->admitted)
         held += cost;
     const double bound = this->limit() * (9 * (1 + overshoot) + slack_seconds);
-    if (held / bound > this->result.worst_share) {
-        this->result.worst_share = held / bound;
-        this->result.worst_at = this->fleet.seconds();
+    if (held / bound > this->result.peak_window_share) {
+        this->result.peak_window_share = held / bound;
+        this->result.peak_at = this->fleet.seconds();
     }
 }
 
-fleet_result limited_fleet::play()
+fleet_result limited_fleet::run()
 {
     std::uint64_t steps = 0;
-    constexpr std::uint64_t judged_every = 20;
+    constexpr std::uint64_t steps_per_check = 20;
     while (this->fleet.seconds() < this->plan.seconds) {
         this->fleet.step();
-        if (this->fleet.seconds() >= roles_found)
-            this->ask();
-        while (!this->let.empty() &&
-               this->fleet.time() - this->let.front().first > window)
-            this->let.pop_front();
-        if (++steps % judged_every == 0)
-            this->judge();
+        if (this->fleet.seconds() >= roles_settled)
+            this->generate_requests();
+        while (!this->admitted.empty() &&
+               this->fleet.time() - this->admitted.front().first > window)
+            this->admitted.pop_front();
+        if (++steps % steps_per_check == 0)
+            this->check_window();
     }
     for (std::size_t number = 0; number < this->fleet.size(); ++number) {
         const node* one = this->fleet.at(number);
         if (one == nullptr)
             continue;
-        this->result.kept_for_absent =
-            std::max(this->result.kept_for_absent,
-                     one->state.limiter.status_of(busy, this->fleet.time())
-                         .absent_share);
-        for (const auto& [id, request] : this->works[number].requests) {
+        this->result.reserved_for_absent = std::max(
+            this->result.reserved_for_absent,
+            one->state.limiter.status_of(busy_workspace, this->fleet.time())
+                .absent_share);
+        for (const auto& [id, request] : this->processes[number].requests) {
             const bool late = this->fleet.time() - request.arrived > 1s;
             this->result.unanswered += late ? 1 : 0;
         }
     }
-    this->result.let /= this->limit() * (this->plan.seconds - roles_found);
+    this->result.admitted_share /=
+        this->limit() * (this->plan.seconds - roles_settled);
     this->result.busiest_bytes = static_cast<std::uint64_t>(
         static_cast<double>(this->fleet.busiest_bytes()) / this->plan.seconds);
     return this->result;
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
@@ -27,12 +27,13 @@
     std::uint32_t asked = 0;
     std::uint32_t refused = 0; // over the limit
     std::uint32_t unanswered = 0;
-    double let = 0;         // of what the limit allows in all that time
-    double worst_share = 0; // of what a window may hold, the most that one held
-    double worst_at = 0;    // seconds
+    double admitted_share = 0; // of what the limit allows in all that time
+    double peak_window_share =
+        0;              // of what a window may hold, the most that one held
+    double peak_at = 0; // seconds
     // Of the limit, kept at the end for entries that are not heard, the most at
     // one entry.
-    double kept_for_absent = 0;
+    double reserved_for_absent = 0;
     std::uint32_t dispatcher_changes = 0; // after the start of all entries
     std::uint64_t busiest_bytes = 0;      // of one entry, a second, on average
 };
@@ -42,7 +43,7 @@
 public:
     explicit limited_fleet(const fleet_plan& plan);
 
-    fleet_result play();
+    fleet_result run();
 
 private:
     using node = virtual_fleet::node;
@@ -54,36 +55,39 @@
     };
 
     // What one process has to do.
-    struct work {
+    struct process_state {
         dispatch::member_request_table book;
         std::map<std::uint64_t, waiting_request> requests;
         bool was_delegating = false;
     };
 
-    work& of(const node& one) { return this->works[one.number]; }
+    process_state& state_of(const node& one)
+    {
+        return this->processes[one.number];
+    }
     virtual_fleet::hooks hooks();
-    peer_events events_of(node& of);
+    peer_events events_of(node& process);
     double limit() const; // a second; its burst is as much
     void configure(node& one);
     double draw();
-    void ask();
-    void arrive(node& at, double cost);
-    void reported(node& dispatcher,
-                  base::slot_id member,
-                  const gossip::message& told);
-    void replied(node& member, const dispatch::dispatcher_reply& what);
+    void generate_requests();
+    void on_request(node& at, double cost);
+    void on_report(node& dispatcher,
+                   base::slot_id member,
+                   const gossip::message& told);
+    void on_reply(node& member, const dispatch::dispatcher_reply& what);
     void
-    place_alone(node& one, std::size_t unheard, const limit_handover* known);
-    dispatch::member_report report_of(const node& member);
-    void let_through(double cost);
+    dispatch_alone(node& one, std::size_t unheard, const limit_handover* known);
+    dispatch::member_report make_report(const node& member);
+    void admit(double cost);
     void count_changes(const node& one);
-    void judge();
+    void check_window();
 
     fleet_plan plan;
     std::mt19937_64 dice;
-    std::vector<work> works; // by entry
+    std::vector<process_state> processes; // by entry
     virtual_fleet fleet;
-    std::deque<std::pair<base::instant, double>> let;
+    std::deque<std::pair<base::instant, double>> admitted;
     std::uint64_t next_request = 1;
     fleet_result result;
 };
--- a/src/greengagedrum/entry/fleet_test/limited_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet_test.cpp
@@ -11,9 +11,9 @@
 
 using namespace std::chrono_literals;
 
-fleet_result played(const fleet_plan& plan)
+fleet_result run_plan(const fleet_plan& plan)
 {
-    const fleet_result got = limited_fleet(plan).play();
+    const fleet_result got = limited_fleet(plan).run();
     MESSAGE(plan.entries,
             " entries: refused ",
             got.refused,
@@ -22,11 +22,11 @@
             ", unanswered ",
             got.unanswered,
             ", let through ",
-            got.let,
+            got.admitted_share,
             " of the limit, window ",
-            got.worst_share,
+            got.peak_window_share,
             " at ",
-            got.worst_at,
+            got.peak_at,
             " s, changes ",
             got.dispatcher_changes,
             ", bytes a second ",
@@ -38,14 +38,14 @@
 // and is used.
 void check_both_loads(fleet_plan plan)
 {
-    const fleet_result usual = played(plan);
+    const fleet_result usual = run_plan(plan);
     CHECK(usual.refused < usual.asked / 100);
-    CHECK(usual.worst_share <= 1);
+    CHECK(usual.peak_window_share <= 1);
 
     plan.demand = 2;
-    const fleet_result busy = played(plan);
-    CHECK(busy.worst_share <= 1);
-    CHECK(busy.let >= 0.95);
+    const fleet_result busy = run_plan(plan);
+    CHECK(busy.peak_window_share <= 1);
+    CHECK(busy.admitted_share >= 0.95);
 }
 
 } // namespace
@@ -58,9 +58,9 @@
         plan.entries = entries;
         plan.restart_gap = 2s;
         plan.seconds = 50;
-        const fleet_result got = played(plan);
+        const fleet_result got = run_plan(plan);
         CHECK(got.refused < got.asked / 1000);
-        CHECK(got.worst_share <= 1);
+        CHECK(got.peak_window_share <= 1);
         // Those of the four data centres, and those that follow them, are
         // stopped; strong ones that are back change nothing.
         CHECK(got.dispatcher_changes <= (entries > 9 ? 8 : 0));
@@ -75,9 +75,9 @@
     plan.demand = 2;
     plan.restart_gap = 2s;
     plan.seconds = 50;
-    const fleet_result got = played(plan);
-    CHECK(got.worst_share <= 1);
-    CHECK(got.let >= 0.95);
+    const fleet_result got = run_plan(plan);
+    CHECK(got.peak_window_share <= 1);
+    CHECK(got.admitted_share >= 0.95);
 }
 
 // All dispatchers are killed, and those that follow them four seconds later.
@@ -112,9 +112,9 @@
         fleet_plan plan;
         plan.entries = entries;
         plan.all_killed_at = 15;
-        const fleet_result got = played(plan);
+        const fleet_result got = run_plan(plan);
         CHECK(got.refused < got.asked / 20);
-        CHECK(got.worst_share <= 1);
+        CHECK(got.peak_window_share <= 1);
     }
 }
 
@@ -128,7 +128,7 @@
     plan.shrinks_at = 5;
     plan.remaining_entries = 20;
     plan.seconds = 70;
-    CHECK(played(plan).kept_for_absent == 0);
+    CHECK(run_plan(plan).reserved_for_absent == 0);
 }
 
 // Dispatchers and others come and go in any way, with one workspace at 0.3 to 3
@@ -137,10 +137,10 @@
 {
     constexpr std::uint64_t seeds = 8;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const fleet_result got = limited_fleet(random_fleet_plan(seed)).play();
+        const fleet_result got = limited_fleet(random_fleet_plan(seed)).run();
         CAPTURE(seed);
-        CAPTURE(got.worst_at);
-        CHECK(got.worst_share <= 1);
+        CAPTURE(got.peak_at);
+        CHECK(got.peak_window_share <= 1);
     }
 }
 
@@ -149,10 +149,10 @@
 TEST_CASE("two_dispatchers_of_a_data_centre_keep_one_limit")
 {
     for (const std::uint64_t seed : {148U, 151U, 188U, 1044U}) {
-        const fleet_result got = limited_fleet(random_fleet_plan(seed)).play();
+        const fleet_result got = limited_fleet(random_fleet_plan(seed)).run();
         CAPTURE(seed);
-        CAPTURE(got.worst_at);
-        CHECK(got.worst_share <= 1);
+        CAPTURE(got.peak_at);
+        CHECK(got.peak_window_share <= 1);
     }
 }
 
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
@@ -13,9 +13,9 @@
 using namespace std::chrono_literals;
 
 constexpr base::duration step_length = 5ms;
-constexpr base::duration tick_gap = 20ms;
-constexpr base::duration near_way = 500us;
-constexpr base::duration far_way = 1400us;
+constexpr base::duration tick_interval = 20ms;
+constexpr base::duration near_latency = 500us;
+constexpr base::duration far_latency = 1400us;
 constexpr std::size_t seeds = 3;
 
 } // namespace
@@ -32,8 +32,8 @@
 }
 
 virtual_fleet::virtual_fleet(const fault_plan& plan, hooks owner)
-    : plan(plan), owner(std::move(owner)), begun(1h), now(1h),
-      nodes(plan.entries), back_at(plan.entries), sent_bytes(plan.entries)
+    : plan(plan), owner_hooks(std::move(owner)), started_at(1h), now(1h),
+      nodes(plan.entries), restart_at(plan.entries), sent_bytes(plan.entries)
 {
 }
 
@@ -47,7 +47,7 @@
 
 double virtual_fleet::seconds() const
 {
-    return std::chrono::duration<double>(this->now - this->begun).count();
+    return std::chrono::duration<double>(this->now - this->started_at).count();
 }
 
 std::uint64_t virtual_fleet::busiest_bytes() const
@@ -92,7 +92,7 @@
     fresh.number = number;
     fresh.address = first_address + static_cast<gossip::ipv4_address>(number);
     fresh.state.clock = [this] { return this->now; };
-    this->owner.configure(fresh);
+    this->owner_hooks.configure(fresh);
     peer_transport transport;
     transport.send = [this, &fresh](std::string_view bytes,
                                     gossip::ipv4_address to) {
@@ -108,12 +108,12 @@
                          const relay::http_get::answer& on_answer) {
         on_answer(tl::unexpected(std::string("not played")));
     };
-    fresh.protocol =
-        std::make_unique<peer_protocol>(this->settings_of(number),
-                                        base::incarnation{this->next_life++},
-                                        fresh.state,
-                                        this->owner.events(fresh),
-                                        std::move(transport));
+    fresh.protocol = std::make_unique<peer_protocol>(
+        this->settings_of(number),
+        base::incarnation{this->next_incarnation++},
+        fresh.state,
+        this->owner_hooks.events(fresh),
+        std::move(transport));
     fresh.protocol->record_store_answer();
     fresh.protocol->schedule_gossip();
 }
@@ -124,28 +124,28 @@
                          gossip::ipv4_address to,
                          std::string_view bytes)
 {
-    if (this->is_cut(from, to))
+    if (this->is_partitioned(from, to))
         return;
     constexpr std::uint64_t parts = 10'000;
-    const std::uint64_t lot =
+    const std::uint64_t draw =
         placement::mix(this->plan.seed, this->next_datagram++) % parts;
-    if (static_cast<double>(lot) < this->plan.lost_share * parts)
+    if (static_cast<double>(draw) < this->plan.lost_share * parts)
         return;
     const bool is_near = (from - first_address) % this->plan.data_centres ==
                          (to - first_address) % this->plan.data_centres;
-    std::deque<datagram>& way = is_near ? this->near : this->far;
-    way.push_back({this->now + (is_near ? near_way : far_way),
-                   from,
-                   to,
-                   std::string(bytes)});
+    std::deque<datagram>& queue = is_near ? this->near_queue : this->far_queue;
+    queue.push_back({this->now + (is_near ? near_latency : far_latency),
+                     from,
+                     to,
+                     std::string(bytes)});
 }
 
 void virtual_fleet::deliver()
 {
-    for (std::deque<datagram>* way : {&this->near, &this->far}) {
-        while (!way->empty() && way->front().arrives <= this->now) {
-            const datagram one = std::move(way->front());
-            way->pop_front();
+    for (std::deque<datagram>* queue : {&this->near_queue, &this->far_queue}) {
+        while (!queue->empty() && queue->front().arrives <= this->now) {
+            const datagram one = std::move(queue->front());
+            queue->pop_front();
             const std::size_t number = one.to - first_address;
             if (number >= this->nodes.size() || !this->nodes[number])
                 continue;
@@ -166,18 +166,19 @@
         one.timer_due_at.reset();
         one.protocol->on_timer();
     }
-    const auto turn = (this->now - this->begun) / step_length;
-    constexpr auto turns = tick_gap / step_length;
-    if ((turn + static_cast<std::int64_t>(one.number)) % turns == 0)
+    const auto tick = (this->now - this->started_at) / step_length;
+    constexpr auto ticks_per_interval = tick_interval / step_length;
+    if ((tick + static_cast<std::int64_t>(one.number)) % ticks_per_interval ==
+        0)
         one.protocol->tick(false);
-    this->owner.after_step(one);
+    this->owner_hooks.after_step(one);
 }
 
 void virtual_fleet::step()
 {
     this->now += step_length;
-    this->restart_due();
-    this->trouble_due();
+    this->restart_due_entries();
+    this->inject_due_faults();
     this->deliver();
     for (const std::unique_ptr<node>& one : this->nodes) {
         if (one)
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
@@ -96,27 +96,28 @@
     void send(gossip::ipv4_address from,
               gossip::ipv4_address to,
               std::string_view bytes);
-    bool is_cut(gossip::ipv4_address from, gossip::ipv4_address to) const;
+    bool is_partitioned(gossip::ipv4_address from,
+                        gossip::ipv4_address to) const;
     void deliver();
-    void end(std::size_t number);
-    void restart_due();
-    void trouble_due();
+    void stop_process(std::size_t number);
+    void restart_due_entries();
+    void inject_due_faults();
     void step(node& one);
 
     fault_plan plan;
-    hooks owner;
-    base::instant begun;
+    hooks owner_hooks;
+    base::instant started_at;
     base::instant now;
     std::vector<std::unique_ptr<node>> nodes; // null: it is down
-    std::vector<base::instant> back_at;       // of those that are down
-    std::deque<datagram> near;
-    std::deque<datagram> far;
+    std::vector<base::instant> restart_at;    // of those that are down
+    std::deque<datagram> near_queue;
+    std::deque<datagram> far_queue;
     std::vector<std::uint64_t> sent_bytes; // by entry
     std::size_t next_restart = 0;
     std::size_t next_killed = 0;
     std::size_t next_frozen = 0;
     bool all_killed = false;
-    std::uint64_t next_life = 1;
+    std::uint64_t next_incarnation = 1;
     std::uint64_t next_datagram = 0;
 };
 
