--- a/src/greengagedrum/entry/test/dispatch_test.cpp
+++ b/src/greengagedrum/entry/test/dispatch_test.cpp
@@ -19,10 +19,10 @@
                                     dispatch::dispatcher_reply&)>;
 
 // The strongest entry of the data centre, at another address of loopback.
-class played_dispatcher
+class fake_dispatcher
 {
 public:
-    played_dispatcher() : socket(this->context)
+    fake_dispatcher() : socket(this->context)
     {
         this->socket.open(relay::udp::v4());
         this->socket.bind({relay::asio::ip::make_address("127.0.0.2"), 0});
@@ -34,10 +34,10 @@
     void begin(decision what)
     {
         this->decide = std::move(what);
-        this->thread = std::thread([this] { this->play(); });
+        this->thread = std::thread([this] { this->serve(); });
     }
 
-    void fall_silent()
+    void stop_sending()
     {
         this->ended = true;
         if (this->thread.joinable())
@@ -47,7 +47,7 @@
     std::atomic<int> reports{0};
 
 private:
-    void play()
+    void serve()
     {
         while (!this->ended) {
             gossip::message out = this->own_message();
@@ -84,12 +84,12 @@
     {
         relay::error_code fault;
         for (;;) {
-            const std::size_t count =
-                this->socket.receive(relay::asio::buffer(this->room), 0, fault);
+            const std::size_t count = this->socket.receive(
+                relay::asio::buffer(this->buffer), 0, fault);
             if (fault)
                 return;
             const auto told =
-                gossip::decode_message({this->room.data(), count});
+                gossip::decode_message({this->buffer.data(), count});
             if (!told || told->kind != gossip::message_kind::report)
                 continue;
             this->reports += 1;
@@ -102,19 +102,19 @@
 
     relay::asio::io_context context;
     relay::udp::socket socket;
-    alignas(std::uint64_t) std::array<char, 65'536> room{};
+    alignas(std::uint64_t) std::array<char, 65'536> buffer{};
     std::uint64_t sequence = 0;
     decision decide;
     std::atomic<bool> ended{false};
     std::thread thread;
 };
 
-struct member_fixture : played_dispatcher, entry_fixture {
+struct member_fixture : fake_dispatcher, entry_fixture {
     explicit member_fixture(double limit_per_second = 1'000'000)
         : entry_fixture({limit_per_second, this->port(), {}})
     {
     }
-    ~member_fixture() { this->fall_silent(); }
+    ~member_fixture() { this->stop_sending(); }
 
     void begin_and_wait(decision what)
     {
@@ -155,7 +155,7 @@
     REQUIRE(got);
     CHECK(got->status == 200);
     CHECK(uncounted > 0);
-    this->fall_silent();
+    this->stop_sending();
 }
 
 // A workspace is beyond its limit over all entries, which only the dispatcher
@@ -172,7 +172,7 @@
     CHECK(got->status == 429);
     CHECK(std::stod(got->get_header_value("Retry-After")) == 3);
     CHECK(this->received_requests().empty());
-    this->fall_silent();
+    this->stop_sending();
 }
 
 // The dispatcher dies with a caller's request in its book. The entry places it
@@ -183,7 +183,7 @@
         [](const dispatch::slot_request&, dispatch::dispatcher_reply&) {});
     std::thread killer([this] {
         std::this_thread::sleep_for(100ms);
-        this->fall_silent();
+        this->stop_sending();
     });
     auto asked = this->client();
     const auto got = asked.Get("/again/", headers());
@@ -217,7 +217,7 @@
         });
     for (int tries = 0; tries < 300 && seen < callers; ++tries)
         std::this_thread::sleep_for(10ms);
-    this->fall_silent();
+    this->stop_sending();
     for (std::thread& one : asking)
         one.join();
     CHECK(answered == 1);
--- a/src/greengagedrum/entry/test/limit_test.cpp
+++ b/src/greengagedrum/entry/test/limit_test.cpp
@@ -10,13 +10,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::uint64_t plain_cost = 200; // tokens
+constexpr std::uint64_t request_cost = 200; // tokens
 
 // The place of another entry: the same port, at another address of loopback.
-class peer_place
+class fake_peer
 {
 public:
-    peer_place() : socket(this->context)
+    fake_peer() : socket(this->context)
     {
         this->socket.open(relay::udp::v4());
         this->socket.bind({relay::asio::ip::make_address("127.0.0.2"), 0});
@@ -26,21 +26,22 @@
     std::uint16_t port() const { return this->socket.local_endpoint().port(); }
 
     // Until a message of the entry says so, for three seconds at most.
-    bool hears(const std::function<bool(const quota::workspace_usage&)>& said)
+    bool receives_use(
+        const std::function<bool(const quota::workspace_usage&)>& matches)
     {
         for (int tries = 0; tries < 300; ++tries) {
             relay::error_code fault;
-            const std::size_t count =
-                this->socket.receive(relay::asio::buffer(this->room), 0, fault);
+            const std::size_t count = this->socket.receive(
+                relay::asio::buffer(this->buffer), 0, fault);
             if (fault) {
                 std::this_thread::sleep_for(10ms);
                 continue;
             }
             const auto told =
-                gossip::decode_message({this->room.data(), count});
+                gossip::decode_message({this->buffer.data(), count});
             REQUIRE(told);
             for (const quota::workspace_usage& one : told->workspace_uses) {
-                if (said(one))
+                if (matches(one))
                     return true;
             }
         }
@@ -50,10 +51,10 @@
 private:
     relay::asio::io_context context;
     relay::udp::socket socket;
-    alignas(std::uint64_t) std::array<char, 65'536> room{};
+    alignas(std::uint64_t) std::array<char, 65'536> buffer{};
 };
 
-struct limit_fixture : peer_place, entry_fixture {
+struct limit_fixture : fake_peer, entry_fixture {
     limit_fixture() : entry_fixture({100'000, this->port(), {{"127.0.0.2", 1}}})
     {
     }
@@ -67,9 +68,9 @@
 {
     auto asked = this->client();
     REQUIRE(asked.Get("/again/", headers()));
-    CHECK(this->hears([](const quota::workspace_usage& one) {
-        return one.sent_total == plain_cost && one.waiting == 0 &&
-               one.sent_in_window == plain_cost;
+    CHECK(this->receives_use([](const quota::workspace_usage& one) {
+        return one.sent_total == request_cost && one.waiting == 0 &&
+               one.sent_in_window == request_cost;
     }));
 }
 
@@ -92,8 +93,8 @@
             auto asked = this->client();
             asked.Get("/again/", headers());
         });
-    const bool full = this->hears([](const quota::workspace_usage& one) {
-        return one.sent_total == slots * plain_cost;
+    const bool full = this->receives_use([](const quota::workspace_usage& one) {
+        return one.sent_total == slots * request_cost;
     });
     {
         relay::asio::io_context context;
@@ -104,12 +105,12 @@
             "GET /again/ HTTP/1.1\r\nHost: hall.example\r\n"
             "X-Attempt-Id: a-1\r\nApi-Key: key-1\r\n\r\n";
         relay::asio::write(leaver, relay::asio::buffer(text));
-        CHECK(this->hears([](const quota::workspace_usage& one) {
-            return one.waiting == plain_cost;
+        CHECK(this->receives_use([](const quota::workspace_usage& one) {
+            return one.waiting == request_cost;
         }));
     }
-    CHECK(this->hears([](const quota::workspace_usage& one) {
-        return one.waiting == 0 && one.sent_total == slots * plain_cost;
+    CHECK(this->receives_use([](const quota::workspace_usage& one) {
+        return one.waiting == 0 && one.sent_total == slots * request_cost;
     }));
     answer = true;
     for (std::thread& one : callers)
--- a/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
+++ b/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
@@ -18,10 +18,10 @@
 constexpr double limit_per_second = 12'000;
 
 // Any address of loopback but the entry's; its port is the fleet's.
-class played_peers
+class fake_peers
 {
 public:
-    played_peers() : socket(this->context)
+    fake_peers() : socket(this->context)
     {
         this->socket.open(relay::udp::v4());
         this->socket.bind({relay::asio::ip::make_address("127.0.0.2"), 0});
@@ -59,7 +59,7 @@
     std::uint64_t sequence = 0;
 };
 
-struct replaced_dispatcher_fixture : played_peers, entry_fixture {
+struct replaced_dispatcher_fixture : fake_peers, entry_fixture {
     replaced_dispatcher_fixture()
         : entry_fixture({limit_per_second, this->port(), {}})
     {
