--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -167,7 +167,7 @@
         this->state.limiter.on_sent(cost->workspace, cost->amount, now);
 }
 
-void request_handler::decline_slot(const traffic::end_request& order)
+void request_handler::deny_slot(const traffic::end_request& order)
 {
     const auto cost = this->members.on_declined(order.request, order.verdict);
     if (cost)
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -157,7 +157,7 @@
     void execute_action(const traffic::suspicion_changed& change);
     void execute_action(const quarantine::quarantine_state_change& change);
     void grant_slot(const traffic::send_request& action);
-    void decline_slot(const traffic::end_request& action);
+    void deny_slot(const traffic::end_request& action);
     void apply_member_changes(const dispatch::request_changes& news);
     routing::data_centre_constraint
     homes_of(const traffic::request_facts& facts) const;
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -173,7 +173,7 @@
 void request_handler::execute_action(const traffic::end_request& action)
 {
     if (dispatch::member_request_table::is_member_request(action.request))
-        return this->decline_slot(action);
+        return this->deny_slot(action);
     const auto found = this->requests.find(action.request);
     if (found == this->requests.end())
         return;
