--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -142,7 +142,9 @@
 peer_events entry::make_peer_events()
 {
     peer_events out;
-    out.peer_load_changed = [this] { this->handler->place_waiting_requests(); };
+    out.peer_load_changed = [this] {
+        this->handler->dispatch_queued_requests();
+    };
     out.items_received = [this](const gossip::item_transfer& got) {
         this->apply_changes(this->state.cluster.apply(got, this->state.clock()),
                             "peer");
--- a/src/greengagedrum/entry/request_handler.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -312,7 +312,7 @@
         this->on_load_changed();
 }
 
-void request_handler::place_waiting_requests()
+void request_handler::dispatch_queued_requests()
 {
     if (this->processing_events)
         return;
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -56,7 +56,7 @@
     // Something was learnt, or time has passed.
     void tick();
     // Places may be free for what waits.
-    void place_waiting_requests();
+    void dispatch_queued_requests();
 
     void apply_upstream_changes(const cluster_changes& changes);
 
