--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -154,7 +154,7 @@
     out.delegation_started = [this] { this->handler->start_delegating(); };
     out.delegation_ended = [this](std::size_t unheard,
                                   const limit_handover* known) {
-        this->handler->place_locally(unheard, known);
+        this->handler->stop_delegating(unheard, known);
     };
     out.make_report = [this] { return this->handler->make_member_report(); };
     out.reply_received = [this](const dispatch::dispatcher_reply& what) {
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -68,8 +68,8 @@
 // Failure guarded against: a dispatcher dies, and each of its members has the
 // whole of every limit until it has counted the others: of three requests of
 // 200 tokens that waited, all three went out on a part of 285.
-void request_handler::place_locally(std::size_t unheard,
-                                    const limit_handover* known)
+void request_handler::stop_delegating(std::size_t unheard,
+                                      const limit_handover* known)
 {
     const base::instant now = this->state.clock();
     if (known != nullptr)
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -81,7 +81,7 @@
     // others it can't hear what they let through. `known`, if there is any, is
     // what the one that placed knew of limits.
     void start_delegating();
-    void place_locally(std::size_t unheard, const limit_handover* known);
+    void stop_delegating(std::size_t unheard, const limit_handover* known);
     // To whoever places, and what it replied.
     dispatch::member_report make_member_report() const;
     void on_dispatcher_reply(const dispatch::dispatcher_reply& what);
