--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -134,14 +134,14 @@
         return;
     }
     traffic::request_facts facts = wanted.facts;
-    facts.homes = this->homes_of(facts);
+    facts.homes = this->data_centre_constraint_of(facts);
     this->submit_event(
         traffic::request_arrived{id, facts, wanted.tried_upstreams});
 }
 
 // As the configuration in force here says: members ask by route and workspace.
-routing::data_centre_constraint
-request_handler::homes_of(const traffic::request_facts& facts) const
+routing::data_centre_constraint request_handler::data_centre_constraint_of(
+    const traffic::request_facts& facts) const
 {
     const routing::route_table_ptr& table = this->state.cluster.routes();
     const routing::route* route =
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -160,7 +160,7 @@
     void deny_slot(const traffic::end_request& action);
     void apply_member_changes(const dispatch::request_changes& news);
     routing::data_centre_constraint
-    homes_of(const traffic::request_facts& facts) const;
+    data_centre_constraint_of(const traffic::request_facts& facts) const;
     void add_member_request(base::request_id id,
                             const dispatch::slot_request& wanted);
     void count_waiting_requests();
