--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -244,7 +244,7 @@
     this->change_numbers[key] = this->applied_changes;
 }
 
-// Once upstreams publish a time of birth, an item without one is not an
+// Once upstreams publish a start time, an item without one is not an
 // upstream's.
 tl::expected<routing::published_upstream, std::string>
 cluster_state::read_upstream(const routing::store_item& item,
--- a/src/greengagedrum/entry/cluster_state.hpp
+++ b/src/greengagedrum/entry/cluster_state.hpp
@@ -19,8 +19,8 @@
 namespace greengagedrum::entry
 {
 
-// An upstream that must get no more requests, identified by the incarnation it
-// was known by.
+// An upstream that must get no more requests, with the incarnation that was
+// known.
 struct removed_upstream {
     std::string name;
     base::upstream_id id;
@@ -46,7 +46,7 @@
 class cluster_state
 {
 public:
-    // `whole`: the list holds all items as of that revision, so known items
+    // `complete`: the list holds all items as of that revision, so known items
     // missing from it have been removed.
     cluster_changes apply(const routing::store_item_list& items,
                           std::uint64_t as_of,
@@ -127,7 +127,7 @@
     std::unordered_map<std::string, std::uint64_t> change_numbers;
     std::uint64_t combined_digest = 0;
     std::unordered_map<std::string, std::uint64_t> item_hashes; // by item key
-    bool births_published = false; // some upstream published a time of birth
+    bool births_published = false; // by some upstream
     std::optional<base::instant> store_failing_since;
     base::instant removals_deferred_until;
 };
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
@@ -1,8 +1,7 @@
-// A fleet of entries before upstreams of one service, in virtual time, with a
-// caller whose request ends each upstream that runs it and who sends it again
-// and again. Each entry sends its own requests; where one entry of a data
-// centre places for all, the messages between them are played, the placing is
-// not.
+// A fleet of entries and upstreams of one service in virtual time, with a
+// caller that repeats a poison request: a request that crashes each upstream
+// that runs it. Each entry sends its own requests. The messages between a
+// dispatcher and its members are simulated, the dispatching is not.
 #pragma once
 
 #include <greengagedrum/entry/fleet_test/virtual_fleet.hpp>
@@ -19,28 +18,30 @@
 struct poison_request_plan : fault_plan {
     std::size_t upstreams = 9;
     base::duration poison_interval =
-        std::chrono::milliseconds(700); // between copies
-    std::size_t copies = 1;     // of the request, at once at different entries
-    std::size_t bodies = 1;     // different ones that crash upstreams, by turns
-    double requests = 40;       // a second, of other callers, in all
-    double same_body_share = 0; // of these, with one and the same body
-    bool crashes = true;        // else the request is answered like any other
-    // The connections of one entry are reset, so often.
+        // Between poison requests.
+        std::chrono::milliseconds(700);
+    // Copies of the poison request, sent at once to random entries.
+    std::size_t copies = 1;
+    std::size_t bodies = 1;     // different poison bodies, sent in turn
+    double requests = 40;       // ordinary requests a second, in total
+    double same_body_share = 0; // of the ordinary requests, with the same body
+    bool crashes = true; // false: poison requests are answered like any other
+    // Interval at which all connections of one entry are reset; 0: never.
     base::duration connection_reset_interval{0};
-    // An upstream ends by itself, so often.
+    // Interval at which an upstream exits for another reason; 0: never.
     base::duration upstream_exit_interval{0};
 };
 
 struct poison_request_result {
-    std::uint32_t poison_runs = 0; // upstreams that began to run such a request
-    std::uint32_t crashed = 0;     // upstreams that ended by it
-    std::uint32_t late_runs =
-        0;                      // runs of one body beyond its third crash, most
-    std::uint32_t ordinary = 0; // requests of other callers
-    std::uint32_t answered = 0; // of these
-    std::uint32_t refused_as_quarantined = 0; // of these, refused for crashes
-    std::uint64_t bytes_per_second = 0;       // a second, of the busiest entry
-    std::size_t records = 0;                  // kept by one entry, most
+    // Upstreams that began to run a poison request.
+    std::uint32_t poison_runs = 0;
+    std::uint32_t crashed = 0;   // upstreams that it crashed
+    std::uint32_t late_runs = 0; // most runs of one body after its third crash
+    std::uint32_t ordinary = 0;
+    std::uint32_t answered = 0;               // of the ordinary requests
+    std::uint32_t refused_as_quarantined = 0; // of the ordinary requests
+    std::uint64_t bytes_per_second = 0;       // of the busiest entry
+    std::size_t records = 0;                  // most crash records of any entry
 };
 
 class poison_request_fleet
@@ -58,7 +59,7 @@
         std::uint64_t process = 0;
         base::request_id request;
         std::uint32_t send = 0;
-        std::optional<std::size_t> body; // of those that crash upstreams
+        std::optional<std::size_t> body; // set for a poison request
         base::instant ends_at;
     };
 
@@ -69,12 +70,12 @@
         std::vector<run> runs;
     };
 
-    // What one process has to do.
+    // The state that one entry process has in the simulation.
     struct process_state {
         std::uint64_t process = 0;
         base::instant started_at;
         dispatch::member_request_table book;
-        // Requests under way that crash upstreams, and all others.
+        // Poison requests and ordinary requests in progress.
         std::map<base::request_id, std::size_t> poison;
         std::set<base::request_id> ordinary;
     };
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
@@ -14,7 +14,8 @@
 const base::upstream_class_id engines("engines");
 constexpr std::uint32_t slots = 50;
 constexpr base::duration request_interval =
-    50ms; // between requests at one entry
+    // Between requests at one entry.
+    50ms;
 constexpr base::duration window = 1s;
 
 } // namespace
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.hpp
@@ -1,6 +1,7 @@
-// A fleet of entries before cold upstreams, one in each data centre, with more
-// requests at each entry than they take, in virtual time. Each entry sends its
-// own requests: what may be sent in all is what the shares let through.
+// A fleet of entries in virtual time with one cold upstream per data centre and
+// more requests at each entry than these upstreams take. Each entry sends its
+// own requests, so the total is bounded only by the entries' shares of the
+// upstreams' start rates.
 #pragma once
 
 #include <greengagedrum/entry/fleet_test/virtual_fleet.hpp>
@@ -12,12 +13,13 @@
 {
 
 struct slow_start_plan : fault_plan {
-    std::uint32_t sends = 7; // to a cold upstream in a second
+    std::uint32_t sends = 7; // allowed to a cold upstream in a second
 };
 
 struct slow_start_result {
-    std::uint32_t max_per_second = 0; // sends to one upstream in any second
-    std::uint64_t sends = 0;          // in all
+    // The most sends to one upstream in any second.
+    std::uint32_t max_per_second = 0;
+    std::uint64_t sends = 0; // in total
 };
 
 class slow_start_fleet
--- a/src/greengagedrum/entry/rate_limited_log.hpp
+++ b/src/greengagedrum/entry/rate_limited_log.hpp
@@ -29,7 +29,7 @@
 private:
     double tokens = 0;
     base::instant refilled_at;
-    std::uint64_t suppressed = 0; // suppressed since the last line
+    std::uint64_t suppressed = 0; // since the last line
     std::uint64_t suppressed_total = 0;
     bool started = false;
 };
--- a/src/greengagedrum/entry/request_handler.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -11,20 +11,21 @@
 namespace
 {
 
-// Descriptors are bounded at some 4,000 on the smallest instances, and each
-// request under way takes a second one.
+// The smallest instances allow about 4,000 file descriptors, and each request
+// in progress needs a second one.
 constexpr std::size_t max_callers = 1800;
 
-// Bounds where the configuration has none, and before there is one.
+// Limits used until a configuration is known, and for those that the
+// configuration leaves out.
 constexpr std::size_t default_body_bytes = 4U << 20U;
 constexpr std::size_t default_head_bytes = 16U << 10U;
 constexpr base::duration default_time_left = std::chrono::seconds(30);
 
-// A configuration comes within a few store calls of a start.
+// The configuration arrives within a few store calls after the start.
 constexpr base::duration retry_after_unconfigured =
     std::chrono::milliseconds(500);
 
-// A prompt's output may be long; without a hint half of the most is expected.
+// Without a hint, the expected output is the maximum divided by this.
 constexpr std::uint32_t output_divisor = 2;
 
 std::string_view path_of(std::string_view target)
@@ -109,8 +110,6 @@
     return {own.address().to_string(), own.port()};
 }
 
-// ---- Requests -------------------------------------------------------------
-
 std::optional<relay::own_answer>
 request_handler::admit(const relay::request_head& head,
                        base::duration waited,
@@ -342,8 +341,6 @@
         request.http_exchange->resume_reading();
 }
 
-// ---- Stopping -------------------------------------------------------------
-
 void request_handler::begin_stop()
 {
     for (const relay::caller_ptr& one : this->callers)
@@ -352,7 +349,7 @@
 
 void request_handler::stop_accepting()
 {
-    relay::error_code ignored; // closed either way
+    relay::error_code ignored; // the acceptor is closed in either case
     this->acceptor.close(ignored);
     const std::vector<relay::caller_ptr> all(this->callers.begin(),
                                              this->callers.end());
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -1,4 +1,5 @@
-// Takes callers' requests, has them decided, and carries the decisions out.
+// Accepts callers' requests, submits them to the scheduler and executes the
+// actions that the scheduler returns.
 #pragma once
 
 #include <greengagedrum/dispatch/member_request_table.hpp>
@@ -21,7 +22,7 @@
 namespace greengagedrum::entry
 {
 
-// What the parts of an entry share; they all run on its one loop.
+// State shared by the parts of an entry, which all run on its event loop.
 struct shared_state {
     std::function<base::instant()> clock;
     cluster_state cluster;
@@ -30,19 +31,19 @@
     rate_limited_log log;
     telemetry::registry metrics;
     bool stopping = false;
-    // Another entry places this one's requests and counts them against their
-    // limits.
+    // True while another entry, the dispatcher, dispatches this entry's
+    // requests and counts them against the workspaces' limits.
     bool delegating = false;
     routing::region_map regions{};
 };
 
-// What a dispatcher knows of limits, as it tells the entries next in line.
+// The limit state that a dispatcher hands over to the entries next in line for
+// its role.
 struct limit_handover {
     base::slot_id sender;
     base::incarnation incarnation;
     std::vector<quota::workspace_usage> usage;
-    bool sender_stopping =
-        false; // it has none but its own requests from then on
+    bool sender_stopping = false; // it then serves only its own requests
     base::instant received_at;
 };
 
@@ -53,40 +54,39 @@
                     const base::ip_endpoint& address,
                     shared_state& state);
 
-    // Something was learnt, or time has passed.
+    // Called when state has changed and at regular intervals.
     void tick();
-    // Places may be free for what waits.
+    // Called when slots may have become free for queued requests.
     void dispatch_queued_requests();
 
     void apply_upstream_changes(const cluster_changes& changes);
 
-    // Answers say that their connections close from now on.
+    // From now on responses announce that their connections close.
     void begin_stop();
-    // Takes no further connections, and closes those that are idle.
+    // Stops accepting connections and closes the idle ones.
     void stop_accepting();
 
-    // Where it listens, also when it was given any port.
+    // The listening address, with the actual port if it was configured as 0.
     base::ip_endpoint address() const;
 
     std::size_t in_flight() const { return this->requests.size(); }
     std::size_t open_connections() const { return this->callers.size(); }
 
-    // Told when the places taken on upstreams have changed, or what waits for
-    // them.
+    // Called when the slots taken on upstreams or the queued requests have
+    // changed.
     std::function<void()> on_load_changed = [] {};
 
-    // ---- Where one entry of a data centre places for all --------------------
-
-    // Another entry places from now on, or this one does again; of so many
-    // others it can't hear what they let through. `known`, if there is any, is
-    // what the one that placed knew of limits.
+    // Switch between delegating dispatching to another entry and dispatching in
+    // this one. `unheard`: how many other entries may admit requests of which
+    // this entry gets no reports. `known`: the limit state received from the
+    // former dispatcher, or null.
     void start_delegating();
     void stop_delegating(std::size_t unheard, const limit_handover* known);
-    // To whoever places, and what it replied.
+    // The report for the dispatcher, and the handling of its reply.
     dispatch::member_report make_member_report() const;
     void on_dispatcher_reply(const dispatch::dispatcher_reply& what);
 
-    // What a member reported, and that it is gone.
+    // Called on the dispatcher when a member has reported or has been lost.
     void on_member_report(base::slot_id member,
                           base::incarnation life,
                           const dispatch::member_report& told,
@@ -101,15 +101,15 @@
         base::instant end_at;
         base::workspace_id workspace;
         base::request_digest digest;
-        double cost = 0; // counted against its workspace's limit
+        double cost = 0; // counted against the workspace's limit
         std::uint32_t priority = 0;
-        bool counted_here = true; // here, and not where it is placed
+        bool counted_here = true; // false: by the dispatcher
         telemetry::series_key series;
         base::duration objective{0};
         base::duration gap_objective{0}; // between events; 0: none
         std::optional<base::instant> sent_at;
         base::instant last_sent_at;
-        std::string upstream; // of the last send
+        std::string upstream; // the last one sent to
         std::optional<base::instant> first_event_at;
         base::instant last_event_at;
         base::duration longest_gap{0}; // between events
@@ -117,7 +117,8 @@
         bool in_time(base::instant first_event) const;
     };
 
-    // What was found out about a request before it is decided on.
+    // A request's properties, collected before it is submitted to the
+    // scheduler.
     struct request_properties {
         request_info origin;
         traffic::request_facts facts;
@@ -129,7 +130,8 @@
     void accept();
     void on_request(const relay::caller_ptr& from, base::duration waited);
     void on_caller_left(const relay::caller_ptr& from);
-    // The answer of a request that is not let in; else `out` is filled.
+    // Returns the error response for a request that is not admitted; otherwise
+    // fills `out`.
     std::optional<relay::own_answer> admit(const relay::request_head& head,
                                            base::duration waited,
                                            request_properties& out);
@@ -170,7 +172,7 @@
                         double cost,
                         std::uint32_t priority,
                         base::duration retry_after);
-    // The request did not run: its workspace may use the cost for others.
+    // Refunds the cost of a request that did not run.
     void refund_cost(const active_request& request);
     void finish(base::request_id id, const base::verdict* failed);
     relay::caller_bounds bounds() const;
@@ -183,12 +185,12 @@
     std::unordered_map<base::request_id, active_request> requests;
     std::unordered_map<relay::caller_connection*, base::request_id> by_caller;
     std::unordered_map<base::request_id, base::upstream_id> sent_to;
-    std::unordered_set<base::upstream_id> connect_checks; // just now
+    std::unordered_set<base::upstream_id> connect_checks; // in progress
     dispatch::member_request_table members;
     dispatch::send_status_log journal;
     std::uint64_t next_request = 1;
     std::mt19937_64 random_engine;
-    bool processing_events = false; // events told meanwhile wait in `backlog`
+    bool processing_events = false; // new events go to pending_events
     std::vector<traffic::event> pending_events;
 };
 
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -1,4 +1,5 @@
-// How facts about requests reach the scheduler, and its orders the sockets.
+// The part of request_handler that passes events to the scheduler and executes
+// the actions it returns.
 #include <greengagedrum/entry/crash_suspect_log.hpp>
 #include <greengagedrum/entry/request_handler.hpp>
 #include <greengagedrum/entry/to_milliseconds.hpp>
@@ -12,15 +13,14 @@
 namespace
 {
 
-// A process that ends may close its listening socket after its connections.
+// A process that exits may close its listening socket later than its
+// connections, so the connect check waits this long.
 constexpr base::duration connect_check_delay = std::chrono::milliseconds(20);
 
 } // namespace
 
-// ---- Decisions ------------------------------------------------------------
-
-// Carrying out a decision may tell the next fact at once; it is decided on
-// after all orders of the first were carried out.
+// Executing an action may submit another event at once. That event is processed
+// after all actions of the current one have been executed.
 void request_handler::submit_event(const traffic::event& event)
 {
     this->pending_events.push_back(event);
@@ -93,7 +93,7 @@
     const base::instant now = this->state.clock();
     for (const removed_upstream& one : changes.removed)
         this->state.scheduler.upstream_left(one.id);
-    // The same news may have taken away what it brought.
+    // The same changes may have removed an upstream that they added.
     for (const routing::published_upstream& one : changes.added) {
         if (this->state.cluster.upstreams().find_usable(one.id) != nullptr)
             this->state.scheduler.upstream_joined(one, now);
@@ -118,7 +118,7 @@
     const routing::published_upstream* to =
         this->state.cluster.upstreams().find_usable(action.upstream);
     if (to == nullptr) {
-        // It left within this very turn.
+        // The upstream was removed earlier in this iteration of the loop.
         return this->submit_event(
             traffic::connect_failed{action.request, action.send});
     }
@@ -184,7 +184,8 @@
     http_exchange->fail(action.verdict);
 }
 
-// One connect for all whose connections to it were lost.
+// Runs a single connect check per upstream, however many connections to it were
+// lost.
 void request_handler::execute_action(const traffic::check_upstream& action)
 {
     const routing::published_upstream* to =
--- a/src/greengagedrum/entry/store_reader.hpp
+++ b/src/greengagedrum/entry/store_reader.hpp
@@ -20,7 +20,7 @@
 {
 
 struct store_events {
-    // All items (`whole`), or those changed since the last call.
+    // All items (`complete`), or those changed since the last call.
     std::function<void(
         const routing::store_item_list& items, std::uint64_t as_of, bool whole)>
         items_received;
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -277,7 +277,7 @@
     REQUIRE(changes.removed.size() == 1);
     REQUIRE(changes.added.size() == 1);
     CHECK(changes.removed.front().id != changes.added.front().id);
-    // Once upstreams publish a time of birth, an item without one is not an
+    // Once upstreams publish a start time, an item without one is not an
     // upstream's.
     CHECK(this->apply_changes({upstream_item("i-2", 9)}, 9).added.empty());
 }
--- a/src/greengagedrum/entry/test/entry_fixture.hpp
+++ b/src/greengagedrum/entry/test/entry_fixture.hpp
@@ -42,8 +42,8 @@
     double limit_per_second = 0; // limit of the workspace, in tokens; 0: none
     std::uint16_t peer_port = 0; // 0: any
     std::vector<base::ip_endpoint> seeds{};
-    std::vector<int> upstream_ports{}; // servers of the test that replace the
-                                       // fixture's upstream
+    // Servers of the test that replace the fixture's upstream.
+    std::vector<int> upstream_ports{};
 };
 
 class entry_fixture
--- a/src/greengagedrum/entry/test/entry_test.cpp
+++ b/src/greengagedrum/entry/test/entry_test.cpp
@@ -30,8 +30,7 @@
                 sink.write(text.data(), text.size());
             }
             if (cut)
-                return false; // closes the connection before the end of the
-                              // stream
+                return false; // cuts the stream
             sink.done();
             return true;
         });
