--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -49,7 +49,7 @@
 cluster_changes
 cluster_state::apply(const routing::store_item_list& listed_items,
                      std::uint64_t as_of,
-                     bool whole,
+                     bool complete,
                      base::instant now)
 {
     cluster_changes out;
@@ -63,7 +63,7 @@
         if (!is_evacuation(one))
             this->apply_item(one, now, out);
     }
-    if (whole) {
+    if (complete) {
         std::set<std::string_view> listed;
         for (const routing::store_item& one : listed_items)
             listed.insert(one.key);
@@ -253,23 +253,23 @@
     auto read = platform::read_upstream(item);
     if (!read)
         return read;
-    if (read->started_unix_ms && !this->births_published)
-        this->drop_upstreams_without_birth(out);
-    if (this->births_published && !read->started_unix_ms)
+    if (read->started_unix_ms && !this->start_times_published)
+        this->drop_upstreams_without_start_time(out);
+    if (this->start_times_published && !read->started_unix_ms)
         return tl::unexpected(std::string("no time of birth"));
     return read;
 }
 
-void cluster_state::drop_upstreams_without_birth(cluster_changes& out)
+void cluster_state::drop_upstreams_without_start_time(cluster_changes& out)
 {
-    this->births_published = true;
-    std::vector<routing::published_upstream> without_birth;
+    this->start_times_published = true;
+    std::vector<routing::published_upstream> without_start_time;
     this->directory.for_each_usable(
         [&](const routing::published_upstream& one) {
             if (!one.started_unix_ms)
-                without_birth.push_back(one);
+                without_start_time.push_back(one);
         });
-    for (const routing::published_upstream& one : without_birth) {
+    for (const routing::published_upstream& one : without_start_time) {
         this->directory.remove(one.name, one.revision, std::nullopt);
         out.removed.push_back({one.name, one.id});
     }
@@ -289,8 +289,8 @@
         out.removed.push_back({name, *before});
     if (change == upstream_change::left)
         return;
-    const auto life = this->directory.latest_incarnation(name);
-    out.added.push_back(*this->directory.find_usable(*life));
+    const auto incarnation = this->directory.latest_incarnation(name);
+    out.added.push_back(*this->directory.find_usable(*incarnation));
 }
 
 std::optional<base::instant>
--- a/src/greengagedrum/entry/cluster_state.hpp
+++ b/src/greengagedrum/entry/cluster_state.hpp
@@ -50,7 +50,7 @@
     // missing from it have been removed.
     cluster_changes apply(const routing::store_item_list& items,
                           std::uint64_t as_of,
-                          bool whole,
+                          bool complete,
                           base::instant now);
 
     // Items received from a peer, which cover all changes since
@@ -111,7 +111,7 @@
                                 cluster_changes& out);
     tl::expected<routing::published_upstream, std::string>
     read_upstream(const routing::store_item& item, cluster_changes& out);
-    void drop_upstreams_without_birth(cluster_changes& out);
+    void drop_upstreams_without_start_time(cluster_changes& out);
     void record_change(const std::string& key);
     void update_digest(const std::string& key, std::uint64_t hash);
     void drop_oldest_empty_item();
@@ -127,7 +127,7 @@
     std::unordered_map<std::string, std::uint64_t> change_numbers;
     std::uint64_t combined_digest = 0;
     std::unordered_map<std::string, std::uint64_t> item_hashes; // by item key
-    bool births_published = false; // by some upstream
+    bool start_times_published = false; // by some upstream
     std::optional<base::instant> store_failing_since;
     base::instant removals_deferred_until;
 };
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -93,8 +93,8 @@
     store_callbacks.items_received =
         [this](const routing::store_item_list& items,
                std::uint64_t as_of,
-               bool whole) {
-            this->on_store_items(items, as_of, whole, "store");
+               bool complete) {
+            this->on_store_items(items, as_of, complete, "store");
         };
     store_callbacks.page_received =
         [this](const routing::store_item_list& items) {
--- a/src/greengagedrum/entry/entry.hpp
+++ b/src/greengagedrum/entry/entry.hpp
@@ -53,7 +53,7 @@
     void check_settings();
     void on_store_items(const routing::store_item_list& items,
                         std::uint64_t as_of,
-                        bool whole,
+                        bool complete,
                         const char* source);
     void apply_changes(const cluster_changes& changes, const char* source);
     void on_store_failed(const std::string& why);
--- a/src/greengagedrum/entry/store_reader.hpp
+++ b/src/greengagedrum/entry/store_reader.hpp
@@ -21,8 +21,9 @@
 
 struct store_events {
     // All items (`complete`), or those changed since the last call.
-    std::function<void(
-        const routing::store_item_list& items, std::uint64_t as_of, bool whole)>
+    std::function<void(const routing::store_item_list& items,
+                       std::uint64_t as_of,
+                       bool complete)>
         items_received;
     // A part of all items, reported before the rest is read. The items are
     // valid, but the call does not mean that anything else is up to date.
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -56,12 +56,13 @@
     return {"op/evacuate/hall", "", revision, false};
 }
 
-routing::store_item
-item_with_birth(const char* name, std::uint64_t born, std::uint64_t revision)
+routing::store_item item_with_start_time(const char* name,
+                                         std::uint64_t started_ms,
+                                         std::uint64_t revision)
 {
     routing::store_item out = upstream_item(name, revision);
     out.value.back() = ',';
-    out.value += R"("born": )" + std::to_string(born) + "}";
+    out.value += R"("born": )" + std::to_string(started_ms) + "}";
     return out;
 }
 
@@ -271,9 +272,9 @@
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "restarted_upstream_is_removed_and_added")
 {
-    this->apply_listing({item_with_birth("i-1", 1'000, 4)}, 6);
+    this->apply_listing({item_with_start_time("i-1", 1'000, 4)}, 6);
     const auto changes =
-        this->apply_changes({item_with_birth("i-1", 2'000, 7)}, 7);
+        this->apply_changes({item_with_start_time("i-1", 2'000, 7)}, 7);
     REQUIRE(changes.removed.size() == 1);
     REQUIRE(changes.added.size() == 1);
     CHECK(changes.removed.front().id != changes.added.front().id);
@@ -299,7 +300,7 @@
 {
     this->apply_listing({upstream_item("i-1", 4)}, 4);
     const auto changes =
-        this->apply_changes({item_with_birth("i-2", 2'000, 7)}, 7);
+        this->apply_changes({item_with_start_time("i-2", 2'000, 7)}, 7);
     CHECK(changes.removed.size() == 1);
     CHECK(this->cluster.upstreams().usable_count() == 1);
 }
