--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -7,7 +7,7 @@
 
 // Requests that wait were to be counted by the entry that placed them. All are
 // counted before the first is ended, for then others may be sent.
-void request_handler::count_waiting_requests()
+void request_handler::charge_queued_requests()
 {
     std::vector<std::pair<base::request_id, base::duration>> beyond;
     for (auto& [id, request] : this->requests) {
@@ -25,11 +25,11 @@
         beyond.emplace_back(id, *over);
     }
     for (const auto& [id, retry_after] : beyond)
-        this->refuse_waiting_request(id, retry_after);
+        this->refuse_queued_request(id, retry_after);
 }
 
-void request_handler::refuse_waiting_request(base::request_id id,
-                                             base::duration retry_after)
+void request_handler::refuse_queued_request(base::request_id id,
+                                            base::duration retry_after)
 {
     this->submit_event(traffic::caller_left{id});
     this->execute_action(traffic::end_request{
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -33,14 +33,14 @@
                                one.upstream,
                                one.pending_prefill_tokens});
     }
-    out.status_updates = this->journal.unacknowledged();
+    out.status_updates = this->send_statuses.unacknowledged();
     return out;
 }
 
 void request_handler::on_dispatcher_reply(
     const dispatch::dispatcher_reply& what)
 {
-    this->journal.acknowledge(what.acked_status);
+    this->send_statuses.acknowledge(what.acked_status);
     for (const dispatch::slot_grant& one : what.grants)
         this->submit_event(traffic::slot_granted{one.id.request,
                                                  one.id.send,
@@ -81,7 +81,7 @@
     this->state.limiter.update_silent_peers(now);
     this->state.delegating = false;
     this->state.scheduler.set_delegating(false);
-    this->count_waiting_requests();
+    this->charge_queued_requests();
 }
 
 // ---- Members' requests ----------------------------------------------------
--- a/src/greengagedrum/entry/request_handler.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -116,9 +116,9 @@
                        request_properties& out)
 {
     using relay::own_answer;
-    if (auto fault = platform::read_request_marks(head, out.origin.marks))
+    if (auto fault = platform::read_request_marks(head, out.info.marks))
         return own_answer{400, std::move(*fault), {}};
-    if (out.origin.marks.attempt.empty())
+    if (out.info.marks.attempt.empty())
         return own_answer{400, "no request id", {}};
     const routing::route_table_ptr& table = this->state.cluster.routes();
     if (!table)
@@ -128,9 +128,8 @@
     if (route == nullptr)
         return own_answer{404, "no such route", {}};
     const routing::workspace* owner =
-        out.origin.marks.key.empty()
-            ? nullptr
-            : table->find_workspace(out.origin.marks.key);
+        out.info.marks.key.empty() ? nullptr
+                                   : table->find_workspace(out.info.marks.key);
     const bool needs_key =
         !route->anonymous && !table->config().workspaces.empty();
     if (needs_key && owner == nullptr)
@@ -144,7 +143,7 @@
                                  base::duration waited,
                                  request_properties& out)
 {
-    const platform::request_marks& marks = out.origin.marks;
+    const platform::request_marks& marks = out.info.marks;
     const double draw =
         std::uniform_real_distribution<double>(0.0, 1.0)(this->random_engine);
     const routing::route_target& target =
@@ -168,14 +167,14 @@
     if (route.timeout.count() > 0)
         left = std::min(left, route.timeout - waited);
     facts.time_left = std::max(left, base::duration(0));
-    out.origin.route = route.name;
-    out.origin.stream = route.stream;
-    out.origin.repeatable = route.retry != routing::retry_policy::at_most_once;
+    out.info.route = route.name;
+    out.info.stream = route.stream;
+    out.info.repeatable = route.retry != routing::retry_policy::at_most_once;
     out.series = {"", tier_of(facts.priority), route.name};
     if (owner == nullptr)
         return;
     facts.workspace = owner->id;
-    out.origin.workspace = owner->name;
+    out.info.workspace = owner->name;
     out.series.workspace = owner->name;
     out.workspace = owner->id;
     const double tokens =
@@ -193,12 +192,12 @@
         from->set_closing();
     request_properties request;
     const auto refusal = this->admit(from->head(), waited, request);
-    const std::string attempt = request.origin.marks.attempt;
+    const std::string attempt = request.info.marks.attempt;
     if (refusal)
         return this->refuse(from, attempt, *refusal);
     const relay::request_head& head = from->head();
     request.facts.digest = base::digest_of_request(
-        request.origin.workspace, head.method, head.target, from->body());
+        request.info.workspace, head.method, head.target, from->body());
     const bool counted_here = !this->state.delegating;
     const auto retry_after =
         counted_here
@@ -211,8 +210,8 @@
         "request_arrived",
         {{"request", attempt},
          {"digest", base::to_hex(request.facts.digest)},
-         {"route", request.origin.route},
-         {"workspace", request.origin.workspace},
+         {"route", request.info.route},
+         {"workspace", request.info.workspace},
          {"priority", request.facts.priority},
          {"prompt_tokens", request.facts.prompt_tokens},
          {"time_left_ms", to_milliseconds(request.facts.time_left)},
@@ -231,7 +230,7 @@
             relay::own_answer{429, "limit_reached", retry_after});
     }
     const base::request_id id{this->next_request++};
-    request.origin.id = id;
+    request.info.id = id;
     active_request& active = this->requests[id];
     active.arrived = now - waited;
     active.workspace = request.workspace;
@@ -242,7 +241,7 @@
     active.digest = request.facts.digest;
     active.objective = request.facts.objective;
     active.gap_objective = request.facts.gap_objective;
-    active.http_exchange = this->make_exchange(from, std::move(request.origin));
+    active.http_exchange = this->make_exchange(from, std::move(request.info));
     this->by_caller[from.get()] = id;
     this->submit_event(traffic::request_arrived{id, request.facts});
     if (this->state.delegating)
@@ -267,19 +266,18 @@
 }
 
 std::shared_ptr<exchange>
-request_handler::make_exchange(const relay::caller_ptr& from,
-                               request_info origin)
+request_handler::make_exchange(const relay::caller_ptr& from, request_info info)
 {
     exchange::owner_events owner;
-    const base::request_id id = origin.id;
+    const base::request_id id = info.id;
     owner.on_event = [this](const traffic::event& event) {
         this->submit_event(event);
     };
-    owner.on_send_ended = [this, id](const send_outcome& report) {
-        this->log_send_report(id, report);
+    owner.on_send_ended = [this, id](const send_outcome& outcome) {
+        this->log_send_outcome(id, outcome);
     };
     return std::make_shared<exchange>(
-        this->context, from, std::move(origin), std::move(owner));
+        this->context, from, std::move(info), std::move(owner));
 }
 
 void request_handler::on_caller_left(const relay::caller_ptr& from)
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -84,13 +84,13 @@
     void stop_delegating(std::size_t unheard, const limit_handover* known);
     // The report for the dispatcher, and the handling of its reply.
     dispatch::member_report make_member_report() const;
-    void on_dispatcher_reply(const dispatch::dispatcher_reply& what);
+    void on_dispatcher_reply(const dispatch::dispatcher_reply& reply);
 
     // Called on the dispatcher when a member has reported or has been lost.
     void on_member_report(base::slot_id member,
-                          base::incarnation life,
-                          const dispatch::member_report& told,
-                          std::span<const traffic::upstream_load> uses);
+                          base::incarnation incarnation,
+                          const dispatch::member_report& report,
+                          std::span<const traffic::upstream_load> loads);
     void on_member_lost(base::slot_id member);
     dispatch::member_request_table& member_requests() { return this->members; }
 
@@ -120,7 +120,7 @@
     // A request's properties, collected before it is submitted to the
     // scheduler.
     struct request_properties {
-        request_info origin;
+        request_info info;
         traffic::request_facts facts;
         base::workspace_id workspace;
         double cost = 0;
@@ -143,10 +143,10 @@
                 const std::string& attempt,
                 const relay::own_answer& answer);
     std::shared_ptr<exchange> make_exchange(const relay::caller_ptr& from,
-                                            request_info origin);
+                                            request_info info);
     void submit_event(const traffic::event& event);
     void process_pending_events();
-    void log_send_report(base::request_id id, const send_outcome& report);
+    void log_send_outcome(base::request_id id, const send_outcome& outcome);
     void record_progress(const traffic::event& event);
     void mark_misdirected(base::upstream_id upstream);
     void handle_misdirection(const traffic::event& event);
@@ -160,14 +160,13 @@
     void execute_action(const quarantine::quarantine_state_change& change);
     void grant_slot(const traffic::send_request& action);
     void deny_slot(const traffic::end_request& action);
-    void apply_member_changes(const dispatch::request_changes& news);
+    void apply_member_changes(const dispatch::request_changes& changes);
     routing::data_centre_constraint
     data_centre_constraint_of(const traffic::request_facts& facts) const;
     void add_member_request(base::request_id id,
                             const dispatch::slot_request& wanted);
-    void count_waiting_requests();
-    void refuse_waiting_request(base::request_id id,
-                                base::duration retry_after);
+    void charge_queued_requests();
+    void refuse_queued_request(base::request_id id, base::duration retry_after);
     void log_over_limit(base::workspace_id workspace,
                         double cost,
                         std::uint32_t priority,
@@ -187,7 +186,7 @@
     std::unordered_map<base::request_id, base::upstream_id> sent_to;
     std::unordered_set<base::upstream_id> connect_checks; // in progress
     dispatch::member_request_table members;
-    dispatch::send_status_log journal;
+    dispatch::send_status_log send_statuses;
     std::uint64_t next_request = 1;
     std::mt19937_64 random_engine;
     bool processing_events = false; // new events go to pending_events
--- a/src/greengagedrum/entry/scheduler_actions.cpp
+++ b/src/greengagedrum/entry/scheduler_actions.cpp
@@ -39,7 +39,7 @@
         this->record_progress(event);
         this->handle_misdirection(event);
         if (this->state.delegating)
-            this->journal.record(event);
+            this->send_statuses.record(event);
         traffic::actions actions;
         this->state.scheduler.step(event, this->state.clock(), actions);
         this->execute(actions);
@@ -73,11 +73,11 @@
 
 void request_handler::handle_misdirection(const traffic::event& event)
 {
-    const auto* turned_away = std::get_if<traffic::send_rejected>(&event);
-    if (turned_away == nullptr ||
-        turned_away->cause != traffic::rejection::misdirected)
+    const auto* rejected = std::get_if<traffic::send_rejected>(&event);
+    if (rejected == nullptr ||
+        rejected->cause != traffic::rejection::misdirected)
         return;
-    const auto found = this->sent_to.find(turned_away->request);
+    const auto found = this->sent_to.find(rejected->request);
     if (found != this->sent_to.end())
         this->mark_misdirected(found->second);
 }
@@ -156,8 +156,8 @@
     if (found == this->requests.end())
         return;
     found->second.http_exchange->stop_send();
-    this->log_send_report(action.request,
-                          {action.send, 0, 0, "cancelled by the scheduler"});
+    this->log_send_outcome(action.request,
+                           {action.send, 0, 0, "cancelled by the scheduler"});
 }
 
 void request_handler::execute_action(const traffic::deliver_answer& action)
@@ -205,13 +205,13 @@
 
 void request_handler::execute_action(const traffic::suspicion_changed& change)
 {
-    const routing::published_upstream* of =
+    const routing::published_upstream* upstream =
         this->state.cluster.upstreams().find_alive(change.upstream);
     this->state.log.write(
         this->state.clock(),
         "scheduler",
         change.suspected ? "upstream_suspected" : "upstream_cleared",
-        {{"upstream", of == nullptr ? std::string() : of->name},
+        {{"upstream", upstream == nullptr ? std::string() : upstream->name},
          {"cause", change.cause},
          {"bad_share", change.failure_rate}});
 }
@@ -227,19 +227,19 @@
     const auto found = this->requests.find(id);
     const active_request& request = found->second;
     const base::instant now = this->state.clock();
-    const base::duration total = now - request.arrived;
+    const base::duration total_time = now - request.arrived;
     const std::shared_ptr<exchange>& http_exchange = request.http_exchange;
     telemetry::request_ended ended;
     ended.series = request.series;
     if (failed != nullptr)
         ended.failed = *failed;
-    const base::instant first = request.first_event_at.value_or(now);
-    ended.in_time = request.in_time(first);
-    ended.total = total;
+    const base::instant first_event = request.first_event_at.value_or(now);
+    ended.in_time = request.in_time(first_event);
+    ended.total = total_time;
     if (request.sent_at)
         ended.queue_wait = *request.sent_at - request.arrived;
     if (request.first_event_at)
-        ended.first_token = first - request.arrived;
+        ended.first_token = first_event - request.arrived;
     this->state.metrics.add(ended);
     if (failed == nullptr)
         this->state.log.write(
@@ -248,8 +248,8 @@
             "request_answered",
             {{"request", http_exchange->info().marks.attempt},
              {"status", http_exchange->status()},
-             {"total_ms", to_milliseconds(total)},
-             {"first_ms", to_milliseconds(first - request.arrived)},
+             {"total_ms", to_milliseconds(total_time)},
+             {"first_ms", to_milliseconds(first_event - request.arrived)},
              {"longest_gap_ms", to_milliseconds(request.longest_gap)},
              {"objective_ms", to_milliseconds(request.objective)},
              {"gap_objective_ms", to_milliseconds(request.gap_objective)},
@@ -261,7 +261,7 @@
                               {{"request", http_exchange->info().marks.attempt},
                                {"verdict", base::to_string(failed->run)},
                                {"why", base::to_string(failed->why)},
-                               {"total_ms", to_milliseconds(total)},
+                               {"total_ms", to_milliseconds(total_time)},
                                {"waiting", this->state.scheduler.waiting()},
                                {"retry_after_ms",
                                 to_milliseconds(failed->retry_after.value_or(
@@ -271,8 +271,8 @@
     this->requests.erase(found);
 }
 
-void request_handler::log_send_report(base::request_id id,
-                                      const send_outcome& report)
+void request_handler::log_send_outcome(base::request_id id,
+                                       const send_outcome& outcome)
 {
     const auto found = this->requests.find(id);
     if (found == this->requests.end())
@@ -282,15 +282,15 @@
     this->state.log.write(
         now,
         "exchange",
-        report.error.empty() ? "send_answered" : "send_failed",
+        outcome.error.empty() ? "send_answered" : "send_failed",
         {{"request", request.http_exchange->info().marks.attempt},
          {"digest", base::to_hex(request.digest)},
-         {"send", report.send_number},
+         {"send", outcome.send_number},
          {"upstream", request.upstream},
          {"ran_ms", to_milliseconds(now - request.last_sent_at)},
-         {"status", report.status},
-         {"events", report.event_count},
-         {"why", report.error}});
+         {"status", outcome.status},
+         {"events", outcome.event_count},
+         {"why", outcome.error}});
 }
 
 } // namespace greengagedrum::entry
