--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -332,11 +332,11 @@
 cluster_changes cluster_state::mark_misdirected(base::upstream_id upstream)
 {
     cluster_changes out;
-    const routing::published_upstream* known =
+    const routing::published_upstream* usable =
         this->directory.find_usable(upstream);
-    if (known == nullptr)
+    if (usable == nullptr)
         return out;
-    out.removed.push_back({known->name, upstream});
+    out.removed.push_back({usable->name, upstream});
     this->directory.mark_misdirected(upstream);
     return out;
 }
--- a/src/greengagedrum/entry/crash_suspect_log.cpp
+++ b/src/greengagedrum/entry/crash_suspect_log.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-std::string_view event_name(quarantine::quarantine_state what)
+std::string_view event_name(quarantine::quarantine_state state)
 {
     using quarantine::quarantine_state;
-    switch (what) {
+    switch (state) {
     case quarantine_state::clear:
         return "request_cleared";
     case quarantine_state::suspected:
@@ -31,10 +31,12 @@
 {
     if (!state.cluster.routes())
         return {};
-    const auto& all = state.cluster.routes()->config().workspaces;
-    const auto found = std::find_if(
-        all.begin(), all.end(), [&](const auto& one) { return one.id == id; });
-    return found == all.end() ? std::string() : found->name;
+    const auto& workspaces = state.cluster.routes()->config().workspaces;
+    const auto found =
+        std::find_if(workspaces.begin(),
+                     workspaces.end(),
+                     [&](const auto& one) { return one.id == id; });
+    return found == workspaces.end() ? std::string() : found->name;
 }
 
 void log_crash_suspect(shared_state& state,
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -49,20 +49,20 @@
 
 } // namespace
 
-entry::entry(const settings& given, settings_loader load_settings)
-    : own_settings(given), load_settings(std::move(load_settings)),
+entry::entry(const settings& initial_settings, settings_loader load_settings)
+    : own_settings(initial_settings), load_settings(std::move(load_settings)),
       started_at(std::chrono::steady_clock::now()),
       state{loop_clock(this->started_at),
             cluster_state(),
             quota::usage_limiter(base::instant(loop_clock_start)),
-            traffic::scheduler(
-                retry_bounds_of(given.bounds),
-                {given.data_centre, base::hash_name(given.instance)}),
+            traffic::scheduler(retry_bounds_of(initial_settings.bounds),
+                               {initial_settings.data_centre,
+                                base::hash_name(initial_settings.instance)}),
             rate_limited_log(),
             telemetry::registry(max_metric_series),
             false,
             false,
-            given.regions},
+            initial_settings.regions},
       incarnation(new_incarnation()), timer(this->context),
       signals(this->context, SIGTERM, SIGINT, SIGHUP)
 {
@@ -71,15 +71,15 @@
     this->last_tick = this->state.clock();
     this->total_suspended = suspended_time();
     this->handler = std::make_unique<request_handler>(
-        this->context, given.caller_address, this->state);
+        this->context, initial_settings.caller_address, this->state);
     this->handler->on_load_changed = [this] {
         if (this->peers)
             this->peers->schedule_gossip();
     };
-    this->peer_datagram_socket =
-        std::make_unique<peer_socket>(this->context, given.ip, given.peer_port);
+    this->peer_datagram_socket = std::make_unique<peer_socket>(
+        this->context, initial_settings.ip, initial_settings.peer_port);
     this->peers = std::make_unique<peer_protocol>(
-        given,
+        initial_settings,
         this->incarnation,
         this->state,
         this->make_peer_events(),
@@ -109,30 +109,32 @@
     store_callbacks.peer_reads_store = [this] {
         return this->peers->peer_reads_store();
     };
-    this->store = std::make_unique<store_reader>(
-        this->context, given.store_address, std::move(store_callbacks));
-    this->store->set_update_bound(given.bounds.shortest_update_delay());
+    this->store = std::make_unique<store_reader>(this->context,
+                                                 initial_settings.store_address,
+                                                 std::move(store_callbacks));
+    this->store->set_update_bound(
+        initial_settings.bounds.shortest_update_delay());
     this->readiness_server = std::make_unique<relay::small_server>(
         this->context,
-        given.readiness_address,
+        initial_settings.readiness_address,
         this->state.clock,
         [this](const relay::small_question&) {
             return this->answer_readiness();
         });
     this->control_server = std::make_unique<relay::small_server>(
         this->context,
-        given.control_address,
+        initial_settings.control_address,
         this->state.clock,
-        [this](const relay::small_question& asked) {
-            return this->answer_control(asked.target);
+        [this](const relay::small_question& request) {
+            return this->answer_control(request.target);
         });
     this->metrics_server = std::make_unique<relay::small_server>(
         this->context,
-        given.metrics_address,
+        initial_settings.metrics_address,
         this->state.clock,
-        [this](const relay::small_question& asked) {
-            if (is_quarantine_request(asked))
-                return answer_quarantine_request(this->state, asked);
+        [this](const relay::small_question& request) {
+            if (is_quarantine_request(request))
+                return answer_quarantine_request(this->state, request);
             return relay::small_answer{
                 200,
                 std::string(telemetry::prometheus_content_type),
@@ -146,25 +148,25 @@
     out.peer_load_changed = [this] {
         this->handler->dispatch_queued_requests();
     };
-    out.items_received = [this](const gossip::item_transfer& got) {
-        this->apply_changes(this->state.cluster.apply(got, this->state.clock()),
-                            "peer");
+    out.items_received = [this](const gossip::item_transfer& transfer) {
+        this->apply_changes(
+            this->state.cluster.apply(transfer, this->state.clock()), "peer");
         this->end_pause("peer");
         this->store->skip_to_revision(this->state.cluster.store_revision());
     };
     out.delegation_started = [this] { this->handler->start_delegating(); };
     out.delegation_ended = [this](std::size_t unheard,
-                                  const limit_handover* known) {
-        this->handler->stop_delegating(unheard, known);
+                                  const limit_handover* handover) {
+        this->handler->stop_delegating(unheard, handover);
     };
     out.make_report = [this] { return this->handler->make_member_report(); };
-    out.reply_received = [this](const dispatch::dispatcher_reply& what) {
-        this->handler->on_dispatcher_reply(what);
+    out.reply_received = [this](const dispatch::dispatcher_reply& reply) {
+        this->handler->on_dispatcher_reply(reply);
     };
     out.report_received = [this](base::slot_id member,
-                                 const gossip::message& told) {
+                                 const gossip::message& message) {
         this->handler->on_member_report(
-            member, told.incarnation, told.report, told.upstream_uses);
+            member, message.incarnation, message.report, message.upstream_uses);
     };
     out.member_lost = [this](base::slot_id member) {
         this->handler->on_member_lost(member);
@@ -252,24 +254,24 @@
 
 relay::small_answer entry::answer_control(std::string_view target) const
 {
-    const auto asked = parse_item_query(target);
-    if (!asked)
+    const auto query = parse_item_query(target);
+    if (!query)
         return {503, "text/plain", "unknown target\n"};
     gossip::item_transfer out =
-        asked->incarnation
+        query->incarnation
             ? this->state.cluster.items_after_change(
-                  *asked->incarnation == this->incarnation ? asked->position
+                  *query->incarnation == this->incarnation ? query->position
                                                            : 0)
-            : this->state.cluster.items_after_revision(asked->position);
+            : this->state.cluster.items_after_revision(query->position);
     out.incarnation = this->incarnation;
     return {200, "application/octet-stream", gossip::encode(out)};
 }
 
 std::string entry::metrics_text() const
 {
-    telemetry::registry all = this->state.metrics;
-    const auto set = [&all](telemetry::gauge what, double value) {
-        all.add(telemetry::gauge_set{what, value});
+    telemetry::registry registry = this->state.metrics;
+    const auto set = [&registry](telemetry::gauge gauge, double value) {
+        registry.add(telemetry::gauge_set{gauge, value});
     };
     const base::instant now = this->state.clock();
     set(telemetry::gauge::config_age_seconds,
@@ -295,7 +297,7 @@
         static_cast<double>(logs::dropped_lines() +
                             this->state.log.suppressed_lines()));
     set(telemetry::gauge::stopping, this->state.stopping ? 1 : 0);
-    return telemetry::prometheus_text(all);
+    return telemetry::prometheus_text(registry);
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/entry.hpp
+++ b/src/greengagedrum/entry/entry.hpp
@@ -28,7 +28,7 @@
     // unchanged; logs its own errors.
     using settings_loader = std::function<std::optional<settings>()>;
 
-    entry(const settings& given, settings_loader load_settings);
+    entry(const settings& initial_settings, settings_loader load_settings);
 
     // Serves until stopped and until the accepted requests have ended.
     void run();
--- a/src/greengagedrum/entry/quarantine_endpoint.cpp
+++ b/src/greengagedrum/entry/quarantine_endpoint.cpp
@@ -51,21 +51,21 @@
 
 } // namespace
 
-bool is_quarantine_request(const relay::small_question& asked)
+bool is_quarantine_request(const relay::small_question& request)
 {
-    return asked.target == list_target ||
-           asked.target.starts_with(release_target);
+    return request.target == list_target ||
+           request.target.starts_with(release_target);
 }
 
 relay::small_answer
 answer_quarantine_request(shared_state& state,
-                          const relay::small_question& asked)
+                          const relay::small_question& request)
 {
-    if (asked.target == list_target)
+    if (request.target == list_target)
         return list(state);
-    if (asked.method != "POST")
+    if (request.method != "POST")
         return {wrong_method, "text/plain", "use POST to release a request\n"};
-    return release(state, asked.target.substr(release_target.size()));
+    return release(state, request.target.substr(release_target.size()));
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/quarantine_endpoint.hpp
+++ b/src/greengagedrum/entry/quarantine_endpoint.hpp
@@ -10,10 +10,10 @@
 namespace greengagedrum::entry
 {
 
-bool is_quarantine_request(const relay::small_question& asked);
+bool is_quarantine_request(const relay::small_question& request);
 
 relay::small_answer
 answer_quarantine_request(shared_state& state,
-                          const relay::small_question& asked);
+                          const relay::small_question& request);
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/request_handler.cpp
+++ b/src/greengagedrum/entry/request_handler.cpp
@@ -106,8 +106,8 @@
 
 base::ip_endpoint request_handler::address() const
 {
-    const relay::tcp::endpoint own = this->acceptor.local_endpoint();
-    return {own.address().to_string(), own.port()};
+    const relay::tcp::endpoint local = this->acceptor.local_endpoint();
+    return {local.address().to_string(), local.port()};
 }
 
 std::optional<relay::own_answer>
@@ -330,10 +330,10 @@
     this->process_pending_events();
     this->processing_events = false;
     const base::instant now = this->state.clock();
-    const std::vector<relay::caller_ptr> all(this->callers.begin(),
-                                             this->callers.end());
+    const std::vector<relay::caller_ptr> connections(this->callers.begin(),
+                                                     this->callers.end());
     const relay::caller_bounds limits = this->bounds();
-    for (const relay::caller_ptr& one : all)
+    for (const relay::caller_ptr& one : connections)
         one->check_time(now, limits);
     for (auto& [id, request] : this->requests)
         request.http_exchange->resume_reading();
@@ -349,9 +349,9 @@
 {
     relay::error_code ignored; // the acceptor is closed in either case
     this->acceptor.close(ignored);
-    const std::vector<relay::caller_ptr> all(this->callers.begin(),
-                                             this->callers.end());
-    for (const relay::caller_ptr& one : all)
+    const std::vector<relay::caller_ptr> connections(this->callers.begin(),
+                                                     this->callers.end());
+    for (const relay::caller_ptr& one : connections)
         one->close_idle();
 }
 
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -81,7 +81,7 @@
     // this entry gets no reports. `known`: the limit state received from the
     // former dispatcher, or null.
     void start_delegating();
-    void stop_delegating(std::size_t unheard, const limit_handover* known);
+    void stop_delegating(std::size_t unheard, const limit_handover* handover);
     // The report for the dispatcher, and the handling of its reply.
     dispatch::member_report make_member_report() const;
     void on_dispatcher_reply(const dispatch::dispatcher_reply& reply);
@@ -164,7 +164,7 @@
     routing::data_centre_constraint
     data_centre_constraint_of(const traffic::request_facts& facts) const;
     void add_member_request(base::request_id id,
-                            const dispatch::slot_request& wanted);
+                            const dispatch::slot_request& request);
     void charge_queued_requests();
     void refuse_queued_request(base::request_id id, base::duration retry_after);
     void log_over_limit(base::workspace_id workspace,
--- a/src/greengagedrum/entry/settings.hpp
+++ b/src/greengagedrum/entry/settings.hpp
@@ -65,6 +65,6 @@
 };
 
 // One "name = value" per line, as printed by --print-settings.
-std::string to_text(const settings& given);
+std::string to_text(const settings& values);
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/store_reader.cpp
+++ b/src/greengagedrum/entry/store_reader.cpp
@@ -118,8 +118,8 @@
     this->last_revision = this->pages_revision;
     this->last_key.clear();
     this->events.call_answered();
-    const routing::store_item_list all = std::exchange(this->pages, {});
-    this->events.items_received(all, this->last_revision, true);
+    const routing::store_item_list listed = std::exchange(this->pages, {});
+    this->events.items_received(listed, this->last_revision, true);
     this->schedule_next_call(this->poll_interval);
 }
 
