--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
@@ -43,14 +43,14 @@
     out.configure = [this](node& one) { this->configure(one); };
     out.events = [this](node& one) { return this->events_of(one); };
     out.after_step = [this](node& one) {
-        traffic::actions orders;
-        one.state.scheduler.tick(this->fleet.time(), orders);
-        this->execute(one, orders);
+        traffic::actions actions;
+        one.state.scheduler.tick(this->fleet.time(), actions);
+        this->execute(one, actions);
     };
     out.before_stop = [this](node& one) {
         for (upstream& each : this->upstreams)
-            std::erase_if(each.runs, [&](const run& its) {
-                return its.entry == one.number;
+            std::erase_if(each.runs, [&](const run& run) {
+                return run.entry == one.number;
             });
     };
     return out;
@@ -72,10 +72,10 @@
 
 void poison_request_fleet::configure(node& one)
 {
-    process_state& own = this->processes[one.number];
-    own = process_state();
-    own.process = this->next_process++;
-    own.started_at = this->fleet.time();
+    process_state& process = this->processes[one.number];
+    process = process_state();
+    process.process = this->next_process++;
+    process.started_at = this->fleet.time();
     one.state.scheduler = traffic::scheduler(
         {0.2, 60, 10s},
         {"centre-" + std::to_string(one.number % this->plan.data_centres),
@@ -87,32 +87,32 @@
     }
 }
 
-peer_events poison_request_fleet::events_of(node& of)
+peer_events poison_request_fleet::events_of(node& entry)
 {
     peer_events out;
     out.peer_load_changed = [] {};
     out.items_received = [](const gossip::item_transfer&) {};
-    out.delegation_started = [&of] { of.state.delegating = true; };
-    out.delegation_ended = [&of](std::size_t, const limit_handover*) {
-        of.state.delegating = false;
+    out.delegation_started = [&entry] { entry.state.delegating = true; };
+    out.delegation_ended = [&entry](std::size_t, const limit_handover*) {
+        entry.state.delegating = false;
     };
     out.make_report = [] { return dispatch::member_report(); };
     out.reply_received = [](const dispatch::dispatcher_reply&) {};
-    out.report_received = [this, &of](base::slot_id member,
-                                      const gossip::message& told) {
-        this->processes[of.number].book.on_report(
-            member, told.incarnation, told.report, told.upstream_uses);
+    out.report_received = [this, &entry](base::slot_id member,
+                                         const gossip::message& message) {
+        this->processes[entry.number].book.on_report(
+            member, message.incarnation, message.report, message.upstream_uses);
     };
-    out.member_lost = [this, &of](base::slot_id member) {
-        this->processes[of.number].book.remove_member(member);
+    out.member_lost = [this, &entry](base::slot_id member) {
+        this->processes[entry.number].book.remove_member(member);
     };
-    out.members_awaiting_reply = [this, &of] {
-        return this->processes[of.number].book.members_to_answer(
+    out.members_awaiting_reply = [this, &entry] {
+        return this->processes[entry.number].book.members_to_answer(
             this->fleet.time());
     };
-    out.make_reply = [this, &of](base::slot_id member) {
-        return this->processes[of.number].book.build_reply(member,
-                                                           this->fleet.time());
+    out.make_reply = [this, &entry](base::slot_id member) {
+        return this->processes[entry.number].book.build_reply(
+            member, this->fleet.time());
     };
     return out;
 }
@@ -181,16 +181,16 @@
                              std::nullopt);
 }
 
-void poison_request_fleet::submit_event(node& at, const traffic::event& what)
+void poison_request_fleet::submit_event(node& at, const traffic::event& event)
 {
-    traffic::actions orders;
-    at.state.scheduler.step(what, this->fleet.time(), orders);
-    this->execute(at, orders);
+    traffic::actions actions;
+    at.state.scheduler.step(event, this->fleet.time(), actions);
+    this->execute(at, actions);
 }
 
-void poison_request_fleet::execute(node& at, const traffic::actions& orders)
+void poison_request_fleet::execute(node& at, const traffic::actions& actions)
 {
-    for (const traffic::action& one : orders) {
+    for (const traffic::action& one : actions) {
         if (const auto* send = std::get_if<traffic::send_request>(&one))
             this->send(at, *send);
         if (const auto* end = std::get_if<traffic::end_request>(&one))
@@ -216,25 +216,26 @@
     return false;
 }
 
-void poison_request_fleet::end(node& at, const traffic::end_request& order)
+void poison_request_fleet::end(node& at, const traffic::end_request& action)
 {
-    process_state& own = this->processes[at.number];
-    own.poison.erase(order.request);
-    if (own.ordinary.erase(order.request) > 0 &&
-        order.verdict.why == base::reason::quarantined)
+    process_state& process = this->processes[at.number];
+    process.poison.erase(action.request);
+    if (process.ordinary.erase(action.request) > 0 &&
+        action.verdict.why == base::reason::quarantined)
         this->result.refused_as_quarantined += 1;
 }
 
-void poison_request_fleet::send(node& at, const traffic::send_request& order)
+void poison_request_fleet::send(node& at, const traffic::send_request& action)
 {
-    process_state& own = this->processes[at.number];
-    const auto poison = own.poison.find(order.request);
-    const bool crashes = poison != own.poison.end() && this->plan.crashes;
+    process_state& process = this->processes[at.number];
+    const auto poison = process.poison.find(action.request);
+    const bool crashes = poison != process.poison.end() && this->plan.crashes;
     for (std::size_t number = 0; number < this->upstreams.size(); ++number) {
         upstream& to = this->upstreams[number];
-        if (this->published(number).id != order.upstream || !to.alive)
+        if (this->published(number).id != action.upstream || !to.alive)
             continue;
-        run fresh{at.number, own.process, order.request, order.send, {}, {}};
+        run fresh{
+            at.number, process.process, action.request, action.send, {}, {}};
         fresh.ends_at = this->fleet.time() + answer_after;
         if (crashes) {
             fresh.body = poison->second;
@@ -242,7 +243,7 @@
             this->result.poison_runs += 1;
             body_record& record = this->bodies[poison->second];
             const bool informed =
-                this->fleet.time() - own.started_at >= min_age;
+                this->fleet.time() - process.started_at >= min_age;
             if (informed && record.crashes >= 3 &&
                 this->fleet.time() - record.third_at >= min_age)
                 record.late_runs += 1;
@@ -250,7 +251,8 @@
         to.runs.push_back(fresh);
         return;
     }
-    this->submit_event(at, traffic::connect_failed{order.request, order.send});
+    this->submit_event(at,
+                       traffic::connect_failed{action.request, action.send});
 }
 
 void poison_request_fleet::report_broken_run(const run& one)
@@ -276,26 +278,27 @@
     const base::instant now = this->fleet.time();
     for (std::size_t number = 0; number < this->upstreams.size(); ++number) {
         upstream& one = this->upstreams[number];
-        const auto for_all_schedulers = [this](const auto& what) {
+        const auto for_all_schedulers = [this](const auto& apply) {
             for (std::size_t at = 0; at < this->fleet.size(); ++at) {
                 if (node* to = this->fleet.at(at))
-                    what(to->state.scheduler);
+                    apply(to->state.scheduler);
             }
         };
         if (!one.alive && now >= one.back_at - (upstream_back_after - lease)) {
             const base::upstream_id gone = this->published(number).id;
-            for_all_schedulers(
-                [&](traffic::scheduler& of) { of.upstream_left(gone); });
+            for_all_schedulers([&](traffic::scheduler& scheduler) {
+                scheduler.upstream_left(gone);
+            });
         }
         if (!one.alive && now >= one.back_at) {
             one.alive = true;
             one.incarnation += 1;
             const auto fresh = this->published(number);
-            for_all_schedulers([&](traffic::scheduler& of) {
-                of.upstream_joined(fresh, now);
+            for_all_schedulers([&](traffic::scheduler& scheduler) {
+                scheduler.upstream_joined(fresh, now);
             });
         }
-        const auto done = [&](const run& its) { return its.ends_at <= now; };
+        const auto done = [&](const run& run) { return run.ends_at <= now; };
         while (one.alive) {
             const auto found =
                 std::find_if(one.runs.begin(), one.runs.end(), done);
@@ -330,12 +333,12 @@
         const std::size_t entry = this->random_engine() % this->fleet.size();
         std::vector<run> broken;
         for (upstream& one : this->upstreams) {
-            const auto its = std::stable_partition(
+            const auto reset = std::stable_partition(
                 one.runs.begin(), one.runs.end(), [&](const run& each) {
                     return each.entry != entry;
                 });
-            broken.insert(broken.end(), its, one.runs.end());
-            one.runs.erase(its, one.runs.end());
+            broken.insert(broken.end(), reset, one.runs.end());
+            one.runs.erase(reset, one.runs.end());
         }
         for (const run& one : broken)
             this->report_broken_run(one);
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
@@ -87,12 +87,12 @@
     };
 
     virtual_fleet::hooks hooks();
-    peer_events events_of(node& of);
+    peer_events events_of(node& entry);
     void configure(node& one);
-    void execute(node& at, const traffic::actions& orders);
-    void submit_event(node& at, const traffic::event& what);
-    void send(node& at, const traffic::send_request& order);
-    void end(node& at, const traffic::end_request& order);
+    void execute(node& at, const traffic::actions& actions);
+    void submit_event(node& at, const traffic::event& event);
+    void send(node& at, const traffic::send_request& action);
+    void end(node& at, const traffic::end_request& action);
     bool is_alive(base::upstream_id id) const;
     void send_poison_requests();
     void send_ordinary_requests();
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet_test.cpp
@@ -17,25 +17,25 @@
 
 poison_request_result simulate(const poison_request_plan& plan)
 {
-    const poison_request_result got = poison_request_fleet(plan).simulate();
+    const poison_request_result result = poison_request_fleet(plan).simulate();
     MESSAGE(plan.entries,
             " entries: poison requests ran ",
-            got.poison_runs,
+            result.poison_runs,
             " times, crashed ",
-            got.crashed,
+            result.crashed,
             ", late ",
-            got.late_runs,
+            result.late_runs,
             " times; of ",
-            got.ordinary,
+            result.ordinary,
             " ordinary requests answered ",
-            got.answered,
+            result.answered,
             ", refused as quarantined ",
-            got.refused_as_quarantined,
+            result.refused_as_quarantined,
             "; bytes a second ",
-            got.bytes_per_second,
+            result.bytes_per_second,
             ", crash records ",
-            got.records);
-    return got;
+            result.records);
+    return result;
 }
 
 poison_request_plan plan_of(std::size_t entries)
@@ -55,9 +55,9 @@
     for (const std::size_t entries : {9U, 86U, 295U}) {
         poison_request_plan plan = plan_of(entries);
         plan.seconds = entries > 100 ? 18 : 30;
-        const poison_request_result got = simulate(plan);
-        CHECK(got.late_runs <= max_late_runs);
-        CHECK(got.crashed <= 3);
+        const poison_request_result result = simulate(plan);
+        CHECK(result.late_runs <= max_late_runs);
+        CHECK(result.crashed <= 3);
     }
 }
 
@@ -67,9 +67,9 @@
     for (const std::size_t entries : {9U, 86U}) {
         poison_request_plan plan = plan_of(entries);
         plan.copies = 5;
-        const poison_request_result got = simulate(plan);
-        CHECK(got.late_runs <= max_late_runs);
-        CHECK(got.crashed <= 5);
+        const poison_request_result result = simulate(plan);
+        CHECK(result.late_runs <= max_late_runs);
+        CHECK(result.crashed <= 5);
     }
 }
 
@@ -79,8 +79,8 @@
     for (const std::size_t entries : {9U, 86U}) {
         poison_request_plan plan = plan_of(entries);
         plan.all_killed_at = 15;
-        const poison_request_result got = simulate(plan);
-        CHECK(got.late_runs <= max_late_runs);
+        const poison_request_result result = simulate(plan);
+        CHECK(result.late_runs <= max_late_runs);
     }
 }
 
@@ -96,9 +96,9 @@
             plan.frozen_at = {17};
         }
         plan.seconds = 40;
-        const poison_request_result got = simulate(plan);
-        CHECK(got.late_runs <= max_late_runs);
-        CHECK(got.crashed <= 3);
+        const poison_request_result result = simulate(plan);
+        CHECK(result.late_runs <= max_late_runs);
+        CHECK(result.crashed <= 3);
     }
 }
 
@@ -110,8 +110,8 @@
         poison_request_plan plan = plan_of(entries);
         plan.cut_from = 5;
         plan.lost_share = 0.05;
-        const poison_request_result got = simulate(plan);
-        CHECK(got.late_runs <= max_late_runs);
+        const poison_request_result result = simulate(plan);
+        CHECK(result.late_runs <= max_late_runs);
     }
 }
 
@@ -124,9 +124,9 @@
     plan.bodies = 300;
     plan.poison_interval = 110ms;
     plan.seconds = 80;
-    const poison_request_result got = simulate(plan);
-    CHECK(got.late_runs <= max_late_runs);
-    CHECK(got.crashed <= 2 * plan.bodies + 10);
+    const poison_request_result result = simulate(plan);
+    CHECK(result.late_runs <= max_late_runs);
+    CHECK(result.crashed <= 2 * plan.bodies + 10);
 }
 
 // Upstreams exit for other reasons, and a third of all requests have the same
@@ -139,8 +139,8 @@
         plan.same_body_share = 0.3;
         plan.upstream_exit_interval = 1s;
         plan.connection_reset_interval = 300ms;
-        const poison_request_result got = simulate(plan);
-        CHECK(got.refused_as_quarantined == 0);
+        const poison_request_result result = simulate(plan);
+        CHECK(result.refused_as_quarantined == 0);
     }
 }
 
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
@@ -61,30 +61,31 @@
                                             this->fleet.time());
 }
 
-peer_events slow_start_fleet::events_of(node& of)
+peer_events slow_start_fleet::events_of(node& entry)
 {
     peer_events out;
     out.peer_load_changed = [] {};
     out.items_received = [](const gossip::item_transfer&) {};
-    out.delegation_started = [&of] { of.state.delegating = true; };
-    out.delegation_ended = [&of](std::size_t, const limit_handover*) {
-        of.state.delegating = false;
+    out.delegation_started = [&entry] { entry.state.delegating = true; };
+    out.delegation_ended = [&entry](std::size_t, const limit_handover*) {
+        entry.state.delegating = false;
     };
     out.make_report = [] { return dispatch::member_report(); };
     out.reply_received = [](const dispatch::dispatcher_reply&) {};
-    out.report_received = [this, &of](base::slot_id member,
-                                      const gossip::message& told) {
-        this->books[of.number].on_report(
-            member, told.incarnation, told.report, told.upstream_uses);
+    out.report_received = [this, &entry](base::slot_id member,
+                                         const gossip::message& message) {
+        this->books[entry.number].on_report(
+            member, message.incarnation, message.report, message.upstream_uses);
     };
-    out.member_lost = [this, &of](base::slot_id member) {
-        this->books[of.number].remove_member(member);
+    out.member_lost = [this, &entry](base::slot_id member) {
+        this->books[entry.number].remove_member(member);
     };
-    out.members_awaiting_reply = [this, &of] {
-        return this->books[of.number].members_to_answer(this->fleet.time());
+    out.members_awaiting_reply = [this, &entry] {
+        return this->books[entry.number].members_to_answer(this->fleet.time());
     };
-    out.make_reply = [this, &of](base::slot_id member) {
-        return this->books[of.number].build_reply(member, this->fleet.time());
+    out.make_reply = [this, &entry](base::slot_id member) {
+        return this->books[entry.number].build_reply(member,
+                                                     this->fleet.time());
     };
     return out;
 }
@@ -102,14 +103,14 @@
     facts.objective = 1s;
     facts.time_left = 10s;
     const base::request_id id{this->next_request++};
-    traffic::actions orders;
-    one.state.scheduler.step(traffic::request_arrived{id, facts}, now, orders);
-    for (const traffic::action& each : orders) {
-        if (const auto* order = std::get_if<traffic::send_request>(&each))
-            this->record_send(order->upstream);
+    traffic::actions actions;
+    one.state.scheduler.step(traffic::request_arrived{id, facts}, now, actions);
+    for (const traffic::action& each : actions) {
+        if (const auto* action = std::get_if<traffic::send_request>(&each))
+            this->record_send(action->upstream);
     }
-    orders.clear();
-    one.state.scheduler.step(traffic::caller_left{id}, now, orders);
+    actions.clear();
+    one.state.scheduler.step(traffic::caller_left{id}, now, actions);
 }
 
 void slow_start_fleet::record_send(base::upstream_id upstream)
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.hpp
@@ -33,7 +33,7 @@
     using node = virtual_fleet::node;
 
     virtual_fleet::hooks hooks();
-    peer_events events_of(node& of);
+    peer_events events_of(node& entry);
     void configure(node& one);
     void submit_request(node& one);
     void record_send(base::upstream_id upstream);
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet_test.cpp
@@ -33,8 +33,8 @@
 slow_start_plan random_plan(std::uint64_t seed)
 {
     std::mt19937_64 random_engine(seed);
-    const auto below = [&random_engine](std::uint64_t max_per_second) {
-        return random_engine() % max_per_second;
+    const auto below = [&random_engine](std::uint64_t limit) {
+        return random_engine() % limit;
     };
     constexpr std::size_t sizes[] = {2, 5, 9, 24, 40, 69};
     slow_start_plan out = plan_of(sizes[below(std::size(sizes))], 1 + below(4));
@@ -74,13 +74,13 @@
     for (const std::size_t entries : {1U, 9U, 69U, 295U}) {
         slow_start_plan plan = plan_of(entries, 4);
         plan.seconds = entries > 100 ? 8 : 15;
-        const slow_start_result got = slow_start_fleet(plan).simulate();
-        CHECK(got.max_per_second <= 7);
-        MESSAGE(entries, " entries: ", got.sends, " sends");
+        const slow_start_result result = slow_start_fleet(plan).simulate();
+        CHECK(result.max_per_second <= 7);
+        MESSAGE(entries, " entries: ", result.sends, " sends");
         // Nearly all allowed sends happen, except in the seconds until the
         // entries know each other.
         if (entries > 4)
-            CHECK(got.sends > 4U * 7 * (plan.seconds - 5));
+            CHECK(result.sends > 4U * 7 * (plan.seconds - 5));
     }
 }
 
@@ -124,9 +124,9 @@
         CAPTURE(plan.cut_for);
         CAPTURE(plan.killed_at.size());
         CAPTURE(plan.frozen_at.size());
-        const slow_start_result got = slow_start_fleet(plan).simulate();
-        CHECK(got.max_per_second <= bound);
-        worst = std::max(worst, got.max_per_second);
+        const slow_start_result result = slow_start_fleet(plan).simulate();
+        CHECK(result.max_per_second <= bound);
+        worst = std::max(worst, result.max_per_second);
     }
     MESSAGE("most sends in a second: ", worst);
 }
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -90,17 +90,17 @@
 {
     this->apply_listing({upstream_item("i-1", 4)}, 4);
     const base::upstream_id id("i-1");
-    const auto begun = this->apply_changes({evacuation_item(6)}, 6);
-    CHECK(begun.removed.size() == 1);
-    REQUIRE(begun.evacuations.size() == 1);
-    CHECK(begun.evacuations.front().data_centre == "hall");
+    const auto started = this->apply_changes({evacuation_item(6)}, 6);
+    CHECK(started.removed.size() == 1);
+    REQUIRE(started.evacuations.size() == 1);
+    CHECK(started.evacuations.front().data_centre == "hall");
     CHECK(this->cluster.upstreams().find_usable(id) == nullptr);
     CHECK(this->cluster.upstreams().find_alive(id) != nullptr);
     // Load reports go on during the evacuation and must not end it.
     CHECK(this->apply_changes({upstream_item("i-1", 8)}, 8).added.empty());
-    const auto over =
+    const auto ended =
         this->apply_changes({{"op/evacuate/hall", "", 9, true}}, 9);
-    CHECK(over.added.size() == 1);
+    CHECK(ended.added.size() == 1);
     CHECK(this->cluster.upstreams().find_usable(id) != nullptr);
 }
 
@@ -110,10 +110,10 @@
 {
     this->apply_listing(
         {service_item(2), upstream_item("i-1", 4), evacuation_item(5)}, 6);
-    const auto over =
+    const auto ended =
         this->apply_changes({{"op/evacuate/hall", "", 9, true}}, 9);
-    REQUIRE(over.added.size() == 1);
-    CHECK(over.added.front().warmup == 3s);
+    REQUIRE(ended.added.size() == 1);
+    CHECK(ended.added.front().warmup == 3s);
 }
 
 // Only the first report of an upstream says that it is cold. Members detect the
--- a/src/greengagedrum/entry/test/containment_test.cpp
+++ b/src/greengagedrum/entry/test/containment_test.cpp
@@ -18,8 +18,8 @@
 public:
     crashing_upstreams()
     {
-        for (fake_http_server& one : this->all) {
-            one.server.Post(
+        for (fake_http_server& server : this->servers) {
+            server.server.Post(
                 ".*",
                 [&](const httplib::Request& request,
                     httplib::Response& response) {
@@ -28,7 +28,7 @@
                             request, response, "answer");
                     if (request.body == "deadly") {
                         this->crashes += 1;
-                        one.server.stop();
+                        server.server.stop();
                     } else {
                         this->resets += 1;
                     }
@@ -36,7 +36,7 @@
                         "text/plain",
                         [](std::size_t, httplib::DataSink&) { return false; });
                 });
-            one.start();
+            server.start();
         }
     }
 
@@ -47,13 +47,13 @@
     fixture_options options() const
     {
         fixture_options out;
-        for (const fake_http_server& one : this->all)
-            out.upstream_ports.push_back(one.port);
+        for (const fake_http_server& server : this->servers)
+            out.upstream_ports.push_back(server.port);
         return out;
     }
 
 private:
-    std::array<fake_http_server, 5> all;
+    std::array<fake_http_server, 5> servers;
     std::atomic<int> crashes = 0;
     std::atomic<int> resets = 0;
 };
--- a/src/greengagedrum/entry/test/entry_fixture.cpp
+++ b/src/greengagedrum/entry/test/entry_fixture.cpp
@@ -206,9 +206,9 @@
 void entry_fixture::wait_until_configured() const
 {
     for (int tries = 0; tries < 500; ++tries) {
-        auto request = this->client();
-        const auto got = request.Get("/nowhere/", headers());
-        if (got && got->status == 404)
+        auto client = this->client();
+        const auto response = client.Get("/nowhere/", headers());
+        if (response && response->status == 404)
             return;
         std::this_thread::sleep_for(10ms);
     }
--- a/src/greengagedrum/entry/test/entry_test.cpp
+++ b/src/greengagedrum/entry/test/entry_test.cpp
@@ -207,21 +207,21 @@
         });
     const std::string rest = " HTTP/1.1\r\nHost: hall.example\r\n"
                              "X-Attempt-Id: a-1\r\nApi-Key: key-1\r\n";
-    const std::string got =
+    const std::string responses =
         this->send_raw("GET /again/1" + rest + "\r\n" + "GET /again/2" + rest +
                        "Connection: close\r\n\r\n");
-    CHECK(got.find("</again/1>") < got.find("</again/2>"));
-    CHECK(got.find("</again/2>") != std::string::npos);
+    CHECK(responses.find("</again/1>") < responses.find("</again/2>"));
+    CHECK(responses.find("</again/2>") != std::string::npos);
 }
 
 TEST_CASE_FIXTURE(entry_fixture, "smuggled_request_is_refused_and_not_run")
 {
-    const std::string got = this->send_raw(
+    const std::string responses = this->send_raw(
         "POST /once/ HTTP/1.1\r\nHost: hall.example\r\nX-Attempt-Id: a-1\r\n"
         "Api-Key: key-1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n"
         "\r\n0\r\n\r\nGET /again/ HTTP/1.1\r\nHost: hall.example\r\n\r\n");
-    CHECK(got.starts_with("HTTP/1.1 400"));
-    CHECK(got.find("HTTP/1.1", 1) == std::string::npos);
+    CHECK(responses.starts_with("HTTP/1.1 400"));
+    CHECK(responses.find("HTTP/1.1", 1) == std::string::npos);
     CHECK(this->received_requests().empty());
 }
 
