--- a/src/greengagedrum/entry/cluster_state.cpp
+++ b/src/greengagedrum/entry/cluster_state.cpp
@@ -256,7 +256,7 @@
     if (read->started_unix_ms && !this->start_times_published)
         this->drop_upstreams_without_start_time(out);
     if (this->start_times_published && !read->started_unix_ms)
-        return tl::unexpected(std::string("no time of birth"));
+        return tl::unexpected(std::string("no start time"));
     return read;
 }
 
--- a/src/greengagedrum/entry/request_handler.hpp
+++ b/src/greengagedrum/entry/request_handler.hpp
@@ -78,7 +78,7 @@
 
     // Switch between delegating dispatching to another entry and dispatching in
     // this one. `unheard`: how many other entries may admit requests of which
-    // this entry gets no reports. `known`: the limit state received from the
+    // this entry gets no reports. `handover`: the limit state received from the
     // former dispatcher, or null.
     void start_delegating();
     void stop_delegating(std::size_t unheard, const limit_handover* handover);
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -295,8 +295,9 @@
     CHECK(this->cluster.items_after_revision(1).items.size() < 5'000);
 }
 
-TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "upstream_without_birth_is_removed_once_births_are_published")
+TEST_CASE_FIXTURE(
+    cluster_state_fixture,
+    "upstream_without_start_time_is_removed_once_others_publish_one")
 {
     this->apply_listing({upstream_item("i-1", 4)}, 4);
     const auto changes =
