--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
@@ -17,9 +17,8 @@
 
 struct poison_request_plan : fault_plan {
     std::size_t upstreams = 9;
-    base::duration poison_interval =
-        // Between poison requests.
-        std::chrono::milliseconds(700);
+    // Between poison requests.
+    base::duration poison_interval = std::chrono::milliseconds(700);
     // Copies of the poison request, sent at once to random entries.
     std::size_t copies = 1;
     std::size_t bodies = 1;     // different poison bodies, sent in turn
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
@@ -13,9 +13,8 @@
 
 const base::upstream_class_id engines("engines");
 constexpr std::uint32_t slots = 50;
-constexpr base::duration request_interval =
-    // Between requests at one entry.
-    50ms;
+// Between requests at one entry.
+constexpr base::duration request_interval = 50ms;
 constexpr base::duration window = 1s;
 
 } // namespace
--- a/src/greengagedrum/entry/settings.hpp
+++ b/src/greengagedrum/entry/settings.hpp
@@ -15,22 +15,18 @@
 {
 
 struct bounds {
-    base::duration stop_timeout =
-        // From SIGTERM to SIGKILL.
-        std::chrono::seconds(8);
-    base::duration configuration_delay =
-        // Until a change of the configuration is in force.
-        std::chrono::seconds(2);
-    base::duration drain_delay =
-        // Until a draining upstream gets no new work.
-        std::chrono::seconds(2);
+    // From SIGTERM to SIGKILL.
+    base::duration stop_timeout = std::chrono::seconds(8);
+    // Until a change of the configuration is in force.
+    base::duration configuration_delay = std::chrono::seconds(2);
+    // Until a draining upstream gets no new work.
+    base::duration drain_delay = std::chrono::seconds(2);
     double retry_ratio = 0.2; // share of a service's requests
     base::duration retry_window = std::chrono::seconds(10);
     double retry_slack = 0; // extra retries in a window, over all entries
     base::duration usage_window = std::chrono::seconds(8);
-    double usage_overshoot =
-        // Share by which a limit may be exceeded due to delays between entries.
-        0;
+    // Share by which a limit may be exceeded due to delays between entries.
+    double usage_overshoot = 0;
     double usage_slack = 0; // extra units beyond that share, over all entries
     double warmup_overshoot = 1; // multiple of a cold upstream's published rate
     double warmup_slack = 0;     // extra requests a second, over all entries
@@ -56,9 +52,8 @@
     base::ip_endpoint control_address;   // peers' requests for store items
     base::ip_endpoint metrics_address;
     std::uint16_t peer_port = 0; // UDP, the same on all instances
-    std::vector<base::ip_endpoint>
-        // Control addresses of a few other entries.
-        seeds;
+    // Control addresses of a few other entries.
+    std::vector<base::ip_endpoint> seeds;
     base::ip_endpoint store_address;
     double processors = 1; // in cores; entries with the most become dispatchers
     entry::bounds bounds;
