--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
@@ -22,7 +22,7 @@
 // late.
 constexpr base::duration min_age = 3s;
 // Seconds from the start until roles are assigned.
-constexpr double roles_assigned = 1;
+constexpr double role_assignment_time = 1;
 constexpr std::uint64_t shared_body = 999'999;
 
 } // namespace
@@ -74,7 +74,7 @@
 {
     process_state& process = this->processes[one.number];
     process = process_state();
-    process.process = this->next_process++;
+    process.process_id = this->next_process++;
     process.started_at = this->fleet.time();
     one.state.scheduler = traffic::scheduler(
         {0.2, 60, 10s},
@@ -234,12 +234,12 @@
         upstream& to = this->upstreams[number];
         if (this->published(number).id != action.upstream || !to.alive)
             continue;
-        run fresh{
-            at.number, process.process, action.request, action.send, {}, {}};
-        fresh.ends_at = this->fleet.time() + answer_after;
+        run new_run{
+            at.number, process.process_id, action.request, action.send, {}, {}};
+        new_run.ends_at = this->fleet.time() + answer_after;
         if (crashes) {
-            fresh.body = poison->second;
-            fresh.ends_at = this->fleet.time() + crash_after;
+            new_run.body = poison->second;
+            new_run.ends_at = this->fleet.time() + crash_after;
             this->result.poison_runs += 1;
             body_record& record = this->bodies[poison->second];
             const bool informed =
@@ -248,7 +248,7 @@
                 this->fleet.time() - record.third_at >= min_age)
                 record.late_runs += 1;
         }
-        to.runs.push_back(fresh);
+        to.runs.push_back(new_run);
         return;
     }
     this->submit_event(at,
@@ -258,7 +258,8 @@
 void poison_request_fleet::report_broken_run(const run& one)
 {
     node* at = this->fleet.at(one.entry);
-    if (at != nullptr && this->processes[one.entry].process == one.process)
+    if (at != nullptr &&
+        this->processes[one.entry].process_id == one.process_id)
         this->submit_event(*at,
                            traffic::answer_interrupted{one.request, one.send});
 }
@@ -293,9 +294,9 @@
         if (!one.alive && now >= one.back_at) {
             one.alive = true;
             one.incarnation += 1;
-            const auto fresh = this->published(number);
+            const auto restarted = this->published(number);
             for_all_schedulers([&](traffic::scheduler& scheduler) {
-                scheduler.upstream_joined(fresh, now);
+                scheduler.upstream_joined(restarted, now);
             });
         }
         const auto done = [&](const run& run) { return run.ends_at <= now; };
@@ -317,7 +318,7 @@
             one.runs.erase(found);
             node* at = this->fleet.at(ended.entry);
             if (at != nullptr &&
-                this->processes[ended.entry].process == ended.process)
+                this->processes[ended.entry].process_id == ended.process_id)
                 this->submit_event(
                     *at, traffic::answer_received{ended.request, ended.send});
         }
@@ -357,7 +358,7 @@
 {
     while (this->fleet.seconds() < this->plan.seconds) {
         this->fleet.step();
-        if (this->fleet.seconds() < roles_assigned)
+        if (this->fleet.seconds() < role_assignment_time)
             continue;
         this->run_upstreams();
         this->reset_connections();
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
@@ -55,7 +55,7 @@
 
     struct run {
         std::size_t entry = 0;
-        std::uint64_t process = 0;
+        std::uint64_t process_id = 0;
         base::request_id request;
         std::uint32_t send = 0;
         std::optional<std::size_t> body; // set for a poison request
@@ -71,7 +71,7 @@
 
     // The state that one entry process has in the simulation.
     struct process_state {
-        std::uint64_t process = 0;
+        std::uint64_t process_id = 0;
         base::instant started_at;
         dispatch::member_request_table book;
         // Poison requests and ordinary requests in progress.
