--- a/src/greengagedrum/entry/entry.hpp
+++ b/src/greengagedrum/entry/entry.hpp
@@ -28,7 +28,7 @@
     // unchanged; logs its own errors.
     using settings_loader = std::function<std::optional<settings>()>;
 
-    entry(const settings& given, settings_loader load_settings);
+    entry(const settings& initial_settings, settings_loader load_settings);
 
     // Serves until stopped and until the accepted requests have ended.
     void run();
@@ -53,7 +53,7 @@
     void check_settings();
     void on_store_items(const routing::store_item_list& items,
                         std::uint64_t as_of,
-                        bool whole,
+                        bool complete,
                         const char* source);
     void apply_changes(const cluster_changes& changes, const char* source);
     void on_store_failed(const std::string& why);
@@ -85,7 +85,8 @@
     base::instant last_timeout_check;
     base::instant last_settings_check;
     base::duration total_suspended{
-        0}; // total time the machine was suspended, as of the last tick
+        // Total time the machine was suspended, as of the last tick.
+        0};
     std::optional<base::instant> pause_detected_at;
     std::optional<base::instant> stop_started_at;
     bool accepting_connections = true;
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -33,14 +33,14 @@
                                one.upstream,
                                one.pending_prefill_tokens});
     }
-    out.status_updates = this->journal.unacknowledged();
+    out.status_updates = this->send_statuses.unacknowledged();
     return out;
 }
 
 void request_handler::on_dispatcher_reply(
     const dispatch::dispatcher_reply& reply)
 {
-    this->journal.acknowledge(reply.acked_status);
+    this->send_statuses.acknowledge(reply.acked_status);
     for (const dispatch::slot_grant& one : reply.grants)
         this->submit_event(traffic::slot_granted{one.id.request,
                                                  one.id.send,
@@ -68,7 +68,7 @@
 // Failure guarded against: a dispatcher dies, and each of its members has the
 // whole of every limit until it has counted the others: of three requests of
 // 200 tokens that waited, all three went out on a part of 285.
-void request_handler::place_locally(std::size_t unheard,
+void request_handler::stop_delegating(std::size_t unheard,
                                     const limit_handover* known)
 {
     const base::instant now = this->state.clock();
@@ -81,7 +81,7 @@
     this->state.limiter.update_silent_peers(now);
     this->state.delegating = false;
     this->state.scheduler.set_delegating(false);
-    this->count_waiting_requests();
+    this->charge_queued_requests();
 }
 
 // ---- Members' requests ----------------------------------------------------
@@ -134,14 +134,14 @@
         return;
     }
     traffic::request_facts facts = wanted.facts;
-    facts.homes = this->homes_of(facts);
+    facts.homes = this->data_centre_constraint_of(facts);
     this->submit_event(
         traffic::request_arrived{id, facts, wanted.tried_upstreams});
 }
 
 // As the configuration in force here says: members ask by route and workspace.
 routing::data_centre_constraint
-request_handler::homes_of(const traffic::request_facts& facts) const
+request_handler::data_centre_constraint_of(const traffic::request_facts& facts) const
 {
     const routing::route_table_ptr& table = this->state.cluster.routes();
     const routing::route* route =
@@ -167,7 +167,7 @@
         this->state.limiter.on_sent(cost->workspace, cost->amount, now);
 }
 
-void request_handler::decline_slot(const traffic::end_request& order)
+void request_handler::deny_slot(const traffic::end_request& order)
 {
     const auto cost = this->members.on_denied(order.request, order.verdict);
     if (cost)
--- a/src/greengagedrum/entry/test/cluster_state_test.cpp
+++ b/src/greengagedrum/entry/test/cluster_state_test.cpp
@@ -56,12 +56,13 @@
     return {"op/evacuate/hall", "", revision, false};
 }
 
-routing::store_item
-item_with_birth(const char* name, std::uint64_t born, std::uint64_t revision)
+routing::store_item item_with_start_time(const char* name,
+                                         std::uint64_t started_ms,
+                                         std::uint64_t revision)
 {
     routing::store_item out = upstream_item(name, revision);
     out.value.back() = ',';
-    out.value += R"("born": )" + std::to_string(born) + "}";
+    out.value += R"("born": )" + std::to_string(started_ms) + "}";
     return out;
 }
 
@@ -89,17 +90,17 @@
 {
     this->apply_listing({upstream_item("i-1", 4)}, 4);
     const base::upstream_id id("i-1");
-    const auto begun = this->apply_changes({evacuation_item(6)}, 6);
-    CHECK(begun.removed.size() == 1);
-    REQUIRE(begun.evacuations.size() == 1);
-    CHECK(begun.evacuations.front().data_centre == "hall");
+    const auto started = this->apply_changes({evacuation_item(6)}, 6);
+    CHECK(started.removed.size() == 1);
+    REQUIRE(started.evacuations.size() == 1);
+    CHECK(started.evacuations.front().data_centre == "hall");
     CHECK(this->cluster.upstreams().find_usable(id) == nullptr);
     CHECK(this->cluster.upstreams().find_alive(id) != nullptr);
     // Load reports go on during the evacuation and must not end it.
     CHECK(this->apply_changes({upstream_item("i-1", 8)}, 8).added.empty());
-    const auto over =
+    const auto ended =
         this->apply_changes({{"op/evacuate/hall", "", 9, true}}, 9);
-    CHECK(over.added.size() == 1);
+    CHECK(ended.added.size() == 1);
     CHECK(this->cluster.upstreams().find_usable(id) != nullptr);
 }
 
@@ -109,10 +110,10 @@
 {
     this->apply_listing(
         {service_item(2), upstream_item("i-1", 4), evacuation_item(5)}, 6);
-    const auto over =
+    const auto ended =
         this->apply_changes({{"op/evacuate/hall", "", 9, true}}, 9);
-    REQUIRE(over.added.size() == 1);
-    CHECK(over.added.front().warmup == 3s);
+    REQUIRE(ended.added.size() == 1);
+    CHECK(ended.added.front().warmup == 3s);
 }
 
 // Only the first report of an upstream says that it is cold. Members detect the
@@ -271,13 +272,13 @@
 TEST_CASE_FIXTURE(cluster_state_fixture,
                   "restarted_upstream_is_removed_and_added")
 {
-    this->apply_listing({item_with_birth("i-1", 1'000, 4)}, 6);
+    this->apply_listing({item_with_start_time("i-1", 1'000, 4)}, 6);
     const auto changes =
-        this->apply_changes({item_with_birth("i-1", 2'000, 7)}, 7);
+        this->apply_changes({item_with_start_time("i-1", 2'000, 7)}, 7);
     REQUIRE(changes.removed.size() == 1);
     REQUIRE(changes.added.size() == 1);
     CHECK(changes.removed.front().id != changes.added.front().id);
-    // Once upstreams publish a time of birth, an item without one is not an
+    // Once upstreams publish a start time, an item without one is not an
     // upstream's.
     CHECK(this->apply_changes({upstream_item("i-2", 9)}, 9).added.empty());
 }
@@ -294,12 +295,13 @@
     CHECK(this->cluster.items_after_revision(1).items.size() < 5'000);
 }
 
-TEST_CASE_FIXTURE(cluster_state_fixture,
-                  "upstream_without_birth_is_removed_once_births_are_published")
+TEST_CASE_FIXTURE(
+    cluster_state_fixture,
+    "upstream_without_start_time_is_removed_once_others_publish_one")
 {
     this->apply_listing({upstream_item("i-1", 4)}, 4);
     const auto changes =
-        this->apply_changes({item_with_birth("i-2", 2'000, 7)}, 7);
+        this->apply_changes({item_with_start_time("i-2", 2'000, 7)}, 7);
     CHECK(changes.removed.size() == 1);
     CHECK(this->cluster.upstreams().usable_count() == 1);
 }
