--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -54,9 +54,9 @@
       state{loop_clock(this->started_at),
             cluster_state(),
             quota::usage_limiter(base::instant(loop_clock_start)),
-            traffic::scheduler(
-                retry_bounds_of(initial_settings.bounds),
-                {initial_settings.data_centre, base::hash_name(initial_settings.instance)}),
+            traffic::scheduler(retry_bounds_of(initial_settings.bounds),
+                               {initial_settings.data_centre,
+                                base::hash_name(initial_settings.instance)}),
             rate_limited_log(),
             telemetry::registry(max_metric_series),
             false,
@@ -75,8 +75,8 @@
         if (this->peers)
             this->peers->schedule_gossip();
     };
-    this->peer_datagram_socket =
-        std::make_unique<peer_socket>(this->context, initial_settings.ip, initial_settings.peer_port);
+    this->peer_datagram_socket = std::make_unique<peer_socket>(
+        this->context, initial_settings.ip, initial_settings.peer_port);
     this->peers = std::make_unique<peer_protocol>(
         initial_settings,
         this->incarnation,
@@ -108,9 +108,11 @@
     store_callbacks.peer_reads_store = [this] {
         return this->peers->peer_reads_store();
     };
-    this->store = std::make_unique<store_reader>(
-        this->context, initial_settings.store_address, std::move(store_callbacks));
-    this->store->set_update_bound(initial_settings.bounds.shortest_update_delay());
+    this->store = std::make_unique<store_reader>(this->context,
+                                                 initial_settings.store_address,
+                                                 std::move(store_callbacks));
+    this->store->set_update_bound(
+        initial_settings.bounds.shortest_update_delay());
     this->readiness_server = std::make_unique<relay::small_server>(
         this->context,
         initial_settings.readiness_address,
@@ -142,10 +144,12 @@
 peer_events entry::make_peer_events()
 {
     peer_events out;
-    out.peer_load_changed = [this] { this->handler->dispatch_queued_requests(); };
+    out.peer_load_changed = [this] {
+        this->handler->dispatch_queued_requests();
+    };
     out.items_received = [this](const gossip::item_transfer& transfer) {
-        this->apply_changes(this->state.cluster.apply(transfer, this->state.clock()),
-                            "peer");
+        this->apply_changes(
+            this->state.cluster.apply(transfer, this->state.clock()), "peer");
         this->end_pause("peer");
         this->store->skip_to_revision(this->state.cluster.store_revision());
     };
@@ -160,8 +164,10 @@
     };
     out.report_received = [this](base::slot_id member,
                                  const gossip::message& message) {
-        this->handler->on_member_report(
-            member, message.incarnation, message.report, message.upstream_loads);
+        this->handler->on_member_report(member,
+                                        message.incarnation,
+                                        message.report,
+                                        message.upstream_loads);
     };
     out.member_lost = [this](base::slot_id member) {
         this->handler->on_member_lost(member);
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -110,15 +110,16 @@
                 cost.workspace, cost.amount, this->fleet.time());
     };
     out.delegation_ended = [this, &process](std::size_t unheard,
-                                       const limit_handover* known) {
+                                            const limit_handover* known) {
         this->dispatch_alone(process, unheard, known);
     };
     out.make_report = [this, &process] { return this->make_report(process); };
-    out.reply_received = [this, &process](const dispatch::dispatcher_reply& what) {
+    out.reply_received = [this,
+                          &process](const dispatch::dispatcher_reply& what) {
         this->on_reply(process, what);
     };
     out.report_received = [this, &process](base::slot_id member,
-                                      const gossip::message& told) {
+                                           const gossip::message& told) {
         this->on_report(process, member, told);
     };
     out.member_lost = [this, &process](base::slot_id member) {
@@ -128,10 +129,12 @@
                 cost.workspace, cost.amount, this->fleet.time());
     };
     out.members_awaiting_reply = [this, &process] {
-        return this->state_of(process).book.members_to_answer(this->fleet.time());
+        return this->state_of(process).book.members_to_answer(
+            this->fleet.time());
     };
     out.make_reply = [this, &process](base::slot_id member) {
-        return this->state_of(process).book.build_reply(member, this->fleet.time());
+        return this->state_of(process).book.build_reply(member,
+                                                        this->fleet.time());
     };
     return out;
 }
@@ -153,7 +156,8 @@
         at.protocol->schedule_gossip();
         return;
     }
-    if (at.state.limiter.try_acquire(busy_workspace, cost, 0, this->fleet.time())) {
+    if (at.state.limiter.try_acquire(
+            busy_workspace, cost, 0, this->fleet.time())) {
         this->result.refused += 1;
         return;
     }
@@ -162,8 +166,8 @@
 }
 
 void limited_fleet::dispatch_alone(node& one,
-                                std::size_t unheard,
-                                const limit_handover* known)
+                                   std::size_t unheard,
+                                   const limit_handover* known)
 {
     if (known != nullptr)
         one.state.limiter.take_over(known->sender,
@@ -181,7 +185,8 @@
             this->result.refused += 1;
             continue;
         }
-        one.state.limiter.on_sent(busy_workspace, request.cost, this->fleet.time());
+        one.state.limiter.on_sent(
+            busy_workspace, request.cost, this->fleet.time());
         this->admit(request.cost);
     }
     this->state_of(one).requests.clear();
@@ -203,8 +208,8 @@
 }
 
 void limited_fleet::on_report(node& dispatcher,
-                             base::slot_id member,
-                             const gossip::message& told)
+                              base::slot_id member,
+                              const gossip::message& told)
 {
     quota::usage_limiter& limiter = dispatcher.state.limiter;
     dispatch::member_request_table& book = this->state_of(dispatcher).book;
@@ -213,11 +218,11 @@
     for (const dispatch::limit_charge& cost : news.refunds)
         limiter.refund_unsent(cost.workspace, cost.amount, this->fleet.time());
     for (const auto& [id, wanted] : news.new_requests) {
-        const auto over =
-            limiter.try_acquire(busy_workspace, wanted.cost, 0, this->fleet.time());
+        const auto over = limiter.try_acquire(
+            busy_workspace, wanted.cost, 0, this->fleet.time());
         if (over) {
             book.on_denied(id,
-                             base::not_run(base::reason::limit_reached, *over));
+                           base::not_run(base::reason::limit_reached, *over));
             continue;
         }
         traffic::send_request order;
@@ -230,10 +235,11 @@
 }
 
 void limited_fleet::on_reply(node& member,
-                            const dispatch::dispatcher_reply& what)
+                             const dispatch::dispatcher_reply& what)
 {
     for (const dispatch::slot_grant& one : what.grants) {
-        const auto found = this->state_of(member).requests.find(one.id.request.value);
+        const auto found =
+            this->state_of(member).requests.find(one.id.request.value);
         if (found == this->state_of(member).requests.end())
             continue;
         this->admit(found->second.cost);
@@ -301,16 +307,17 @@
         const node* one = this->fleet.at(number);
         if (one == nullptr)
             continue;
-        this->result.reserved_for_absent =
-            std::max(this->result.reserved_for_absent,
-                     one->state.limiter.status_of(busy_workspace, this->fleet.time())
-                         .silent_share);
+        this->result.reserved_for_absent = std::max(
+            this->result.reserved_for_absent,
+            one->state.limiter.status_of(busy_workspace, this->fleet.time())
+                .silent_share);
         for (const auto& [id, request] : this->processes[number].requests) {
             const bool late = this->fleet.time() - request.arrived > 1s;
             this->result.unanswered += late ? 1 : 0;
         }
     }
-    this->result.admitted_share /= this->limit() * (this->plan.seconds - roles_settled);
+    this->result.admitted_share /=
+        this->limit() * (this->plan.seconds - roles_settled);
     this->result.busiest_bytes = static_cast<std::uint64_t>(
         static_cast<double>(this->fleet.busiest_bytes()) / this->plan.seconds);
     return this->result;
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
@@ -18,8 +18,8 @@
 constexpr base::duration answer_after = 300ms;
 constexpr base::duration upstream_back_after = 4s;
 constexpr base::duration lease = 3600ms;
-constexpr base::duration min_age = 3s; // of a process, and of a count
-constexpr double role_assignment_time = 1;   // seconds from the start
+constexpr base::duration min_age = 3s;     // of a process, and of a count
+constexpr double role_assignment_time = 1; // seconds from the start
 constexpr std::uint64_t shared_body = 999'999;
 
 } // namespace
@@ -96,9 +96,11 @@
     out.make_report = [] { return dispatch::member_report(); };
     out.reply_received = [](const dispatch::dispatcher_reply&) {};
     out.report_received = [this, &entry](base::slot_id member,
-                                      const gossip::message& message) {
-        this->processes[entry.number].book.on_report(
-            member, message.incarnation, message.report, message.upstream_loads);
+                                         const gossip::message& message) {
+        this->processes[entry.number].book.on_report(member,
+                                                     message.incarnation,
+                                                     message.report,
+                                                     message.upstream_loads);
     };
     out.member_lost = [this, &entry](base::slot_id member) {
         this->processes[entry.number].book.remove_member(member);
@@ -108,8 +110,8 @@
             this->fleet.time());
     };
     out.make_reply = [this, &entry](base::slot_id member) {
-        return this->processes[entry.number].book.build_reply(member,
-                                                           this->fleet.time());
+        return this->processes[entry.number].book.build_reply(
+            member, this->fleet.time());
     };
     return out;
 }
@@ -233,7 +235,8 @@
         upstream& to = this->upstreams[number];
         if (this->published(number).id != action.upstream || !to.alive)
             continue;
-        run new_run{at.number, process.process_id, action.request, action.send, {}, {}};
+        run new_run{
+            at.number, process.process_id, action.request, action.send, {}, {}};
         new_run.ends_at = this->fleet.time() + answer_after;
         if (crashes) {
             new_run.body = poison->second;
@@ -249,7 +252,8 @@
         to.runs.push_back(new_run);
         return;
     }
-    this->submit_event(at, traffic::connect_failed{action.request, action.send});
+    this->submit_event(at,
+                       traffic::connect_failed{action.request, action.send});
 }
 
 // ---- Upstreams --------------------------------------------------------------
@@ -257,7 +261,8 @@
 void poison_request_fleet::report_broken_run(const run& one)
 {
     node* at = this->fleet.at(one.entry);
-    if (at != nullptr && this->processes[one.entry].process_id == one.process_id)
+    if (at != nullptr &&
+        this->processes[one.entry].process_id == one.process_id)
         this->submit_event(*at,
                            traffic::answer_interrupted{one.request, one.send});
 }
@@ -285,8 +290,9 @@
         };
         if (!one.alive && now >= one.back_at - (upstream_back_after - lease)) {
             const base::upstream_id gone = this->published(number).id;
-            for_all_schedulers(
-                [&](traffic::scheduler& scheduler) { scheduler.upstream_left(gone); });
+            for_all_schedulers([&](traffic::scheduler& scheduler) {
+                scheduler.upstream_left(gone);
+            });
         }
         if (!one.alive && now >= one.back_at) {
             one.alive = true;
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
@@ -72,9 +72,11 @@
     out.make_report = [] { return dispatch::member_report(); };
     out.reply_received = [](const dispatch::dispatcher_reply&) {};
     out.report_received = [this, &entry](base::slot_id member,
-                                      const gossip::message& message) {
-        this->books[entry.number].on_report(
-            member, message.incarnation, message.report, message.upstream_loads);
+                                         const gossip::message& message) {
+        this->books[entry.number].on_report(member,
+                                            message.incarnation,
+                                            message.report,
+                                            message.upstream_loads);
     };
     out.member_lost = [this, &entry](base::slot_id member) {
         this->books[entry.number].remove_member(member);
@@ -83,7 +85,8 @@
         return this->books[entry.number].members_to_answer(this->fleet.time());
     };
     out.make_reply = [this, &entry](base::slot_id member) {
-        return this->books[entry.number].build_reply(member, this->fleet.time());
+        return this->books[entry.number].build_reply(member,
+                                                     this->fleet.time());
     };
     return out;
 }
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -29,7 +29,7 @@
 }
 
 void request_handler::refuse_queued_request(base::request_id id,
-                                             base::duration retry_after)
+                                            base::duration retry_after)
 {
     this->submit_event(traffic::caller_left{id});
     this->execute_action(traffic::end_request{
@@ -62,21 +62,22 @@
         workspace, cost, priority, now);
     const routing::workspace* known_workspace =
         this->state.cluster.routes()->find_workspace(workspace);
-    this->state.log.write(now,
-                          "limits",
-                          "limit_reached",
-                          {{"workspace", known_workspace ? known_workspace->name : std::string()},
-                           {"cost", cost},
-                           {"priority", priority},
-                           {"kept_for_more_urgent", kept},
-                           {"limit_level", view.bucket_level},
-                           {"sent_here", view.own_sent},
-                           {"sent", view.all_sent},
-                           {"waiting", view.all_waiting},
-                           {"bound", view.window_bound},
-                           {"absent_share", view.silent_share},
-                           {"window_known", view.window_known},
-                           {"retry_after_ms", to_milliseconds(retry_after)}});
+    this->state.log.write(
+        now,
+        "limits",
+        "limit_reached",
+        {{"workspace", known_workspace ? known_workspace->name : std::string()},
+         {"cost", cost},
+         {"priority", priority},
+         {"kept_for_more_urgent", kept},
+         {"limit_level", view.bucket_level},
+         {"sent_here", view.own_sent},
+         {"sent", view.all_sent},
+         {"waiting", view.all_waiting},
+         {"bound", view.window_bound},
+         {"absent_share", view.silent_share},
+         {"window_known", view.window_known},
+         {"retry_after_ms", to_milliseconds(retry_after)}});
 }
 
 } // namespace greengagedrum::entry
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -69,7 +69,7 @@
 // whole of every limit until it has counted the others: of three requests of
 // 200 tokens that waited, all three went out on a part of 285.
 void request_handler::stop_delegating(std::size_t unheard,
-                                    const limit_handover* known)
+                                      const limit_handover* known)
 {
     const base::instant now = this->state.clock();
     if (known != nullptr)
@@ -126,8 +126,10 @@
                                                          wanted.facts.priority,
                                                          this->state.clock());
     if (retry_after) {
-        this->log_over_limit(
-            wanted.facts.workspace, wanted.cost, wanted.facts.priority, *retry_after);
+        this->log_over_limit(wanted.facts.workspace,
+                             wanted.cost,
+                             wanted.facts.priority,
+                             *retry_after);
         // The limit has nothing of it to give back.
         this->members.on_denied(
             id, base::not_run(base::reason::limit_reached, retry_after));
@@ -140,8 +142,8 @@
 }
 
 // As the configuration in force here says: members ask by route and workspace.
-routing::data_centre_constraint
-request_handler::data_centre_constraint_of(const traffic::request_facts& facts) const
+routing::data_centre_constraint request_handler::data_centre_constraint_of(
+    const traffic::request_facts& facts) const
 {
     const routing::route_table_ptr& table = this->state.cluster.routes();
     const routing::route* route =
--- a/src/greengagedrum/entry/peer_protocol.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -64,7 +64,8 @@
         return std::nullopt;
     target.remove_prefix(life_parameter.size());
     base::incarnation incarnation;
-    if (std::from_chars(target.data(), end, incarnation.value).ec != std::errc())
+    if (std::from_chars(target.data(), end, incarnation.value).ec !=
+        std::errc())
         return std::nullopt;
     out.incarnation = incarnation;
     return out;
@@ -75,15 +76,15 @@
                              shared_state& state,
                              peer_events events,
                              peer_transport transport)
-    : own_settings(given), incarnation(incarnation), state(state), events(std::move(events)),
-      transport(std::move(transport)),
+    : own_settings(given), incarnation(incarnation), state(state),
+      events(std::move(events)), transport(std::move(transport)),
       table(relay::asio::ip::make_address_v4(given.ip).to_uint(),
             given.data_centre,
             incarnation),
       election(relay::asio::ip::make_address_v4(given.ip).to_uint(),
-            base::data_centre_id(given.data_centre),
-            strength_of(given),
-            state.clock()),
+               base::data_centre_id(given.data_centre),
+               strength_of(given),
+               state.clock()),
       started_at(state.clock()), running_since(state.clock()),
       counted_at(state.clock()), half_dispatched_since(state.clock()),
       dispatcher_seen_at(state.clock()), dispatching_since(state.clock())
@@ -137,7 +138,8 @@
              {"config_revision", message->configuration_revision},
              {"store_revision", message->store_revision}});
     this->merge_suspects(*message, now);
-    this->peer_store_answer_at = std::max(this->peer_store_answer_at, now - message->store_age);
+    this->peer_store_answer_at =
+        std::max(this->peer_store_answer_at, now - message->store_age);
     switch (message->kind) {
     case gossip::message_kind::load:
         if (this->uses_dispatchers)
@@ -187,7 +189,8 @@
 {
     const base::instant now = this->state.clock();
     const base::duration bound =
-        this->own_settings.bounds.shortest_update_delay() * peer_reliance_parts / all_parts;
+        this->own_settings.bounds.shortest_update_delay() *
+        peer_reliance_parts / all_parts;
     if (this->uses_dispatchers)
         return this->dispatcher_reads_store(bound, now);
     return now - this->own_store_answer_at < bound &&
@@ -235,7 +238,8 @@
     out.sequence = ++this->sequence;
     out.instance = this->own_settings.instance;
     out.data_centre = this->own_settings.data_centre;
-    out.address = relay::asio::ip::make_address_v4(this->own_settings.ip).to_uint();
+    out.address =
+        relay::asio::ip::make_address_v4(this->own_settings.ip).to_uint();
     out.cpu_millicores = strength_of(this->own_settings);
     out.uptime = now - this->started_at;
     out.stopping = this->state.stopping;
@@ -251,17 +255,18 @@
 gossip::message peer_protocol::make_load_message(gossip::recipient_group who)
 {
     const base::instant now = this->state.clock();
-    gossip::message out =
-        this->make_message(this->uses_dispatchers ? gossip::message_kind::dispatcher_load
-                                      : gossip::message_kind::load);
+    gossip::message out = this->make_message(
+        this->uses_dispatchers ? gossip::message_kind::dispatcher_load
+                               : gossip::message_kind::load);
     out.upstream_loads = this->state.scheduler.own_load(now);
     out.queue_reports = this->state.scheduler.own_queue_reports(now);
     out.workspace_usage = this->state.limiter.own_usage(now);
     out.known_entries = this->table.select_known_entries(who, now);
-    out.suspects = this->suspects_to_send(
-        who == gossip::recipient_group::own_data_centre ? this->near_suspects_sent_at
-                                                        : this->far_suspects_sent_at,
-        now);
+    out.suspects =
+        this->suspects_to_send(who == gossip::recipient_group::own_data_centre
+                                   ? this->near_suspects_sent_at
+                                   : this->far_suspects_sent_at,
+                               now);
     return out;
 }
 
@@ -309,7 +314,8 @@
     }
     this->update_counts(now);
     this->state.limiter.update_silent_peers(now);
-    const auto newest = this->table.newest_store_source(now, this->source_rotation);
+    const auto newest =
+        this->table.newest_store_source(now, this->source_rotation);
     const bool changed =
         newest &&
         newest->change_revision > this->state.cluster.last_change_revision();
@@ -321,21 +327,22 @@
 {
     if (this->fetching || now - this->fetch_started_at < fetch_interval)
         return;
-    const auto source = this->table.newest_store_source(now, ++this->source_rotation);
+    const auto source =
+        this->table.newest_store_source(now, ++this->source_rotation);
     if (!source ||
         (source->store_revision <= this->state.cluster.store_revision() &&
          source->change_revision <= this->state.cluster.last_change_revision()))
         return;
     this->fetch_items(source->address,
-                        {std::min(this->state.cluster.last_change_revision(),
-                                  this->state.cluster.configuration_revision()),
-                         std::nullopt},
-                        now);
+                      {std::min(this->state.cluster.last_change_revision(),
+                                this->state.cluster.configuration_revision()),
+                       std::nullopt},
+                      now);
 }
 
 void peer_protocol::fetch_items(gossip::ipv4_address of,
-                                  const item_query& query,
-                                  base::instant now)
+                                const item_query& query,
+                                base::instant now)
 {
     this->fetching = true;
     this->fetch_started_at = now;
@@ -349,7 +356,8 @@
             this->fetching = false;
             if (got && got->status == relay::status_ok) {
                 if (const auto items = gossip::decode_items(got->body)) {
-                    this->synced_position = {items->incarnation, items->change_count};
+                    this->synced_position = {items->incarnation,
+                                             items->change_count};
                     return this->events.items_received(*items);
                 }
             }
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -55,7 +55,7 @@
 // ---- Hearing --------------------------------------------------------------
 
 void peer_protocol::merge_suspects(const gossip::message& received,
-                                  base::instant now)
+                                   base::instant now)
 {
     if (received.suspects.empty())
         return;
@@ -69,7 +69,8 @@
 {
     const base::slot_id slot(received.instance);
     if (this->uses_dispatchers &&
-        (this->state.delegating || received.data_centre == this->own_settings.data_centre))
+        (this->state.delegating ||
+         received.data_centre == this->own_settings.data_centre))
         this->answer_dispatcher_query(received, now);
     if (received.delegating) {
         this->state.scheduler.on_peer_lost(slot);
@@ -82,14 +83,18 @@
         this->counted_dispatchers[slot] = received.address;
     this->state.scheduler.on_peer_report(
         slot, received.upstream_loads, received.queue_reports, now);
-    this->state.limiter.on_peer_report(
-        slot, received.incarnation, received.workspace_usage, received.stopping, now);
+    this->state.limiter.on_peer_report(slot,
+                                       received.incarnation,
+                                       received.workspace_usage,
+                                       received.stopping,
+                                       now);
     if (this->state.scheduler.waiting() > 0)
         this->events.peer_load_changed();
 }
 
 // Its limits are counted here from now on, and its load is what it shows.
-void peer_protocol::on_report(const gossip::message& received, base::instant now)
+void peer_protocol::on_report(const gossip::message& received,
+                              base::instant now)
 {
     if (!this->uses_dispatchers)
         return;
@@ -118,7 +123,8 @@
 
 // Of a dispatcher, to an entry next in line; and of one that stops, or that
 // this one has taken over from.
-void peer_protocol::on_limits(const gossip::message& received, base::instant now)
+void peer_protocol::on_limits(const gossip::message& received,
+                              base::instant now)
 {
     const base::slot_id slot(received.instance);
     if (this->received_limits && this->received_limits->sender == slot)
@@ -126,18 +132,24 @@
     if (received.workspace_usage.empty())
         return;
     if (!this->state.delegating) {
-        this->state.limiter.on_peer_report(
-            slot, received.incarnation, received.workspace_usage, received.stopping, now);
+        this->state.limiter.on_peer_report(slot,
+                                           received.incarnation,
+                                           received.workspace_usage,
+                                           received.stopping,
+                                           now);
         if (received.delegating)
             this->state.limiter.forget_peer(slot);
         return;
     }
-    this->received_limits = {
-        slot, received.incarnation, received.workspace_usage, received.stopping, now};
+    this->received_limits = {slot,
+                             received.incarnation,
+                             received.workspace_usage,
+                             received.stopping,
+                             now};
 }
 
 void peer_protocol::answer_dispatcher_query(const gossip::message& received,
-                                    base::instant now)
+                                            base::instant now)
 {
     base::instant& answered = this->query_answered_at[received.address];
     if (now - answered < query_answer_interval)
@@ -154,7 +166,8 @@
 
 // Its dispatcher reads the store for a member, which is passed all that
 // changes.
-void peer_protocol::sync_with_dispatcher(const gossip::message& received, base::instant now)
+void peer_protocol::sync_with_dispatcher(const gossip::message& received,
+                                         base::instant now)
 {
     this->dispatcher_digest = received.state_digest;
     if (received.state_digest == this->state.cluster.content_digest())
@@ -164,10 +177,12 @@
 }
 
 void peer_protocol::fetch_from_dispatcher(const gossip::message& received,
-                                   base::instant now)
+                                          base::instant now)
 {
     const std::uint64_t known =
-        this->synced_position.incarnation == received.incarnation ? this->synced_position.changes : 0;
+        this->synced_position.incarnation == received.incarnation
+            ? this->synced_position.changes
+            : 0;
     this->fetch_items(received.address, {known, received.incarnation}, now);
 }
 
@@ -175,7 +190,7 @@
 // few of those next in line read then, and all others once a change may be due.
 // With all of them reading now and then, 295 entries made 6,500 calls in 48 s.
 bool peer_protocol::dispatcher_reads_store(base::duration bound,
-                                     base::instant now) const
+                                           base::instant now) const
 {
     if (!this->dispatcher ||
         this->dispatcher_digest != this->state.cluster.content_digest())
@@ -191,13 +206,14 @@
 
 bool peer_protocol::is_serving_members() const
 {
-    return this->uses_dispatchers && !this->state.delegating && !this->members.empty();
+    return this->uses_dispatchers && !this->state.delegating &&
+           !this->members.empty();
 }
 
 void peer_protocol::update_role(base::instant now)
 {
-    const bool used_dispatchers =
-        std::exchange(this->uses_dispatchers, this->election.uses_dispatchers(now));
+    const bool used_dispatchers = std::exchange(
+        this->uses_dispatchers, this->election.uses_dispatchers(now));
     if (this->uses_dispatchers && !used_dispatchers)
         this->state.limiter.forget_peers();
     if (!this->uses_dispatchers) {
@@ -223,9 +239,9 @@
     }
     if (next)
         this->dispatcher_seen_at = now;
-    const bool dispatcher_expected = !next &&
-                          now - this->dispatcher_seen_at < dispatcher_wait &&
-                          !this->election.probe_targets(now).empty();
+    const bool dispatcher_expected =
+        !next && now - this->dispatcher_seen_at < dispatcher_wait &&
+        !this->election.probe_targets(now).empty();
     this->set_role(next.has_value() || dispatcher_expected, now);
     if (this->state.delegating)
         return this->schedule.set_member_intervals();
@@ -247,12 +263,15 @@
     }
     this->dispatching_since = now;
     const bool limits_valid =
-        this->received_limits && now - this->received_limits->received_at <= limits_max_age;
-    const bool planned_stop = limits_valid && this->received_limits->sender_stopping;
+        this->received_limits &&
+        now - this->received_limits->received_at <= limits_max_age;
+    const bool planned_stop =
+        limits_valid && this->received_limits->sender_stopping;
     this->unheard_at_takeover =
         planned_stop ? 0 : this->election.known_count_in_data_centre(now);
     this->events.delegation_ended(
-        this->election.never_heard_data_centre_count(now) + this->unheard_at_takeover,
+        this->election.never_heard_data_centre_count(now) +
+            this->unheard_at_takeover,
         limits_valid ? &*this->received_limits : nullptr);
     this->received_limits.reset();
 }
@@ -288,13 +307,15 @@
 
 // Of the requests that cold upstreams of the own data centre get. Among many
 // entries they are the dispatcher's, once the one before it has sent its last.
-traffic::slow_start_share peer_protocol::compute_slow_start_share(base::instant now) const
+traffic::slow_start_share
+peer_protocol::compute_slow_start_share(base::instant now) const
 {
     const base::duration uptime = now - this->running_since;
     const bool others_unheard = this->uses_dispatchers
                                     ? this->table.has_never_heard_seed()
                                     : this->table.never_heard_count() > 0;
-    if (uptime < (others_unheard ? never_heard_peer_timeout : peer_discovery_time))
+    if (uptime <
+        (others_unheard ? never_heard_peer_timeout : peer_discovery_time))
         return {};
     if (this->uses_dispatchers)
         return now - this->half_dispatched_since >= former_sends_window
--- a/src/greengagedrum/entry/peer_sending.cpp
+++ b/src/greengagedrum/entry/peer_sending.cpp
@@ -83,7 +83,8 @@
         this->send_replies();
     if (heartbeat_due)
         this->probe_silent(now);
-    const bool sends_far = !this->state.delegating || this->role_notices_left > 0;
+    const bool sends_far =
+        !this->state.delegating || this->role_notices_left > 0;
     if (sends_far &&
         this->schedule.is_due(recipient_group::other_data_centres, now))
         this->send_to_other_data_centres(now);
@@ -151,8 +152,8 @@
         this->send_dispatcher_query(targets, now);
 }
 
-void peer_protocol::send_dispatcher_query(const std::vector<gossip::ipv4_address>& targets,
-                          base::instant now)
+void peer_protocol::send_dispatcher_query(
+    const std::vector<gossip::ipv4_address>& targets, base::instant now)
 {
     gossip::message out =
         this->make_message(gossip::message_kind::dispatcher_query);
@@ -170,7 +171,8 @@
             base::data_centre_id(this->own_settings.data_centre), now);
     const std::vector<gossip::ipv4_address> next =
         this->election.standby_entries(now);
-    const auto suspects = this->suspects_to_send(this->member_suspects_sent_at, now);
+    const auto suspects =
+        this->suspects_to_send(this->member_suspects_sent_at, now);
     for (const auto& [slot, one] : this->members) {
         if (now - one.heard_at > member_max_silence)
             continue;
--- a/src/greengagedrum/entry/test/limit_test.cpp
+++ b/src/greengagedrum/entry/test/limit_test.cpp
@@ -26,12 +26,13 @@
     std::uint16_t port() const { return this->socket.local_endpoint().port(); }
 
     // Until a message of the entry says so, for three seconds at most.
-    bool receives_use(const std::function<bool(const quota::workspace_usage&)>& matches)
+    bool receives_use(
+        const std::function<bool(const quota::workspace_usage&)>& matches)
     {
         for (int tries = 0; tries < 300; ++tries) {
             relay::error_code fault;
-            const std::size_t count =
-                this->socket.receive(relay::asio::buffer(this->buffer), 0, fault);
+            const std::size_t count = this->socket.receive(
+                relay::asio::buffer(this->buffer), 0, fault);
             if (fault) {
                 std::this_thread::sleep_for(10ms);
                 continue;
