--- a/src/greengagedrum/dispatch/test/dispatch_run.cpp
+++ b/src/greengagedrum/dispatch/test/dispatch_run.cpp
@@ -257,9 +257,9 @@
     for (const slot_denial& one : what.denials)
         this->member_step(
             to,
-            traffic::slot_declined{one.id.request,
-                                   one.id.send,
-                                   base::not_run(one.reason, one.retry_after)});
+            traffic::slot_denied{one.id.request,
+                                 one.id.send,
+                                 base::not_run(one.reason, one.retry_after)});
 }
 
 // ---- Their dispatcher -----------------------------------------------------
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -50,9 +50,9 @@
                                                  one.slots});
     for (const dispatch::slot_denial& one : what.denials)
         this->submit_event(
-            traffic::slot_declined{one.id.request,
-                                   one.id.send,
-                                   base::not_run(one.reason, one.retry_after)});
+            traffic::slot_denied{one.id.request,
+                                 one.id.send,
+                                 base::not_run(one.reason, one.retry_after)});
 }
 
 void request_handler::start_delegating()
--- a/src/greengagedrum/traffic/delegation.cpp
+++ b/src/greengagedrum/traffic/delegation.cpp
@@ -80,7 +80,7 @@
     this->send(*item, where);
 }
 
-void scheduler::on(const slot_declined& what)
+void scheduler::on(const slot_denied& what)
 {
     request* item = this->awaiting(what.request, what.send);
     if (item == nullptr || !this->delegating)
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -125,7 +125,7 @@
     std::uint32_t places = 0;
 };
 
-struct slot_declined {
+struct slot_denied {
     base::request_id request;
     std::uint32_t send = 0;
     base::verdict verdict;
@@ -140,7 +140,7 @@
                            answer_interrupted,
                            upstream_checked,
                            slot_granted,
-                           slot_declined>;
+                           slot_denied>;
 
 // ---- Actions ------------------------------------------------------------
 
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -166,7 +166,7 @@
     void on(const answer_interrupted& what);
     void on(const upstream_checked& what);
     void on(const slot_granted& what);
-    void on(const slot_declined& what);
+    void on(const slot_denied& what);
 
     request* under_way(base::request_id id, std::uint32_t send);
     request* awaiting(base::request_id id, std::uint32_t send);
--- a/src/greengagedrum/traffic/test/delegation_test.cpp
+++ b/src/greengagedrum/traffic/test/delegation_test.cpp
@@ -93,7 +93,7 @@
 {
     const auto id = this->arrive(stream_facts());
     this->step(
-        slot_declined{id, 1, base::not_run(base::reason::limit_reached, 3s)});
+        slot_denied{id, 1, base::not_run(base::reason::limit_reached, 3s)});
     const auto* end = this->order<end_request>();
     REQUIRE(end != nullptr);
     CHECK(end->verdict.run == base::run_state::not_run);
@@ -110,8 +110,7 @@
     const auto id = this->arrive(again);
     this->step(this->granted(id));
     this->step(answer_interrupted{id, 1});
-    this->step(
-        slot_declined{id, 2, base::not_run(base::reason::overloaded, 1s)});
+    this->step(slot_denied{id, 2, base::not_run(base::reason::overloaded, 1s)});
     const auto* end = this->order<end_request>();
     REQUIRE(end != nullptr);
     CHECK(end->verdict.run == base::run_state::may_have_run);
