--- a/src/greengagedrum/base/verdict.hpp
+++ b/src/greengagedrum/base/verdict.hpp
@@ -43,8 +43,7 @@
 struct verdict {
     run_state run = run_state::not_run;
     reason why = reason::none;
-    std::optional<duration>
-        retry_after; // suggested retry delay, if a retry is useful
+    std::optional<duration> retry_after; // suggested retry delay
 };
 
 std::string_view to_string(run_state value);
--- a/src/greengagedrum/traffic/messages.hpp
+++ b/src/greengagedrum/traffic/messages.hpp
@@ -31,17 +31,15 @@
     base::request_digest digest; // empty: unknown to this entry
     routing::retry_policy retry = routing::retry_policy::at_most_once;
     bool stream = false;
-    std::uint32_t priority = 0;
+    std::uint32_t priority = 0; // 0 is the most urgent
     std::uint32_t prompt_tokens = 0;
-    std::uint32_t output_tokens = 0;
+    std::uint32_t output_tokens = 0; // expected
     std::uint32_t attempts_max = 1;
-    base::duration latency_objective{
-        0}; // to the first event or the whole answer
+    base::duration latency_objective{0}; // until the first event or the answer
     base::duration event_gap_objective{0}; // between two events of a stream
     base::duration time_left{0}; // until the caller's or the route's timeout
     bool caller_resumes = false; // the caller itself resumes a broken stream
-    routing::data_centre_constraint
-        allowed_data_centres{}; // not exchanged between entries
+    routing::data_centre_constraint allowed_data_centres{}; // not sent to peers
     // Set for a request of another entry, which asks only for a slot. The other
     // entry sends the request, observes its result and decides about retries.
     bool delegated = false;
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -58,7 +58,7 @@
 struct dispatch_query {
     base::upstream_class_id service;
     std::uint32_t prompt_tokens = 0;
-    std::uint32_t output_tokens = 0;
+    std::uint32_t output_tokens = 0;          // expected
     std::span<const base::upstream_id> tried; // not to be selected again
     base::duration first_event_within{0};     // what is left of its objective
     base::duration event_gap_objective{0};    // between two events; 0: none
@@ -69,7 +69,7 @@
 // Identifies this entry, so that its choices differ from those of its peers.
 struct entry_identity {
     std::string data_centre;
-    std::uint64_t salt = 0;
+    std::uint64_t salt = 0; // differs between entries
 };
 
 class upstream_pool
