--- a/src/greengagedrum/traffic/choice.cpp
+++ b/src/greengagedrum/traffic/choice.cpp
@@ -101,7 +101,7 @@
     for (const base::upstream_id id : all.members) {
         const upstream& one = this->upstreams.at(id);
         auto& [lost, members] = counts[one.data_centre];
-        lost += one.trust.unreachable() ? 1 : 0;
+        lost += one.outliers.unreachable() ? 1 : 0;
         members += 1;
     }
     lost_shares out;
@@ -114,7 +114,7 @@
 {
     return std::all_of(
         all.members.begin(), all.members.end(), [&](base::upstream_id id) {
-            return this->upstreams.at(id).trust.suspected();
+            return this->upstreams.at(id).outliers.suspected();
         });
 }
 
@@ -186,7 +186,7 @@
     return static_cast<std::size_t>(std::count_if(
         all.members.begin(), all.members.end(), [&](base::upstream_id id) {
             const upstream& one = this->upstreams.at(id);
-            return this->is_near(one) && !one.trust.suspected();
+            return this->is_near(one) && !one.outliers.suspected();
         }));
 }
 
@@ -207,9 +207,9 @@
         if (tried || !asked.allowed_data_centres.allows(one.data_centre) ||
             (enough_nearby && !this->may_use(id, one, asked)))
             continue;
-        const bool probe = now >= all.probe_at && one.trust.may_probe(now);
-        if (one.trust.suspected() && !probe &&
-            (!any_will_do || one.trust.unreachable()))
+        const bool probe = now >= all.probe_at && one.outliers.may_probe(now);
+        if (one.outliers.suspected() && !probe &&
+            (!any_will_do || one.outliers.unreachable()))
             continue;
         const suitability suits = this->suits(one, all, asked, now);
         const std::uint32_t open = this->open_places(one, now);
--- a/src/greengagedrum/traffic/upstream_trust.cpp
+++ b/src/greengagedrum/traffic/outlier_detector.cpp
@@ -1,4 +1,4 @@
-#include <greengagedrum/traffic/upstream_trust.hpp>
+#include <greengagedrum/traffic/outlier_detector.hpp>
 
 #include <algorithm>
 
@@ -25,22 +25,22 @@
 
 } // namespace
 
-std::string_view to_string(trouble what)
+std::string_view to_string(failure_kind what)
 {
     switch (what) {
-    case trouble::unreachable:
+    case failure_kind::unreachable:
         return "unreachable";
-    case trouble::silent:
+    case failure_kind::silent:
         return "silent";
-    case trouble::broken:
+    case failure_kind::broken:
         return "broken";
-    case trouble::failing:
+    case failure_kind::failing:
         return "failing";
     }
     return "unknown";
 }
 
-void upstream_trust::doubt(base::instant now)
+void outlier_detector::suspect_again(base::instant now)
 {
     this->pause =
         this->suspect ? std::min(this->pause * 2, last_pause) : first_pause;
@@ -49,17 +49,20 @@
     this->probe_at = now + this->pause;
 }
 
-void upstream_trust::bad_end(trouble what, double usual, base::instant now)
+void outlier_detector::record_failure(failure_kind what,
+                                      double usual,
+                                      base::instant now)
 {
     this->bad += newest * (1 - this->bad);
     this->last = what;
     // A failed connect or silence makes the upstream suspected at once.
-    const bool plain = what == trouble::unreachable || what == trouble::silent;
+    const bool plain =
+        what == failure_kind::unreachable || what == failure_kind::silent;
     if (plain || this->suspect || this->bad >= usual + suspicious)
-        this->doubt(now);
+        this->suspect_again(now);
 }
 
-void upstream_trust::good_end()
+void outlier_detector::record_success()
 {
     this->bad -= newest * this->bad;
     this->suspect = false;
--- a/src/greengagedrum/traffic/upstream_trust.hpp
+++ b/src/greengagedrum/traffic/outlier_detector.hpp
@@ -15,22 +15,22 @@
 namespace greengagedrum::traffic
 {
 
-enum class trouble : std::uint8_t {
+enum class failure_kind : std::uint8_t {
     unreachable, // connect failed
     silent,      // first event long overdue
     broken,      // an answer was interrupted
     failing,     // it answered with an error
 };
 
-std::string_view to_string(trouble what);
+std::string_view to_string(failure_kind what);
 
-class upstream_trust
+class outlier_detector
 {
 public:
     // `usual` is the failure rate of the whole service, so that a kind of
     // request that often fails by itself makes no upstream suspected.
-    void bad_end(trouble what, double usual, base::instant now);
-    void good_end();
+    void record_failure(failure_kind what, double usual, base::instant now);
+    void record_success();
 
     bool suspected() const { return this->suspect; }
 
@@ -43,26 +43,26 @@
     void probe_sent() { this->probing = true; }
 
     // The probe ended without evidence for or against the upstream.
-    void probe_void() { this->probing = false; }
+    void probe_inconclusive() { this->probing = false; }
 
     // True while connects fail; no requests are sent then even if all other
     // upstreams are suspected.
     bool unreachable() const
     {
-        return this->suspect && this->last == trouble::unreachable;
+        return this->suspect && this->last == failure_kind::unreachable;
     }
 
-    trouble last_trouble() const { return this->last; }
+    failure_kind last_failure() const { return this->last; }
 
     // Exponentially weighted share of failures.
     double failure_rate() const { return this->bad; }
 
 private:
-    void doubt(base::instant now);
+    void suspect_again(base::instant now);
 
     bool suspect = false;
     bool probing = false;
-    trouble last = trouble::failing;
+    failure_kind last = failure_kind::failing;
     double bad = 0;
     base::duration pause{0};
     base::instant probe_at;
--- a/src/greengagedrum/traffic/patience.cpp
+++ b/src/greengagedrum/traffic/patience.cpp
@@ -79,7 +79,7 @@
         if (item.send != 0) {
             this->out->push_back(cancel_send{item.id, item.send});
             this->note_unfinished(item);
-            this->pool.probe_void(item.upstream);
+            this->pool.probe_inconclusive(item.upstream);
             this->leave_upstream(item);
         }
         return this->fail(item, base::reason::deadline);
@@ -106,7 +106,7 @@
     if (this->now - last < bound || item.silence_told)
         return;
     item.silence_told = true;
-    this->bad_end(item.upstream, trouble::silent);
+    this->record_failure(item.upstream, failure_kind::silent);
     const bool again = this->may_repeat(item) &&
                        item.sends < item.facts.attempts_max &&
                        !this->is_quarantined(item);
--- a/src/greengagedrum/traffic/scheduler.cpp
+++ b/src/greengagedrum/traffic/scheduler.cpp
@@ -112,9 +112,9 @@
     item.send = 0;
 }
 
-void scheduler::bad_end(base::upstream_id upstream, trouble what)
+void scheduler::record_failure(base::upstream_id upstream, failure_kind what)
 {
-    this->tell(this->pool.bad_end(upstream, what, this->now));
+    this->tell(this->pool.record_failure(upstream, what, this->now));
 }
 
 void scheduler::tell(const std::optional<suspicion_changed>& change)
@@ -128,7 +128,7 @@
     request* item = this->under_way(what.request, what.send);
     if (item == nullptr)
         return;
-    this->bad_end(item->upstream, trouble::unreachable);
+    this->record_failure(item->upstream, failure_kind::unreachable);
     item->tried.push_back(item->upstream);
     this->leave_upstream(*item);
     item->sends -= 1;
@@ -147,7 +147,7 @@
     request* item = this->under_way(what.request, what.send);
     if (item == nullptr)
         return;
-    this->pool.probe_void(item->upstream);
+    this->pool.probe_inconclusive(item->upstream);
     item->tried.push_back(item->upstream);
     this->leave_upstream(*item);
     item->uncertain -= 1;
@@ -191,7 +191,7 @@
     const base::upstream_id upstream = item->upstream;
     this->note_answer(*item);
     if (what.successful) {
-        this->tell(this->pool.good_end(upstream));
+        this->tell(this->pool.record_success(upstream));
         if (item->events == 0)
             this->pool.first_event(upstream,
                                    item->facts.prompt_tokens,
@@ -206,7 +206,7 @@
         this->queues[item->facts.service].learn_hold(item->facts.kind,
                                                      this->now - item->sent_at);
     } else {
-        this->bad_end(upstream, trouble::failing);
+        this->record_failure(upstream, failure_kind::failing);
     }
     const std::uint32_t send = item->send;
     this->leave_upstream(*item);
@@ -225,7 +225,7 @@
     request* item = this->under_way(what.request, what.send);
     if (item == nullptr)
         return;
-    this->bad_end(item->upstream, trouble::broken);
+    this->record_failure(item->upstream, failure_kind::broken);
     if (what.cause == interruption_cause::connection_lost)
         this->note_crash(*item);
     item->tried.push_back(item->upstream);
@@ -244,7 +244,7 @@
     this->count.left += 1;
     if (item.send != 0) {
         this->note_unfinished(item);
-        this->pool.probe_void(item.upstream);
+        this->pool.probe_inconclusive(item.upstream);
         this->leave_upstream(item);
     }
     this->forget(item);
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -194,7 +194,7 @@
                          std::uint32_t free) const;
     void send(request& item, const dispatch_choice& where);
     void leave_upstream(request& item);
-    void bad_end(base::upstream_id upstream, trouble what);
+    void record_failure(base::upstream_id upstream, failure_kind what);
     void tell(const std::optional<suspicion_changed>& change);
     bool is_quarantined(const request& item) const;
     bool awaits_copy(const request& item) const;
--- a/src/greengagedrum/traffic/upstream_pool.cpp
+++ b/src/greengagedrum/traffic/upstream_pool.cpp
@@ -265,7 +265,7 @@
         own->recent.add(now);
     if (!where.probe)
         return;
-    own->trust.probe_sent();
+    own->outliers.probe_sent();
     this->services[own->service].probe_at = now + probe_gap;
 }
 
@@ -287,44 +287,45 @@
         this->upstreams.erase(id);
 }
 
-std::optional<suspicion_changed> upstream_pool::good_end(base::upstream_id id)
+std::optional<suspicion_changed>
+upstream_pool::record_success(base::upstream_id id)
 {
     upstream* own = this->find(id);
     if (own == nullptr)
         return std::nullopt;
     service_state& all = this->services[own->service];
     all.bad -= service_weight * all.bad;
-    const bool cleared = own->trust.suspected();
-    own->trust.good_end();
+    const bool cleared = own->outliers.suspected();
+    own->outliers.record_success();
     if (!cleared)
         return std::nullopt;
     return suspicion_changed{id,
                              false,
-                             to_string(own->trust.last_trouble()),
-                             own->trust.failure_rate()};
+                             to_string(own->outliers.last_failure()),
+                             own->outliers.failure_rate()};
 }
 
-std::optional<suspicion_changed>
-upstream_pool::bad_end(base::upstream_id id, trouble what, base::instant now)
+std::optional<suspicion_changed> upstream_pool::record_failure(
+    base::upstream_id id, failure_kind what, base::instant now)
 {
     upstream* own = this->find(id);
     if (own == nullptr)
         return std::nullopt;
     service_state& all = this->services[own->service];
-    const bool was = own->trust.suspected();
-    own->trust.bad_end(what, all.bad, now);
-    if (what == trouble::failing)
+    const bool was = own->outliers.suspected();
+    own->outliers.record_failure(what, all.bad, now);
+    if (what == failure_kind::failing)
         all.bad += service_weight * (1 - all.bad);
-    if (was || !own->trust.suspected())
+    if (was || !own->outliers.suspected())
         return std::nullopt;
     return suspicion_changed{
-        id, true, to_string(what), own->trust.failure_rate()};
+        id, true, to_string(what), own->outliers.failure_rate()};
 }
 
-void upstream_pool::probe_void(base::upstream_id id)
+void upstream_pool::probe_inconclusive(base::upstream_id id)
 {
     if (upstream* own = this->find(id))
-        own->trust.probe_void();
+        own->outliers.probe_inconclusive();
 }
 
 std::uint32_t upstream_pool::places(base::upstream_class_id service) const
@@ -335,7 +336,7 @@
     std::uint32_t sum = 0;
     for (const base::upstream_id id : found->second.members) {
         const upstream& one = this->upstreams.at(id);
-        if (!one.trust.suspected())
+        if (!one.outliers.suspected())
             sum += one.slots;
     }
     return sum;
@@ -350,7 +351,7 @@
     std::uint32_t sum = 0;
     for (const base::upstream_id id : found->second.members) {
         const upstream& one = this->upstreams.at(id);
-        if (!one.trust.suspected())
+        if (!one.outliers.suspected())
             sum += this->open_places(one, now);
     }
     return sum;
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -12,9 +12,9 @@
 #include <greengagedrum/routing/upstream_directory.hpp>
 #include <greengagedrum/traffic/inter_event_time.hpp>
 #include <greengagedrum/traffic/messages.hpp>
+#include <greengagedrum/traffic/outlier_detector.hpp>
 #include <greengagedrum/traffic/prefill_interference.hpp>
 #include <greengagedrum/traffic/slow_start.hpp>
-#include <greengagedrum/traffic/upstream_trust.hpp>
 
 #include <map>
 #include <optional>
@@ -143,10 +143,11 @@
     void ended(base::upstream_id upstream, std::uint32_t unread);
 
     // Returns a value when the upstream's suspicion changed.
-    std::optional<suspicion_changed> good_end(base::upstream_id upstream);
-    std::optional<suspicion_changed>
-    bad_end(base::upstream_id upstream, trouble what, base::instant now);
-    void probe_void(base::upstream_id upstream);
+    std::optional<suspicion_changed> record_success(base::upstream_id upstream);
+    std::optional<suspicion_changed> record_failure(base::upstream_id upstream,
+                                                    failure_kind what,
+                                                    base::instant now);
+    void probe_inconclusive(base::upstream_id upstream);
 
     // Total number of slots of the service's healthy upstreams.
     std::uint32_t places(base::upstream_class_id service) const;
@@ -195,7 +196,7 @@
         base::instant paced_at;
         base::instant progress_at;
         inter_event_time speed;
-        upstream_trust trust;
+        outlier_detector outliers;
         base::instant cold_until;
         recent_sends recent; // used if the service has a slow-start bound
     };
