--- a/src/greengagedrum/traffic/test/burst_test.cpp
+++ b/src/greengagedrum/traffic/test/burst_test.cpp
@@ -7,7 +7,7 @@
 namespace greengagedrum::traffic
 {
 
-TEST_CASE("usual_load_is_served_in_time_by_every_kind")
+TEST_CASE("usual_load_every_kind_in_time")
 {
     burst_settings settings;
     settings.load = 0.7;
@@ -21,7 +21,7 @@
 
 // A burst of twice the capacity of the engines. The most urgent requests are
 // still served in time; the least urgent ones are refused, and early.
-TEST_CASE("burst_of_twice_the_load_leaves_urgent_work_in_time")
+TEST_CASE("burst_twice_the_load_urgent_requests_in_time")
 {
     burst_settings settings;
     settings.load = 2;
@@ -36,7 +36,7 @@
 
 // The same burst without priorities, which shows that the test above depends on
 // them.
-TEST_CASE("burst_without_priorities_makes_urgent_work_late")
+TEST_CASE("burst_without_priorities_urgent_requests_late")
 {
     burst_settings settings;
     settings.load = 2;
@@ -45,7 +45,7 @@
 }
 
 // The least urgent kind gets a slot now and then, however long the burst lasts.
-TEST_CASE("burst_that_does_not_end_starves_no_kind")
+TEST_CASE("burst_endless_no_kind_starved")
 {
     burst_settings settings;
     settings.load = 2.5;
@@ -66,7 +66,7 @@
 // them apart: at 1.3 times the usual load 0.463 instead of 0.416 of the least
 // urgent requests are in time, at twice that load 0.089 instead of 0.068 (eight
 // seeds).
-TEST_CASE("callers_that_come_back_make_fewer_fresh_ones_late")
+TEST_CASE("retries_told_apart_fewer_first_attempts_late")
 {
     const auto notes_in_time = [](double load, bool tells_time_left) {
         constexpr std::uint64_t seeds = 8;
@@ -91,7 +91,7 @@
 // Load reports between entries keep urgent requests out of the engines' own
 // queues, where they can't be reordered. Without reports, each entry uses all
 // slots for itself.
-TEST_CASE("entries_that_do_not_talk_overfill_engines")
+TEST_CASE("entries_without_reports_engines_overfilled")
 {
     burst_settings settings;
     settings.load = 1.5;
@@ -111,7 +111,7 @@
 // slots free. Dozens of requests are dispatched between two reports of an
 // entry. Entries that all choose the best engine they know of send to the same
 // one, whose queue delays callers while other engines idle.
-TEST_CASE("many_entries_at_the_usual_load_do_not_meet_on_one_engine")
+TEST_CASE("many_entries_usual_load_engines_not_overfilled")
 {
     burst_settings settings;
     settings.entries = 80;
--- a/src/greengagedrum/traffic/test/crash_quarantine_test.cpp
+++ b/src/greengagedrum/traffic/test/crash_quarantine_test.cpp
@@ -9,10 +9,10 @@
 
 using namespace std::chrono_literals;
 
-struct containment_fixture : scheduler_fixture {
+struct quarantine_fixture : scheduler_fixture {
     request_facts facts = deadly_facts();
 
-    containment_fixture() { this->upstreams(4, 2); }
+    quarantine_fixture() { this->upstreams(4, 2); }
 
     static request_facts deadly_facts()
     {
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(containment_fixture, "request_crashed_two_upstreams_not_sent")
+TEST_CASE_FIXTURE(quarantine_fixture, "request_crashed_two_upstreams_refused")
 {
     this->crash();
     CHECK(this->order<quarantine::quarantine_state_change>()->state ==
@@ -47,8 +47,8 @@
     CHECK(this->verdict().retry_after >= 60s);
 }
 
-TEST_CASE_FIXTURE(containment_fixture,
-                  "other_request_sent_while_one_quarantined")
+TEST_CASE_FIXTURE(quarantine_fixture,
+                  "other_request_while_one_quarantined_sent")
 {
     this->crash();
     this->crash();
@@ -58,7 +58,8 @@
 }
 
 // A malformed answer does not count as a crash.
-TEST_CASE_FIXTURE(containment_fixture, "malformed_answers_do_not_quarantine")
+TEST_CASE_FIXTURE(quarantine_fixture,
+                  "malformed_answers_repeated_not_quarantined")
 {
     for (int time = 0; time < 3; ++time) {
         const base::request_id id = this->arrive(this->facts);
@@ -71,7 +72,8 @@
 
 // Of several copies that arrive together, only one runs at a time after the
 // first crash.
-TEST_CASE_FIXTURE(containment_fixture, "copies_of_a_suspect_run_one_at_a_time")
+TEST_CASE_FIXTURE(quarantine_fixture,
+                  "suspect_several_copies_run_one_at_a_time")
 {
     this->crash();
     const base::request_id first = this->arrive(this->facts);
@@ -86,7 +88,7 @@
     CHECK(this->tested.waiting() == 0);
 }
 
-TEST_CASE_FIXTURE(containment_fixture, "suspect_answered_copies_sent")
+TEST_CASE_FIXTURE(quarantine_fixture, "suspect_answered_copies_sent")
 {
     this->crash();
     const base::request_id first = this->arrive(this->facts);
@@ -97,8 +99,7 @@
 }
 
 // One repeatable request is retried from upstream to upstream and crashes each.
-TEST_CASE_FIXTURE(containment_fixture,
-                  "repeatable_request_ends_at_second_crash")
+TEST_CASE_FIXTURE(quarantine_fixture, "repeatable_request_second_crash_ends_it")
 {
     this->facts.retry = routing::retry_policy::idempotent;
     this->facts.attempts_max = 4;
@@ -110,8 +111,8 @@
 }
 
 // A host loses power while it runs the request, so no connection is closed.
-TEST_CASE_FIXTURE(containment_fixture,
-                  "upstreams_gone_without_a_trace_quarantine")
+TEST_CASE_FIXTURE(quarantine_fixture,
+                  "upstreams_lost_power_request_quarantined")
 {
     for (int time = 0; time < 2; ++time) {
         const base::request_id id = this->arrive(this->facts);
@@ -128,8 +129,7 @@
 }
 
 // Callers disconnect early, or while their upstream answers other requests.
-TEST_CASE_FIXTURE(containment_fixture,
-                  "caller_that_leaves_a_live_upstream_no_suspect")
+TEST_CASE_FIXTURE(quarantine_fixture, "caller_left_live_upstream_no_suspect")
 {
     const base::request_id first = this->arrive(this->facts);
     this->pass(500ms);
@@ -145,8 +145,8 @@
 }
 
 // A queued request is refused as soon as a peer's message quarantines it.
-TEST_CASE_FIXTURE(containment_fixture,
-                  "waiting_request_quarantined_by_peer_refused")
+TEST_CASE_FIXTURE(quarantine_fixture,
+                  "queued_request_quarantined_by_peer_refused")
 {
     for (int number = 0; number < 8; ++number)
         this->arrive(stream_facts());
@@ -165,8 +165,8 @@
 }
 
 // Another entry grants a slot to a request that has been quarantined meanwhile.
-TEST_CASE_FIXTURE(containment_fixture,
-                  "place_granted_to_quarantined_request_not_used")
+TEST_CASE_FIXTURE(quarantine_fixture,
+                  "slot_granted_request_quarantined_not_used")
 {
     this->tested.set_delegating(true);
     const base::request_id id = this->arrive(this->facts);
@@ -182,7 +182,7 @@
     CHECK(this->verdict().why == base::reason::quarantined);
 }
 
-TEST_CASE_FIXTURE(containment_fixture, "trial_after_the_pause_sent_once")
+TEST_CASE_FIXTURE(quarantine_fixture, "trial_after_the_pause_sent_once")
 {
     this->crash();
     this->crash();
--- a/src/greengagedrum/traffic/test/data_centre_constraint_test.cpp
+++ b/src/greengagedrum/traffic/test/data_centre_constraint_test.cpp
@@ -11,8 +11,8 @@
 
 // One upstream in the entry's own data centre and two in the only data centre
 // that the request may run in.
-struct homes_fixture : scheduler_fixture {
-    homes_fixture()
+struct constraint_fixture : scheduler_fixture {
+    constraint_fixture()
     {
         this->join("near", "hall");
         this->join("home-1", "home");
@@ -44,7 +44,8 @@
 } // namespace
 
 // Failure guarded against: a request body leaves the region it is bound to.
-TEST_CASE_FIXTURE(homes_fixture, "bound_request_is_sent_to_its_home_only")
+TEST_CASE_FIXTURE(constraint_fixture,
+                  "restricted_request_sent_to_allowed_data_centre_only")
 {
     for (int count = 0; count < 2; ++count) {
         this->arrive(bound_facts());
@@ -60,7 +61,8 @@
 
 // Failure guarded against: an interrupted stream is resumed where its body must
 // not go.
-TEST_CASE_FIXTURE(homes_fixture, "broken_stream_is_resumed_in_its_home_only")
+TEST_CASE_FIXTURE(constraint_fixture,
+                  "interrupted_stream_resumed_in_allowed_data_centre_only")
 {
     const auto id = this->arrive(bound_facts());
     const auto first = this->sent();
@@ -72,7 +74,8 @@
     CHECK(this->order<send_request>() == nullptr);
 }
 
-TEST_CASE_FIXTURE(homes_fixture, "request_without_a_home_is_refused_as_not_run")
+TEST_CASE_FIXTURE(constraint_fixture,
+                  "request_without_allowed_upstream_refused_as_not_run")
 {
     this->tested.upstream_left(base::upstream_id("home-1"));
     this->tested.upstream_left(base::upstream_id("home-2"));
@@ -83,7 +86,8 @@
 
 // The dispatcher's configuration is older and allows the request in any data
 // centre.
-TEST_CASE_FIXTURE(homes_fixture, "slot_granted_outside_the_home_is_not_taken")
+TEST_CASE_FIXTURE(constraint_fixture,
+                  "slot_granted_outside_allowed_data_centre_not_used")
 {
     this->tested.set_delegating(true);
     const auto id = this->arrive(bound_facts());
--- a/src/greengagedrum/traffic/test/delegation_test.cpp
+++ b/src/greengagedrum/traffic/test/delegation_test.cpp
@@ -30,8 +30,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(delegating_fixture,
-                  "request_is_sent_once_its_place_is_granted")
+TEST_CASE_FIXTURE(delegating_fixture, "request_slot_granted_sent")
 {
     const auto id = this->arrive(stream_facts());
     CHECK(this->order<send_request>() == nullptr);
@@ -47,7 +46,7 @@
 
 // The reply that grants the slot arrives twice, since it crossed a report. A
 // request that must not run twice is sent once.
-TEST_CASE_FIXTURE(delegating_fixture, "place_granted_twice_is_taken_once")
+TEST_CASE_FIXTURE(delegating_fixture, "slot_granted_twice_used_once")
 {
     request_facts once = stream_facts();
     once.retry = routing::retry_policy::at_most_once;
@@ -60,7 +59,7 @@
     CHECK(this->order<send_request>() == nullptr);
 }
 
-TEST_CASE_FIXTURE(delegating_fixture, "place_of_an_earlier_send_is_not_taken")
+TEST_CASE_FIXTURE(delegating_fixture, "slot_of_an_earlier_send_not_used")
 {
     const auto id = this->arrive(stream_facts());
     this->step(this->granted(id));
@@ -74,8 +73,7 @@
 
 // This entry knows already that an upstream has left; the dispatching entry
 // does not. The upstream gets no new request.
-TEST_CASE_FIXTURE(delegating_fixture,
-                  "place_on_a_departed_upstream_is_not_taken")
+TEST_CASE_FIXTURE(delegating_fixture, "slot_upstream_departed_not_used")
 {
     const auto id = this->arrive(stream_facts());
     this->tested.upstream_joined(upstream_named("i-1", 1), this->now);
@@ -88,8 +86,7 @@
     CHECK(waiting[0].tried == std::vector{engine});
 }
 
-TEST_CASE_FIXTURE(delegating_fixture,
-                  "declined_request_ends_with_the_time_told")
+TEST_CASE_FIXTURE(delegating_fixture, "request_denied_refused_with_retry_delay")
 {
     const auto id = this->arrive(stream_facts());
     this->step(
@@ -102,7 +99,7 @@
 
 // The first send may have run the request, so a later denial must not end it as
 // "not run".
-TEST_CASE_FIXTURE(delegating_fixture, "decline_after_a_send_is_no_promise")
+TEST_CASE_FIXTURE(delegating_fixture, "denial_after_a_send_may_have_run")
 {
     request_facts again = stream_facts();
     again.retry = routing::retry_policy::idempotent;
@@ -117,8 +114,7 @@
 }
 
 // Without a reply, the request is refused in time by this entry itself.
-TEST_CASE_FIXTURE(delegating_fixture,
-                  "request_without_reply_is_refused_in_time")
+TEST_CASE_FIXTURE(delegating_fixture, "request_without_reply_refused_in_time")
 {
     this->arrive(stream_facts());
     this->pass(3500ms);
@@ -126,7 +122,7 @@
 }
 
 TEST_CASE_FIXTURE(delegating_fixture,
-                  "entry_that_places_again_sends_what_waits")
+                  "entry_dispatching_again_sends_queued_requests")
 {
     this->arrive(stream_facts());
     this->tested.set_delegating(false);
@@ -134,7 +130,8 @@
     CHECK(this->order<send_request>() != nullptr);
 }
 
-TEST_CASE_FIXTURE(scheduler_fixture, "delegated_request_is_sent_once_only")
+TEST_CASE_FIXTURE(scheduler_fixture,
+                  "delegated_request_interrupted_not_retried")
 {
     this->upstreams(2, 1);
     request_facts facts = stream_facts();
@@ -154,7 +151,7 @@
 // Only the first event of a delegated stream is reported. Its upstream does not
 // count as silent because of that.
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "delegated_stream_is_not_watched_for_silence")
+                  "delegated_stream_without_events_not_silent")
 {
     this->upstreams(1, 2);
     request_facts facts = stream_facts();
--- a/src/greengagedrum/traffic/test/first_attempt_estimator_test.cpp
+++ b/src/greengagedrum/traffic/test/first_attempt_estimator_test.cpp
@@ -14,7 +14,7 @@
 
 const base::kind_id quote("quote");
 
-struct fresh_fixture {
+struct estimator_fixture {
     base::instant now{1h};
     first_attempt_estimator tested;
     std::mt19937_64 dice{7};
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(fresh_fixture, "caller_with_less_time_than_others_came_back")
+TEST_CASE_FIXTURE(estimator_fixture, "caller_with_less_time_left_is_retry")
 {
     this->calm(12'500ms, 15s);
     CHECK_FALSE(this->tested.is_retry(quote, 13s));
@@ -45,7 +45,8 @@
 
 // Callers of this kind have deadlines of all lengths, so a short one does not
 // indicate a retry.
-TEST_CASE_FIXTURE(fresh_fixture, "callers_of_all_deadlines_are_taken_for_fresh")
+TEST_CASE_FIXTURE(estimator_fixture,
+                  "callers_of_all_deadlines_are_first_attempts")
 {
     this->calm(1s, 15s);
     CHECK_FALSE(this->tested.is_retry(quote, 4s));
@@ -53,7 +54,7 @@
 
 // A burst lasts a minute and most of its callers retry. The retries must not
 // change the learned times.
-TEST_CASE_FIXTURE(fresh_fixture, "callers_that_come_back_teach_nothing")
+TEST_CASE_FIXTURE(estimator_fixture, "retries_in_a_burst_not_learned")
 {
     this->calm(12'500ms, 15s);
     for (int count = 0; count < 1'000; ++count) {
@@ -68,7 +69,7 @@
 // objective in any case, while a first attempt that arrives later can still
 // meet its own.
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "fresh_caller_goes_before_one_that_is_back")
+                  "first_attempt_and_retry_first_attempt_goes_first")
 {
     this->upstreams(1, 1);
     request_facts first_attempt = stream_facts();
--- a/src/greengagedrum/traffic/test/scheduler_test.cpp
+++ b/src/greengagedrum/traffic/test/scheduler_test.cpp
@@ -24,8 +24,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(scheduler_fixture,
-                  "request_with_a_free_place_is_sent_at_once")
+TEST_CASE_FIXTURE(scheduler_fixture, "request_with_a_free_slot_sent_at_once")
 {
     this->upstreams(2, 5);
     const auto id = this->arrive(stream_facts());
@@ -38,7 +37,7 @@
 // A request that must run at most once is sent, and its connection is reset. It
 // may have run; a second send could run it twice.
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "at_most_once_work_that_broke_is_not_sent_again")
+                  "at_most_once_request_interrupted_not_retried")
 {
     this->upstreams(3, 5);
     const auto id = this->arrive(facts_of(at_most_once, 3));
@@ -50,7 +49,7 @@
 // The upstream guarantees that it did not run the request, so a request of any
 // kind is retried elsewhere.
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "work_turned_away_goes_to_another_upstream")
+                  "rejected_request_sent_to_another_upstream")
 {
     this->upstreams(3, 5);
     const auto id = this->arrive(facts_of(at_most_once, 2));
@@ -65,7 +64,7 @@
 // An idempotent request is interrupted at one upstream, which may have run it,
 // and rejected by the next. It must not end as "not run".
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "work_turned_away_after_a_break_may_have_run")
+                  "rejected_request_after_interruption_may_have_run")
 {
     this->upstreams(3, 5);
     const auto id = this->arrive(facts_of(idempotent, 2));
@@ -76,7 +75,7 @@
 
 // A quarter of the upstreams lost power. A failed connect has sent nothing, so
 // a request of any kind is retried, and the dead upstreams get only probes.
-TEST_CASE_FIXTURE(scheduler_fixture, "failed_connects_use_up_no_sends")
+TEST_CASE_FIXTURE(scheduler_fixture, "failed_connects_not_counted_as_attempts")
 {
     this->upstreams(3, 5);
     const auto id = this->arrive(facts_of(at_most_once, 1));
@@ -91,7 +90,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(scheduler_fixture, "dead_upstream_gets_a_probe_and_is_back")
+TEST_CASE_FIXTURE(scheduler_fixture, "dead_upstream_probed_and_recovered")
 {
     this->upstreams(1, 5);
     const auto lost = this->arrive(stream_facts());
@@ -113,7 +112,8 @@
 // The entry still lists nine upstreams of other data centres, whose connects
 // are refused in milliseconds. The stream must reach an upstream of its own
 // data centre instead of ending after five failed connects.
-TEST_CASE_FIXTURE(scheduler_fixture, "stream_behind_a_cut_finds_its_own_place")
+TEST_CASE_FIXTURE(scheduler_fixture,
+                  "stream_in_a_partition_resumed_in_own_data_centre")
 {
     for (int number = 0; number < 12; ++number) {
         auto entry = upstream_named("i-" + std::to_string(number), 5);
@@ -147,7 +147,7 @@
 // A network partition makes eleven of twelve upstreams unreachable. Each is due
 // for a probe every second. Sent one after another, the probes would delay
 // every request.
-TEST_CASE_FIXTURE(scheduler_fixture, "many_dead_upstreams_share_few_probes")
+TEST_CASE_FIXTURE(scheduler_fixture, "many_dead_upstreams_probes_limited")
 {
     this->upstreams(12, 5);
     int failed = 0;
@@ -170,7 +170,7 @@
 }
 
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "failure_of_idempotent_work_is_tried_elsewhere")
+                  "idempotent_request_failed_retried_elsewhere")
 {
     this->upstreams(2, 5);
     const auto id = this->arrive(facts_of(idempotent, 2));
@@ -181,7 +181,7 @@
     CHECK(this->order<deliver_answer>() != nullptr);
 }
 
-TEST_CASE_FIXTURE(scheduler_fixture, "events_of_an_earlier_send_change_nothing")
+TEST_CASE_FIXTURE(scheduler_fixture, "events_of_an_earlier_send_ignored")
 {
     this->upstreams(2, 5);
     const auto id = this->arrive(facts_of(idempotent, 3));
@@ -194,7 +194,8 @@
 
 // Retry storm: when every upstream fails, each request would be sent twice. The
 // retry budget holds over all entries, of which this is one of ten.
-TEST_CASE_FIXTURE(scheduler_fixture, "retries_of_one_entry_keep_to_its_part")
+TEST_CASE_FIXTURE(scheduler_fixture,
+                  "retries_of_one_entry_within_its_budget_share")
 {
     this->upstreams(4, 50);
     this->tested.set_entry_count(10);
@@ -213,8 +214,7 @@
 // An engine processes a prompt of 40,000 tokens for one caller while it runs
 // streams of others. The missing first event was taken for a dead upstream: the
 // request lost its slot, and its caller left without an answer.
-TEST_CASE_FIXTURE(scheduler_fixture,
-                  "upstream_that_serves_others_is_not_silent")
+TEST_CASE_FIXTURE(scheduler_fixture, "upstream_serving_others_not_silent")
 {
     this->upstreams(1, 5);
     const auto waiting = this->arrive(facts_of(resumable, 2));
@@ -231,7 +231,7 @@
 
 // An open connection stops delivering. A resumable stream continues elsewhere
 // well before its caller gives up.
-TEST_CASE_FIXTURE(scheduler_fixture, "stream_gone_silent_is_resumed_elsewhere")
+TEST_CASE_FIXTURE(scheduler_fixture, "stream_silent_resumed_elsewhere")
 {
     this->upstreams(2, 5);
     const auto id = this->arrive(facts_of(resumable, 2));
@@ -247,7 +247,7 @@
 }
 
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "silence_of_at_most_once_work_is_waited_out")
+                  "at_most_once_request_silent_keeps_waiting")
 {
     this->upstreams(2, 5);
     const auto id = this->arrive(facts_of(at_most_once, 2));
@@ -263,14 +263,14 @@
 }
 
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "service_without_upstreams_refuses_at_once")
+                  "service_without_upstreams_refused_at_once")
 {
     this->arrive(stream_facts());
     CHECK(this->verdict().run == base::run_state::not_run);
     CHECK(this->verdict().why == base::reason::no_upstream);
 }
 
-TEST_CASE_FIXTURE(scheduler_fixture, "caller_that_leaves_frees_its_place")
+TEST_CASE_FIXTURE(scheduler_fixture, "caller_left_slot_freed")
 {
     this->upstreams(1, 1);
     const auto first = this->arrive(stream_facts());
@@ -283,7 +283,7 @@
 // The process was frozen and resumes with a stale cluster state, by which
 // nothing may be sent.
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "held_scheduler_sends_nothing_until_let_go")
+                  "scheduler_paused_sends_nothing_until_resumed")
 {
     this->upstreams(1, 5);
     this->tested.set_paused(true);
--- a/src/greengagedrum/traffic/test/slow_start_test.cpp
+++ b/src/greengagedrum/traffic/test/slow_start_test.cpp
@@ -22,8 +22,11 @@
     return out;
 }
 
-struct cold_fixture : scheduler_fixture {
-    cold_fixture() { this->tested.set_slow_start_rate(engines, cold_sends); }
+struct cold_upstream_fixture : scheduler_fixture {
+    cold_upstream_fixture()
+    {
+        this->tested.set_slow_start_rate(engines, cold_sends);
+    }
 
     void join(const routing::published_upstream& one)
     {
@@ -50,7 +53,7 @@
 
 } // namespace
 
-TEST_CASE("slow_start_sends_stay_within_half_of_the_bound")
+TEST_CASE("slow_start_rate_within_half_of_the_bound")
 {
     CHECK(slow_start_rate(7.3, {1.5, 5}) == 7);
     CHECK(slow_start_rate(100, {1, 0}) == 50);
@@ -60,7 +63,7 @@
     CHECK(slow_start_rate(1e30, {1e30, 1e30}) == 1'000'000);
 }
 
-TEST_CASE("parts_of_all_sharers_add_up_to_the_whole")
+TEST_CASE("slow_start_shares_add_up_to_the_rate")
 {
     for (std::uint32_t sends = 0; sends < 20; ++sends) {
         for (std::uint32_t entries = 1; entries < 30; ++entries) {
@@ -75,7 +78,8 @@
 
 // Failure guarded against: an upstream that has just started gets requests for
 // all its slots at once and crashes.
-TEST_CASE_FIXTURE(cold_fixture, "cold_upstream_gets_no_more_than_its_sends")
+TEST_CASE_FIXTURE(cold_upstream_fixture,
+                  "cold_upstream_gets_no_more_than_its_rate")
 {
     this->join(cold_upstream("i-1", "hall", 3s));
     CHECK(this->sends_within(1s) == cold_sends);
@@ -85,7 +89,8 @@
 }
 
 // When a warm upstream turns cold, recent sends count against the bound.
-TEST_CASE_FIXTURE(cold_fixture, "upstream_that_turns_cold_is_held_at_once")
+TEST_CASE_FIXTURE(cold_upstream_fixture,
+                  "warm_upstream_turned_cold_bound_at_once")
 {
     this->join(cold_upstream("i-1", "hall", 0s));
     CHECK(this->sends_within(1s) > 10);
@@ -99,7 +104,8 @@
 
 // Failure guarded against: entries of all data centres send to one cold
 // upstream.
-TEST_CASE_FIXTURE(cold_fixture, "cold_upstream_elsewhere_gets_nothing")
+TEST_CASE_FIXTURE(cold_upstream_fixture,
+                  "cold_upstream_in_other_data_centre_gets_nothing")
 {
     this->join(cold_upstream("i-1", "away", 3s));
     CHECK(this->sends_within(1s) == 0);
@@ -107,8 +113,8 @@
     CHECK(this->sends_within(1s) > 10);
 }
 
-TEST_CASE_FIXTURE(cold_fixture,
-                  "entry_without_a_share_sends_nothing_while_cold")
+TEST_CASE_FIXTURE(cold_upstream_fixture,
+                  "entry_without_share_cold_upstream_not_sent")
 {
     this->tested.set_slow_start_share({});
     this->join(cold_upstream("i-1", "hall", 3s));
@@ -117,7 +123,7 @@
     CHECK(this->sends_within(1s) == 1);
 }
 
-TEST_CASE_FIXTURE(cold_fixture, "service_without_a_bound_is_not_held")
+TEST_CASE_FIXTURE(cold_upstream_fixture, "service_without_bound_not_limited")
 {
     this->tested.set_slow_start_rate(engines, 0);
     this->join(cold_upstream("i-1", "away", 3s));
@@ -125,8 +131,7 @@
 }
 
 // A request queued for a cold upstream is sent as soon as the rate allows.
-TEST_CASE_FIXTURE(cold_fixture,
-                  "waiting_request_is_sent_when_its_second_is_over")
+TEST_CASE_FIXTURE(cold_upstream_fixture, "queued_request_after_a_second_sent")
 {
     this->join(cold_upstream("i-1", "hall", 5s));
     for (std::uint32_t count = 0; count < cold_sends; ++count) {
--- a/src/greengagedrum/traffic/test/upstream_choice_test.cpp
+++ b/src/greengagedrum/traffic/test/upstream_choice_test.cpp
@@ -27,8 +27,8 @@
 // Two engines of five slots. Streams on the fast one have shown how long they
 // pause during prefill. A peer has four streams on the slow one and reports
 // four times the time between events.
-struct unlike_engines_fixture : scheduler_fixture {
-    unlike_engines_fixture()
+struct mixed_speed_fixture : scheduler_fixture {
+    mixed_speed_fixture()
     {
         this->upstreams(2, 5);
         this->peer_has(quick, 0, quick_gap);
@@ -83,8 +83,8 @@
 // processes the prompt in chunks of a quarter of a second, and all streams
 // pause beyond their objective. Without the check the prompt is sent there,
 // since only that engine has a free slot.
-TEST_CASE_FIXTURE(unlike_engines_fixture,
-                  "long_prompt_is_kept_off_a_slow_engine_with_streams")
+TEST_CASE_FIXTURE(mixed_speed_fixture,
+                  "long_prompt_slow_engine_with_streams_not_sent")
 {
     this->fill_quick_engine();
     this->arrive(prompt_of(long_prompt));
@@ -93,8 +93,8 @@
 }
 
 // The slot that the long prompt does not use is not left idle.
-TEST_CASE_FIXTURE(unlike_engines_fixture,
-                  "short_prompt_takes_the_place_that_a_long_one_leaves")
+TEST_CASE_FIXTURE(mixed_speed_fixture,
+                  "short_prompt_behind_a_waiting_long_one_sent")
 {
     this->fill_quick_engine();
     this->arrive(prompt_of(long_prompt));
@@ -105,8 +105,8 @@
 
 // The request stops waiting once waiting has no benefit: a late answer is
 // better than none.
-TEST_CASE_FIXTURE(unlike_engines_fixture,
-                  "long_prompt_takes_any_place_once_it_is_late")
+TEST_CASE_FIXTURE(mixed_speed_fixture,
+                  "long_prompt_objective_missed_takes_any_slot")
 {
     this->fill_quick_engine();
     const auto dossier = this->arrive(prompt_of(long_prompt));
@@ -122,8 +122,8 @@
 
 // The engine speed reported by peers is used: this entry has never sent a
 // request to the slow engine.
-TEST_CASE_FIXTURE(unlike_engines_fixture,
-                  "speed_told_by_peers_chooses_the_quick_engine")
+TEST_CASE_FIXTURE(mixed_speed_fixture,
+                  "speed_reported_by_peers_fast_engine_chosen")
 {
     this->peer_has(slow, 0, slow_gap);
     for (int count = 0; count < 4; ++count) {
@@ -134,8 +134,8 @@
 
 // An engine turns slow, gets no requests for a while, and recovers. Its last
 // known speed is stale after some seconds, and it gets requests again.
-TEST_CASE_FIXTURE(unlike_engines_fixture,
-                  "slow_engine_is_tried_again_after_some_seconds")
+TEST_CASE_FIXTURE(mixed_speed_fixture,
+                  "slow_engine_after_some_seconds_tried_again")
 {
     this->peer_has(slow, 0, slow_gap);
     this->pass(2s); // the peer counts as lost
--- a/src/greengagedrum/traffic/test/wait_queue_test.cpp
+++ b/src/greengagedrum/traffic/test/wait_queue_test.cpp
@@ -22,7 +22,7 @@
     return out;
 }
 
-struct line_fixture {
+struct queue_fixture {
     base::instant now{1h};
     wait_queue queue;
 
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(line_fixture, "more_urgent_goes_first_and_then_the_earlier")
+TEST_CASE_FIXTURE(queue_fixture, "queue_more_urgent_then_earlier_first")
 {
     this->queue.add(waiting(1, 2, this->now + 100ms), this->now);
     this->queue.add(waiting(2, 0, this->now + 300ms), this->now);
@@ -48,8 +48,8 @@
 
 // A request that has missed its objective is late in any case, while a less
 // urgent one that holds its slot for half the time can still meet its own.
-TEST_CASE_FIXTURE(line_fixture,
-                  "late_work_lets_short_fresh_work_of_next_step_go")
+TEST_CASE_FIXTURE(queue_fixture,
+                  "late_request_yields_to_short_request_of_next_step")
 {
     this->queue.record_hold(base::kind_id("kind-0"), 800ms);
     this->queue.record_hold(base::kind_id("kind-1"), 400ms);
@@ -63,7 +63,7 @@
 
 // Urgent requests arrive without end. The least urgent ones must still get a
 // slot now and then.
-TEST_CASE_FIXTURE(line_fixture, "starved_priority_goes_first_once")
+TEST_CASE_FIXTURE(queue_fixture, "starved_priority_goes_first_once")
 {
     this->queue.add(waiting(1, 2, this->now + 10s), this->now);
     this->queue.add(waiting(2, 0, this->now + 10s), this->now);
@@ -83,7 +83,7 @@
 // its queue that yielded to more urgent ones elsewhere, and no request behind
 // it was dispatched. Engines idled while a thousand requests were refused.
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "starved_request_does_not_hold_up_the_line")
+                  "starved_request_yielding_does_not_block_queue")
 {
     this->upstreams(1, 1);
     const auto running = this->arrive(stream_facts(0));
@@ -99,8 +99,7 @@
 
 // A slot becomes free while an urgent request is queued at a peer and only less
 // urgent ones are queued here.
-TEST_CASE_FIXTURE(scheduler_fixture,
-                  "less_urgent_work_leaves_the_place_to_a_peers")
+TEST_CASE_FIXTURE(scheduler_fixture, "less_urgent_request_yields_slot_to_peer")
 {
     this->upstreams(1, 1);
     const auto running = this->arrive(stream_facts(0));
@@ -118,8 +117,7 @@
 // Failure guarded against: eight entries learn of one freed slot within 10 ms
 // and all send to it. An engine of 5 slots held up to 12 requests, and urgent
 // requests queued there.
-TEST_CASE_FIXTURE(scheduler_fixture,
-                  "place_freed_by_a_peer_is_left_to_it_first")
+TEST_CASE_FIXTURE(scheduler_fixture, "slot_freed_by_peer_reserved_for_it")
 {
     this->upstreams(1, 1);
     const upstream_load taken{base::upstream_id("i-0"), 1, 0};
@@ -133,7 +131,7 @@
     CHECK(this->order<send_request>() != nullptr);
 }
 
-TEST_CASE_FIXTURE(scheduler_fixture, "places_of_a_silent_peer_are_free_again")
+TEST_CASE_FIXTURE(scheduler_fixture, "slots_of_a_silent_peer_free_again")
 {
     this->upstreams(1, 1);
     const upstream_load taken{base::upstream_id("i-0"), 1, 0};
@@ -148,7 +146,7 @@
 // callers give up. Refused at once, callers can retry in time for a later slot;
 // refused after seconds of waiting, they can't.
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "work_that_cannot_meet_its_deadline_is_refused_on_arrival")
+                  "request_cannot_meet_deadline_refused_on_arrival")
 {
     this->upstreams(1, 1);
     int refused = 0;
@@ -165,7 +163,7 @@
 }
 
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "work_in_line_is_refused_before_its_caller_leaves")
+                  "queued_request_refused_before_caller_leaves")
 {
     this->upstreams(1, 1);
     this->arrive(stream_facts());
@@ -180,7 +178,7 @@
 }
 
 // Long answers can't finish in time on a slow engine, short ones can.
-TEST_CASE_FIXTURE(scheduler_fixture, "long_output_goes_to_the_faster_upstream")
+TEST_CASE_FIXTURE(scheduler_fixture, "long_output_sent_to_faster_upstream")
 {
     this->upstreams(2, 5);
     for (int round = 0; round < 12; ++round) {
@@ -207,7 +205,7 @@
 // urgent request of the second rank arrives while the least urgent ones of that
 // rank have waited for seconds. It goes before them and must not be refused
 // because of their wait.
-TEST_CASE_FIXTURE(line_fixture, "wait_of_a_dossier_is_not_that_of_later_notes")
+TEST_CASE_FIXTURE(queue_fixture, "urgent_request_wait_not_that_of_less_urgent")
 {
     for (std::uint64_t note = 1; note <= 20; ++note)
         this->queue.add(waiting(note, 5, this->now), this->now);
@@ -222,7 +220,7 @@
 // refills them as they become free. With an even split it would count on one
 // slot and refuse nearly all.
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "entry_with_most_callers_counts_on_the_places_it_holds")
+                  "entry_with_most_callers_counts_slots_it_holds")
 {
     this->tested.set_entry_count(40);
     this->upstreams(8, 5);
@@ -239,7 +237,7 @@
 // peer, and two slots become free. The minimum rate allows one of the two; the
 // other yields.
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "floor_that_is_met_lets_urgent_work_go_first")
+                  "starvation_floor_met_urgent_request_first")
 {
     this->upstreams(1, 2);
     this->arrive(stream_facts(0));
@@ -254,7 +252,7 @@
 }
 
 // A lost peer's queue no longer delays the use of freed slots.
-TEST_CASE_FIXTURE(scheduler_fixture, "queue_of_a_lost_peer_has_no_turn")
+TEST_CASE_FIXTURE(scheduler_fixture, "lost_peer_queue_not_waited_for")
 {
     this->upstreams(1, 1);
     this->arrive(stream_facts());
@@ -272,8 +270,7 @@
 
 // Two dozen engines come back at once while all entries have queues. If each
 // entry filled each engine, seven requests would queue for every slot.
-TEST_CASE_FIXTURE(scheduler_fixture,
-                  "engine_that_comes_back_is_not_filled_alone")
+TEST_CASE_FIXTURE(scheduler_fixture, "engine_back_not_filled_by_one_entry")
 {
     constexpr std::uint64_t peers = 20;
     this->upstreams(1, 5);
