--- a/src/greengagedrum/base/request_spec.hpp
+++ b/src/greengagedrum/base/request_spec.hpp
@@ -21,11 +21,9 @@
     base::repetition repetition = base::repetition::at_most_once;
     bool preemptible = false;
     bool allow_other_data_centres = false;
-    std::uint32_t prompt_tokens =
-        0; // estimated as four bytes a token, rounded up
+    std::uint32_t prompt_tokens = 0; // one for four bytes, rounded up
     std::uint32_t output_tokens = 0; // maximum number of generated tokens
-    std::uint64_t prefix_hash =
-        0; // xxHash64 of the first 1,024 bytes of the prompt
+    std::uint64_t prefix_hash = 0;   // xxHash64 of the first 1,024 B
     instant arrived;
     instant deadline;
 };
--- a/src/greengagedrum/traffic/scheduler.hpp
+++ b/src/greengagedrum/traffic/scheduler.hpp
@@ -53,9 +53,8 @@
     std::uint64_t retried = 0;
     std::uint64_t delivered = 0;
     std::uint64_t refused = 0; // requests refused without having run
-    std::uint64_t failed =
-        0; // requests that ended without an answer but may have run
-    std::uint64_t left = 0; // callers that disconnected before their answer
+    std::uint64_t failed = 0;  // without an answer, may have run
+    std::uint64_t left = 0;    // callers that disconnected before their answer
 };
 
 class scheduler
@@ -151,12 +150,10 @@
         base::instant deadline;   // no answer is of use after it
         bool is_retry = false;    // its caller was refused before and retried
         bool queued = false;
-        std::uint32_t sends = 0; // sends that reached an upstream
-        std::uint32_t uncertain =
-            0; // sends of these that may have run the request
-        std::uint32_t connects =
-            0; // all sends, those with a failed connect included
-        std::uint32_t send = 0; // number of the active send; 0: none
+        std::uint32_t sends = 0;     // sends that reached an upstream
+        std::uint32_t uncertain = 0; // of these, may have run it
+        std::uint32_t connects = 0;  // sends with failed connects included
+        std::uint32_t send = 0;      // number of the active send; 0: none
         base::upstream_id upstream;
         base::instant sent_at;
         base::instant progress_at;
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -192,8 +192,7 @@
         std::uint32_t own_unread = 0; // prompt tokens that await prefill
         std::uint32_t others = 0;
         std::uint32_t others_unread = 0;
-        double pace =
-            0; // time needed relative to a reference upstream; 0: unknown
+        double pace = 0; // relative to the reference; 0: unknown
         base::instant paced_at;
         base::instant progress_at;
         inter_event_time speed;
@@ -216,8 +215,7 @@
         double bad = 0;         // share of failed requests
         base::instant probe_at; // earliest time of the next probe
         prefill_interference gaps;
-        std::uint32_t cold_rate =
-            0; // requests a second to one cold upstream; 0: unbounded
+        std::uint32_t cold_rate = 0; // per cold upstream; 0: unbounded
     };
 
     // Time between events relative to the service's mean; nothing while
