--- a/src/greengagedrum/base/ids.hpp
+++ b/src/greengagedrum/base/ids.hpp
@@ -33,7 +33,7 @@
 };
 
 using data_centre_id = name_id<struct data_centre_tag>;
-using slot_id = name_id<struct slot_tag>; // a slot of one entry
+using slot_id = name_id<struct slot_tag>; // a published slot for an entry
 using upstream_id = name_id<struct upstream_tag>;
 using workspace_id = name_id<struct workspace_tag>;
 using kind_id = name_id<struct kind_tag>;
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -215,7 +215,7 @@
         double bad = 0;         // share of failed requests
         base::instant probe_at; // earliest time of the next probe
         prefill_interference gaps;
-        std::uint32_t cold_rate = 0; // per cold upstream; 0: unbounded
+        std::uint32_t cold_rate = 0; // requests/s per cold upstream; 0: any
     };
 
     // Time between events relative to the service's mean; nothing while
