--- a/src/greengagedrum/traffic/outlier_detector.cpp
+++ b/src/greengagedrum/traffic/outlier_detector.cpp
@@ -53,18 +53,18 @@
                                       double usual,
                                       base::instant now)
 {
-    this->bad += newest * (1 - this->bad);
+    this->failures += newest * (1 - this->failures);
     this->last = what;
     // A failed connect or silence makes the upstream suspected at once.
     const bool plain =
         what == failure_kind::unreachable || what == failure_kind::silent;
-    if (plain || this->suspect || this->bad >= usual + suspicious)
+    if (plain || this->suspect || this->failures >= usual + suspicious)
         this->suspect_again(now);
 }
 
 void outlier_detector::record_success()
 {
-    this->bad -= newest * this->bad;
+    this->failures -= newest * this->failures;
     this->suspect = false;
     this->probing = false;
 }
--- a/src/greengagedrum/traffic/outlier_detector.hpp
+++ b/src/greengagedrum/traffic/outlier_detector.hpp
@@ -55,7 +55,7 @@
     failure_kind last_failure() const { return this->last; }
 
     // Exponentially weighted share of failures.
-    double failure_rate() const { return this->bad; }
+    double failure_rate() const { return this->failures; }
 
 private:
     void suspect_again(base::instant now);
@@ -63,7 +63,7 @@
     bool suspect = false;
     bool probing = false;
     failure_kind last = failure_kind::failing;
-    double bad = 0;
+    double failures = 0;
     base::duration pause{0};
     base::instant probe_at;
 };
--- a/src/greengagedrum/traffic/upstream_choice.cpp
+++ b/src/greengagedrum/traffic/upstream_choice.cpp
@@ -128,7 +128,7 @@
                                  const dispatch_query& query,
                                  base::instant now) const
 {
-    const bool alone = one.own + one.others == 0;
+    const bool alone = one.own_requests + one.peer_requests == 0;
     if (!alone && query.event_gap_objective.count() > 0 &&
         gap_margin * this->gap_expected(one, all, query.prompt_tokens, now) >
             seconds_of(query.event_gap_objective))
@@ -294,8 +294,8 @@
     out.suits = chosen->score.suits;
     out.best_full = offered.best_full;
     out.choice = {{},
-                  one.own,
-                  one.others,
+                  one.own_requests,
+                  one.peer_requests,
                   one.slots,
                   this->oldest_load_report(now),
                   placement::duration_of(chosen->expected),
--- a/src/greengagedrum/traffic/upstream_pool.cpp
+++ b/src/greengagedrum/traffic/upstream_pool.cpp
@@ -66,8 +66,8 @@
         for (const upstream_load& use : message.uses) {
             if (use.upstream != entry.id)
                 continue;
-            own.others += use.requests;
-            own.others_unread += use.pending_prefill_tokens;
+            own.peer_requests += use.requests;
+            own.peer_pending_prefill += use.pending_prefill_tokens;
             own.speed.add_peer_mean(use.event_gap, now);
         }
     }
@@ -81,7 +81,7 @@
         return;
     own->listed = false;
     std::erase(this->services[own->service].members, id);
-    if (own->own == 0)
+    if (own->own_requests == 0)
         this->upstreams.erase(id);
 }
 
@@ -113,8 +113,8 @@
         upstream* own = this->find(use.upstream);
         if (own == nullptr)
             continue;
-        own->others += use.requests;
-        own->others_unread += use.pending_prefill_tokens;
+        own->peer_requests += use.requests;
+        own->peer_pending_prefill += use.pending_prefill_tokens;
         own->speed.add_peer_mean(use.event_gap, now);
     }
 }
@@ -125,9 +125,9 @@
         upstream* own = this->find(use.upstream);
         if (own == nullptr)
             continue;
-        own->others -= std::min(own->others, use.requests);
-        own->others_unread -=
-            std::min(own->others_unread, use.pending_prefill_tokens);
+        own->peer_requests -= std::min(own->peer_requests, use.requests);
+        own->peer_pending_prefill -=
+            std::min(own->peer_pending_prefill, use.pending_prefill_tokens);
         own->speed.remove_peer_mean(use.event_gap);
     }
 }
@@ -140,7 +140,7 @@
     std::vector<std::pair<base::upstream_id, std::uint32_t>> before;
     for (const upstream_load& use : message.uses) {
         if (const upstream* one = this->find(use.upstream))
-            before.emplace_back(use.upstream, one->others);
+            before.emplace_back(use.upstream, one->peer_requests);
     }
     this->uncount_peer(message);
     message.uses.assign(uses.begin(), uses.end());
@@ -161,11 +161,11 @@
                   [&](base::instant until) { return until <= now; });
     const base::instant until =
         now + this->reservation + this->turn_delay(id.value);
-    for (std::uint32_t freed = one.others; freed < before; ++freed)
+    for (std::uint32_t freed = one.peer_requests; freed < before; ++freed)
         one.reserved_until.push_back(until);
     // Slots that were taken again are no longer reserved.
     for (std::uint32_t taken = before;
-         taken < one.others && !one.reserved_until.empty();
+         taken < one.peer_requests && !one.reserved_until.empty();
          ++taken)
         one.reserved_until.erase(one.reserved_until.begin());
 }
@@ -203,7 +203,7 @@
         std::count_if(one.reserved_until.begin(),
                       one.reserved_until.end(),
                       [&](base::instant until) { return until > now; }));
-    const std::uint32_t taken = one.own + one.others + awaited;
+    const std::uint32_t taken = one.own_requests + one.peer_requests + awaited;
     const std::uint32_t open = one.slots - std::min(one.slots, taken);
     return now < one.cold_until ? std::min(open, this->cold_allowance(one, now))
                                 : open;
@@ -259,8 +259,8 @@
     upstream* own = this->find(where.upstream);
     if (own == nullptr)
         return;
-    own->own += 1;
-    own->own_unread += prompt_tokens;
+    own->own_requests += 1;
+    own->own_pending_prefill += prompt_tokens;
     if (this->services[own->service].cold_rate > 0)
         own->recent.add(now);
     if (!where.probe)
@@ -281,9 +281,9 @@
     upstream* own = this->find(id);
     if (own == nullptr)
         return;
-    own->own -= std::min(own->own, 1U);
-    own->own_unread -= std::min(own->own_unread, unread);
-    if (own->own == 0 && !own->listed)
+    own->own_requests -= std::min(own->own_requests, 1U);
+    own->own_pending_prefill -= std::min(own->own_pending_prefill, unread);
+    if (own->own_requests == 0 && !own->listed)
         this->upstreams.erase(id);
 }
 
@@ -294,7 +294,7 @@
     if (own == nullptr)
         return std::nullopt;
     service_state& all = this->services[own->service];
-    all.bad -= service_weight * all.bad;
+    all.failure_rate -= service_weight * all.failure_rate;
     const bool cleared = own->outliers.suspected();
     own->outliers.record_success();
     if (!cleared)
@@ -313,9 +313,9 @@
         return std::nullopt;
     service_state& all = this->services[own->service];
     const bool was = own->outliers.suspected();
-    own->outliers.record_failure(what, all.bad, now);
+    own->outliers.record_failure(what, all.failure_rate, now);
     if (what == failure_kind::failing)
-        all.bad += service_weight * (1 - all.bad);
+        all.failure_rate += service_weight * (1 - all.failure_rate);
     if (was || !own->outliers.suspected())
         return std::nullopt;
     return suspicion_changed{
@@ -387,9 +387,11 @@
 {
     std::vector<upstream_load> out;
     for (const auto& [id, one] : this->upstreams) {
-        if (one.own > 0)
-            out.push_back(
-                {id, one.own, one.own_unread, one.speed.own_gap(now)});
+        if (one.own_requests > 0)
+            out.push_back({id,
+                           one.own_requests,
+                           one.own_pending_prefill,
+                           one.speed.own_gap(now)});
     }
     return out;
 }
--- a/src/greengagedrum/traffic/upstream_pool.hpp
+++ b/src/greengagedrum/traffic/upstream_pool.hpp
@@ -188,10 +188,11 @@
         base::data_centre_id data_centre;
         // For each slot that a peer freed, the time until which it is reserved.
         std::vector<base::instant> reserved_until;
-        std::uint32_t own = 0;
-        std::uint32_t own_unread = 0; // prompt tokens that await prefill
-        std::uint32_t others = 0;
-        std::uint32_t others_unread = 0;
+        std::uint32_t own_requests = 0;
+        std::uint32_t own_pending_prefill =
+            0; // prompt tokens that await prefill
+        std::uint32_t peer_requests = 0;
+        std::uint32_t peer_pending_prefill = 0;
         double pace = 0; // relative to the reference; 0: unknown
         base::instant paced_at;
         base::instant progress_at;
@@ -211,9 +212,9 @@
         double pace = 1;      // mean over its upstreams
         double event_gap = 0; // mean time between events in seconds; 0: unknown
         double events = 0;    // number of events in that mean
-        double token_time = 0;  // mean seconds for one expected output token
-        double bad = 0;         // share of failed requests
-        base::instant probe_at; // earliest time of the next probe
+        double token_time = 0;   // mean seconds for one expected output token
+        double failure_rate = 0; // share of failed requests
+        base::instant probe_at;  // earliest time of the next probe
         prefill_interference gaps;
         std::uint32_t cold_rate = 0; // requests/s per cold upstream; 0: any
     };
--- a/src/greengagedrum/traffic/upstream_speeds.cpp
+++ b/src/greengagedrum/traffic/upstream_speeds.cpp
@@ -81,9 +81,9 @@
                                   std::uint32_t prompt_tokens,
                                   base::instant now) const
 {
-    const double unread =
-        static_cast<double>(one.own_unread) + one.others_unread + prompt_tokens;
-    const double taken = one.own + one.others;
+    const double unread = static_cast<double>(one.own_pending_prefill) +
+                          one.peer_pending_prefill + prompt_tokens;
+    const double taken = one.own_requests + one.peer_requests;
     const double load_factor = 1 + full_load_slowdown * taken / one.slots;
     return this->pace_of(one, all, now) * reference_seconds(unread) *
            load_factor;
@@ -104,8 +104,8 @@
                                    std::uint32_t prompt_tokens,
                                    base::instant now) const
 {
-    const double unread =
-        static_cast<double>(one.own_unread) + one.others_unread + prompt_tokens;
+    const double unread = static_cast<double>(one.own_pending_prefill) +
+                          one.peer_pending_prefill + prompt_tokens;
     const double read = std::min(unread, all.gaps.high_estimate());
     return own_work_share * seconds_of(one.speed.gap(now)) +
            this->pace_of(one, all, now) * prompt_token_cost * read;
@@ -142,7 +142,8 @@
     upstream* own = this->find(id);
     if (own == nullptr)
         return;
-    own->own_unread -= std::min(own->own_unread, prompt_tokens);
+    own->own_pending_prefill -=
+        std::min(own->own_pending_prefill, prompt_tokens);
     if (expected <= 0)
         return;
     service_state& all = this->services[own->service];
