--- a/src/greengagedrum/quota/test/fleet_simulation.cpp
+++ b/src/greengagedrum/quota/test/fleet_simulation.cpp
@@ -82,17 +82,18 @@
     return std::uniform_real_distribution<double>(0, 1)(this->random);
 }
 
-void fleet_simulation::configure(entry& one)
+void fleet_simulation::configure(entry& target)
 {
-    one.limiter.set_tolerance({window, this->plan.overshoot, this->plan.slack});
+    target.limiter.set_tolerance(
+        {window, this->plan.overshoot, this->plan.slack});
     routing::configuration config;
     routing::workspace known;
     known.id = busy;
-    known.limit.per_second = this->plan.rate * one.factor;
+    known.limit.per_second = this->plan.rate * target.factor;
     known.limit.burst = known.limit.per_second;
     known.limit.in_tokens = true;
     config.workspaces.push_back(known);
-    one.limiter.set_limits(config, this->now);
+    target.limiter.set_limits(config, this->now);
 }
 
 // Each entry applies the change at a random time within the bound.
@@ -105,13 +106,13 @@
         this->next_limit += 1;
     }
     const auto& [published, factor] = this->factors.back();
-    for (entry& one : this->entries) {
+    for (entry& target : this->entries) {
         const bool due =
             this->now - published >= change_bound || this->draw() < 0.01;
-        if (one.factor == factor || !due)
+        if (target.factor == factor || !due)
             continue;
-        one.factor = factor;
-        this->configure(one);
+        target.factor = factor;
+        this->configure(target);
     }
 }
 
@@ -151,14 +152,14 @@
 void fleet_simulation::send_messages()
 {
     for (std::size_t from = 0; from < this->entries.size(); ++from) {
-        entry& one = this->entries[from];
-        const auto usage = one.limiter.own_usage(this->now);
+        entry& sender = this->entries[from];
+        const auto usage = sender.limiter.own_usage(this->now);
         for (std::size_t to = 0; to < this->entries.size(); ++to) {
             if (to != from && this->connected(from, to))
                 this->messages.push_back({this->now + message_delay,
                                           from,
                                           to,
-                                          one.incarnation,
+                                          sender.incarnation,
                                           usage});
         }
     }
@@ -185,10 +186,10 @@
 
 void fleet_simulation::submit_at(std::size_t at, double cost)
 {
-    entry& one = this->entries[at];
+    entry& target = this->entries[at];
     this->result.requested += cost;
     this->requested_by_time.emplace_back(this->now, cost);
-    if (one.limiter.try_acquire(busy, cost, 0, this->now)) {
+    if (target.limiter.try_acquire(busy, cost, 0, this->now)) {
         this->result.refused += cost;
         return;
     }
@@ -198,7 +199,7 @@
     const bool sent =
         wait < 0.05 || this->draw() >= this->plan.refused_after_wait;
     this->waiting.push_back(
-        {this->now, until, at, one.incarnation, cost, sent});
+        {this->now, until, at, target.incarnation, cost, sent});
 }
 
 void fleet_simulation::submit_requests()
@@ -224,20 +225,21 @@
 
 void fleet_simulation::finish_waiting()
 {
-    std::erase_if(this->waiting, [&](const waiting_request& one) {
-        if (one.until > this->now)
+    std::erase_if(this->waiting, [&](const waiting_request& request) {
+        if (request.until > this->now)
             return false;
-        entry& of = this->entries[one.at];
+        entry& owner = this->entries[request.at];
         // Its process has ended.
-        if (of.incarnation != one.incarnation)
+        if (owner.incarnation != request.incarnation)
             return true;
-        if (!one.sent) {
-            of.limiter.refund_unsent(busy, one.cost, this->now);
+        if (!request.sent) {
+            owner.limiter.refund_unsent(busy, request.cost, this->now);
             return true;
         }
-        of.limiter.on_sent(busy, one.cost, this->now);
-        this->sent_requests.push_back({one.admitted_at, this->now, one.cost});
-        this->result.admitted += one.cost;
+        owner.limiter.on_sent(busy, request.cost, this->now);
+        this->sent_requests.push_back(
+            {request.admitted_at, this->now, request.cost});
+        this->result.admitted += request.cost;
         return true;
     });
 }
@@ -250,8 +252,8 @@
         this->change_limits();
         this->restart_entries();
         this->deliver_messages();
-        for (entry& one : this->entries)
-            one.limiter.update_silent_peers(this->now);
+        for (entry& target : this->entries)
+            target.limiter.update_silent_peers(this->now);
         this->submit_requests();
         this->finish_waiting();
         if (this->now < messages_at)
@@ -304,9 +306,9 @@
     for (base::instant until = this->started_at + window; until <= this->now;
          until += 100ms) {
         double sum = 0;
-        for (const admitted_request& one : this->sent_requests) {
-            if (one.admitted_at > until - window && one.sent <= until)
-                sum += one.cost;
+        for (const admitted_request& request : this->sent_requests) {
+            if (request.admitted_at > until - window && request.sent <= until)
+                sum += request.cost;
         }
         const double share = sum / this->tolerated_usage(until);
         if (share > out.highest_share) {
--- a/src/greengagedrum/quota/test/fleet_simulation.hpp
+++ b/src/greengagedrum/quota/test/fleet_simulation.hpp
@@ -87,7 +87,7 @@
 
     double seconds() const;
     double draw();
-    void configure(entry& one);
+    void configure(entry& target);
     void change_limits();
     void restart_entries();
     bool connected(std::size_t from, std::size_t to) const;
--- a/src/greengagedrum/quota/test/handover_test.cpp
+++ b/src/greengagedrum/quota/test/handover_test.cpp
@@ -129,23 +129,23 @@
     former.set_tolerance({8s, 0, 0});
     routing::configuration config;
     for (std::uint64_t id = 1; id <= workspaces; ++id) {
-        routing::workspace one;
-        one.id = base::workspace_id(id);
-        one.limit = {rate, burst, true, 0};
-        config.workspaces.push_back(one);
+        routing::workspace workspace;
+        workspace.id = base::workspace_id(id);
+        workspace.limit = {rate, burst, true, 0};
+        config.workspaces.push_back(workspace);
     }
     former.set_limits(config, now);
     now += 2min; // the buckets are full
-    for (const routing::workspace& one : config.workspaces) {
-        const double cost = one.id == busy ? 800 : 10;
-        REQUIRE_FALSE(former.try_acquire(one.id, cost, 0, now));
-        former.on_sent(one.id, cost, now);
+    for (const routing::workspace& workspace : config.workspaces) {
+        const double cost = workspace.id == busy ? 800 : 10;
+        REQUIRE_FALSE(former.try_acquire(workspace.id, cost, 0, now));
+        former.on_sent(workspace.id, cost, now);
     }
     const std::vector<workspace_usage> reported = former.window_usage(now);
     CHECK(reported.size() == 300);
     CHECK(std::any_of(
-        reported.begin(), reported.end(), [&](const workspace_usage& one) {
-            return one.workspace == busy && one.sent_in_window == 800;
+        reported.begin(), reported.end(), [&](const workspace_usage& usage) {
+            return usage.workspace == busy && usage.sent_in_window == 800;
         }));
 }
 
