--- a/src/greengagedrum/entry/entry_lifecycle.cpp
+++ b/src/greengagedrum/entry/entry_lifecycle.cpp
@@ -1,4 +1,5 @@
-// An entry over time: news, pauses, changed settings, and its stop.
+// An entry's timed work: configuration updates, pauses, settings reloads and
+// shutdown.
 #include <greengagedrum/entry/entry.hpp>
 #include <greengagedrum/entry/suspension.hpp>
 #include <greengagedrum/logs/write.hpp>
@@ -11,29 +12,30 @@
 namespace
 {
 
-// While requests wait for places, are under way, and while there are none.
+// Tick intervals while requests wait for slots, while requests are in flight,
+// and while there are none.
 constexpr auto waiting_tick = std::chrono::milliseconds(5);
 constexpr auto busy_tick = std::chrono::milliseconds(20);
 constexpr auto idle_tick = std::chrono::milliseconds(50);
 constexpr base::duration sweep_period = std::chrono::milliseconds(100);
 constexpr base::duration settings_period = std::chrono::seconds(1);
 
-// A turn of the loop takes milliseconds. One that is this late means that the
-// process stood still, and that what it believes is as old.
+// A turn of the event loop takes milliseconds. A tick that is this late means
+// that the process was frozen, and that its state is outdated by as much.
 constexpr base::duration pause_threshold = std::chrono::milliseconds(400);
-// With neither store nor peers in reach, an old state is better than none.
+// Limit of a pause: if neither the store nor a peer answers, outdated state is
+// better than none.
 constexpr base::duration pause_timeout = std::chrono::milliseconds(500);
 
-// From SIGTERM on the balancer is told to send no more; it asks once a second
-// and needs two answers. Connections that come meanwhile are served.
+// From SIGTERM on, readiness is negative. The load balancer probes once a
+// second and needs two answers to stop sending; connections that arrive until
+// then are served.
 constexpr base::duration accept_after_stop = std::chrono::milliseconds(3000);
-// Before the kill, for the last bytes to be on their way.
+// Time before SIGKILL reserved for sending the last bytes.
 constexpr base::duration stop_margin = std::chrono::milliseconds(400);
 
 } // namespace
 
-// ---- News -----------------------------------------------------------------
-
 void entry::on_store_items(const routing::store_item_list& items,
                            std::uint64_t as_of,
                            bool whole,
@@ -125,8 +127,6 @@
     this->last_store_answer = now;
 }
 
-// ---- Time -----------------------------------------------------------------
-
 void entry::schedule_tick()
 {
     const bool waiting = this->state.scheduler.waiting() > 0;
@@ -165,9 +165,9 @@
 }
 
 // Failure guarded against: the process is frozen or its machine suspended, and
-// on waking it acts on what it believed before: it sends to upstreams that
-// have left, by routes that were moved. Nothing is sent until the store or a
-// peer has told anew.
+// on resuming it acts on outdated state: it sends to upstreams that have left,
+// by routes that were changed. Nothing is sent until the store or a peer has
+// provided current state.
 void entry::detect_pause(base::instant now)
 {
     const base::duration suspended_so_far = suspended_time();
@@ -215,8 +215,6 @@
     logs::write(logs::level::info, "entry", "settings_reloaded");
 }
 
-// ---- Stopping -------------------------------------------------------------
-
 void entry::on_signal(int number)
 {
     if (number == SIGHUP)
--- a/src/greengagedrum/entry/exchange.cpp
+++ b/src/greengagedrum/entry/exchange.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-// Bytes that a caller may be behind before its stream is read no further, and
-// from where on it is read again.
+// Unsent bytes to a caller at which reading from the upstream pauses, and at
+// which it resumes.
 constexpr std::size_t unsent_high_water = 256U << 10U;
 constexpr std::size_t unsent_low_water = 32U << 10U;
 
@@ -48,8 +48,6 @@
 {
 }
 
-// ---- Sending --------------------------------------------------------------
-
 std::string exchange::request_text(const routing::published_upstream& to,
                                    base::duration time_left) const
 {
@@ -64,7 +62,8 @@
         const bool kept = platform::always_passes(one.name);
         if (!kept && relay::is_hop_header(head.headers, one.name))
             continue;
-        // It has had events beyond the one that it named.
+        // The caller has received events after the one it named, so the id from
+        // write_upstream_marks() replaces its header.
         if (!this->last_event_id.empty() &&
             relay::same_name(one.name, platform::resume_header))
             continue;
@@ -123,8 +122,6 @@
     this->call.reset();
 }
 
-// ---- What comes back ------------------------------------------------------
-
 std::string exchange::head_error() const
 {
     const platform::answer_marks marks =
@@ -135,7 +132,8 @@
                          this->answer.status < first_redirect;
     if (success && !marks.has_signature)
         return "a success without the upstream's signature";
-    // Nobody asked for one, so these aren't the upstream's bytes.
+    // No encoding was requested, so the response does not come from the
+    // upstream.
     if (relay::find_header(this->answer.headers, "Content-Encoding"))
         return "an encoded body";
     return {};
@@ -168,8 +166,8 @@
 {
     std::string pieces;
     while (const auto one = this->splitter.next()) {
-        // A resumed stream goes on after the last event; one that repeats
-        // itself is not passed on twice.
+        // A resumed stream continues after the last event; events that it
+        // repeats are not passed on again.
         const auto last = relay::event_number(this->last_event_id);
         const auto fresh = relay::event_number(one->id);
         if (last && fresh && *fresh <= *last)
@@ -219,8 +217,9 @@
         platform::read_answer_marks(this->answer);
     const bool misdirected =
         this->answer.status == platform::misdirected_status;
-    // Failure guarded against: an answer that bears another request's id says
-    // "not run" of that one; believed, this one would be sent a second time.
+    // Failure guarded against: a response with another request's id reports
+    // that the other request did not run. Taken for this request, it would
+    // cause a second send.
     const bool of_other_request =
         !marks.attempt.empty() && marks.attempt != this->request.marks.attempt;
     if ((misdirected || marks.not_run) && !of_other_request) {
@@ -260,8 +259,6 @@
                                             std::move(error)});
 }
 
-// ---- To the caller --------------------------------------------------------
-
 std::string exchange::caller_response_head() const
 {
     std::string out = "HTTP/1.1 " + std::to_string(this->answer.status) + " " +
@@ -291,7 +288,8 @@
 void exchange::fail(const base::verdict& verdict)
 {
     this->stop_send();
-    // An answer that was begun can't be taken back: it must not look whole.
+    // A partly sent response can't be withdrawn. The connection is aborted, so
+    // that the response does not look complete.
     if (this->caller->pieces_begun())
         return this->caller->abort();
     this->caller->answer(
@@ -306,7 +304,8 @@
         !this->request.repeatable && !this->request.stream;
     if (!leave_running)
         return this->stop_send();
-    // Its call holds it until it ends; nobody is told.
+    // The upstream call keeps this object alive until it ends; its events are
+    // dropped.
     this->events.on_event = [](const traffic::event&) {};
 }
 
--- a/src/greengagedrum/entry/exchange.hpp
+++ b/src/greengagedrum/entry/exchange.hpp
@@ -1,6 +1,6 @@
-// One request between its caller and the upstreams that it is sent to: the
-// bytes of it, with nothing decided here but whether what came can be this
-// request's answer.
+// One request between its caller and the upstreams it is sent to. An exchange
+// forwards bytes; its only decision is whether a response can belong to this
+// request.
 #pragma once
 
 #include <greengagedrum/platform/headers.hpp>
@@ -17,7 +17,7 @@
 namespace greengagedrum::entry
 {
 
-// What is known of a request beside what decisions need.
+// The attributes of a request that scheduling decisions do not need.
 struct request_info {
     base::request_id id;
     platform::request_marks marks;
@@ -27,12 +27,12 @@
     bool repeatable = false;
 };
 
-// How one send ended, for the log.
+// The outcome of one send, for the log.
 struct send_outcome {
     std::uint32_t send_number = 0;
-    unsigned status = 0; // 0: no answer
+    unsigned status = 0; // HTTP status; 0: no response
     std::uint32_t event_count = 0;
-    std::string error; // empty: a whole answer
+    std::string error; // empty: complete response
 };
 
 class exchange : public std::enable_shared_from_this<exchange>
@@ -53,15 +53,18 @@
               base::duration time_left);
     void stop_send();
 
-    // The upstream's answer goes to the caller, or ends there.
+    // Passes the upstream's response, or the rest of a streamed one, to the
+    // caller. With `closing`, the caller's connection is closed afterwards.
     void deliver(bool closing);
     void fail(const base::verdict& verdict);
 
-    // The caller has left. What may be repeated is broken off; any other
-    // request runs to its end at its upstream, and its answer is dropped.
+    // The caller has disconnected. A repeatable or streamed request is
+    // cancelled; any other runs to its end on the upstream, and its response is
+    // discarded.
     void abandon();
 
-    // Reads on once the caller has taken what was sent.
+    // Resumes reading from the upstream once the caller has received most of
+    // what was sent.
     void resume_reading();
 
     const request_info& info() const { return this->request; }
@@ -78,7 +81,7 @@
     void on_broken(traffic::interruption_cause cause, const std::string& error);
     void forward_events();
     void classify_answer();
-    // Empty when the head can be this request's answer.
+    // Empty if the response head can belong to this request.
     std::string head_error() const;
     std::string caller_response_head() const;
     void report_outcome(std::string error) const;
@@ -89,12 +92,12 @@
     owner_events events;
     std::shared_ptr<relay::upstream_call> call;
     std::uint32_t send_number = 0;
-    relay::answer_head answer; // of the send under way, or the last
+    relay::answer_head answer; // of the current or last send
     std::string buffered_body;
     relay::event_splitter splitter;
     bool streaming = false;
     std::uint32_t event_count = 0;
-    std::string last_event_id; // of the last event that the caller was sent
+    std::string last_event_id; // of the last event sent to the caller
     bool reading_paused = false;
 };
 
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -1,13 +1,11 @@
-// Requests that are placed for other entries, and own ones that another entry
-// places.
+// Requests that this entry dispatches for its members, and own requests that
+// another entry dispatches.
 #include <greengagedrum/entry/request_handler.hpp>
 #include <greengagedrum/entry/to_milliseconds.hpp>
 
 namespace greengagedrum::entry
 {
 
-// ---- Own requests, placed by another entry --------------------------------
-
 dispatch::member_report request_handler::make_member_report() const
 {
     const base::instant now = this->state.clock();
@@ -17,7 +15,7 @@
         if (found == this->requests.end())
             continue;
         const active_request& request = found->second;
-        // A request that was sent before is counted somewhere already.
+        // An earlier send of the request has been charged already.
         const bool counted = request.counted_here || request.sent_at;
         out.slot_requests.push_back({{one.request, one.send},
                                      one.facts,
@@ -62,12 +60,13 @@
     this->apply_member_changes(this->members.remove_all_members());
 }
 
-// Whoever counted for this entry may be gone, and what it told last of limits
-// is all that is left of what it knew.
+// The dispatcher that counted this entry's usage may be gone; the limit state
+// that it sent last is all that remains of its knowledge.
 //
-// Failure guarded against: a dispatcher dies, and each of its members has the
-// whole of every limit until it has counted the others: of three requests of
-// 200 tokens that waited, all three went out on a part of 285.
+// Failure guarded against: a dispatcher dies, and each of its members would
+// have the whole of every limit until it has counted the others. Of three
+// waiting requests of 200 tokens each, all three were sent on a share of 285
+// tokens.
 void request_handler::place_locally(std::size_t unheard,
                                     const limit_handover* known)
 {
@@ -84,8 +83,6 @@
     this->count_waiting_requests();
 }
 
-// ---- Members' requests ----------------------------------------------------
-
 void request_handler::on_member_report(
     base::slot_id member,
     base::incarnation incarnation,
@@ -130,7 +127,7 @@
                              wanted.cost,
                              wanted.facts.priority,
                              *retry_after);
-        // The limit has nothing of it to give back.
+        // The limit charged nothing, so there is nothing to refund.
         this->members.on_declined(
             id, base::not_run(base::reason::limit_reached, retry_after));
         return;
@@ -141,7 +138,8 @@
         traffic::request_arrived{id, facts, wanted.tried_upstreams});
 }
 
-// As the configuration in force here says: members ask by route and workspace.
+// Uses the configuration in force on this entry: members name only the route
+// and the workspace.
 routing::data_centre_constraint
 request_handler::homes_of(const traffic::request_facts& facts) const
 {
@@ -159,7 +157,7 @@
     const base::instant now = this->state.clock();
     if (this->state.cluster.upstreams().find_usable(order.upstream) ==
         nullptr) {
-        // It left within this very turn.
+        // The upstream left within the same event loop turn.
         if (const auto cost = this->members.forget_send(order.request))
             this->state.limiter.refund_unsent(
                 cost->workspace, cost->amount, now);
--- a/src/greengagedrum/entry/peer_counting.cpp
+++ b/src/greengagedrum/entry/peer_counting.cpp
@@ -1,4 +1,5 @@
-// How many entries place requests, and which of them limits keep a part for.
+// Counts the entries that dispatch requests, and those for which limits reserve
+// a share.
 #include <greengagedrum/entry/peer_protocol.hpp>
 
 #include <algorithm>
@@ -9,10 +10,11 @@
 namespace
 {
 
-// Until members have found their new dispatcher.
+// Time until the members have found their new dispatcher.
 constexpr base::duration member_gather_time = std::chrono::milliseconds(300);
 
-// A place that another data centre's dispatcher frees is left to it as long.
+// A slot freed by the dispatcher of another data centre is left to that
+// dispatcher for this time.
 constexpr base::duration gossip_interval_of_dispatchers =
     std::chrono::milliseconds(10);
 
@@ -30,12 +32,13 @@
         this->schedule.interval(gossip::recipient_group::own_data_centre));
     this->state.limiter.set_never_heard_peer_count(
         this->table.never_heard_count());
-    this->state.limiter.set_unreported_member_share(0, now); // it has none
+    // Only dispatchers have members.
+    this->state.limiter.set_unreported_member_share(0, now);
 }
 
-// Failure guarded against: an entry that is cut off from all others has no
-// members, places by itself, and would give each workspace its whole limit
-// beside the one that the others give.
+// Failure guarded against: an entry that is partitioned from all others has no
+// members, dispatches by itself, and would admit the whole limit of each
+// workspace in addition to what the other entries admit.
 void peer_protocol::update_counts_with_dispatchers(base::instant now)
 {
     const std::size_t all = this->election.entry_count(now);
@@ -65,9 +68,9 @@
                            {"entries", all}});
 }
 
-// Entries of this data centre that may let requests through where they can't be
-// heard. Members come one by one after a change of dispatchers; an entry with
-// none for longer is cut off.
+// Entries of this data centre that may admit requests without this entry
+// receiving their messages. After a change of dispatchers the members arrive
+// one by one; an entry that still has none later is partitioned.
 std::size_t peer_protocol::unheard_in_data_centre(base::instant now) const
 {
     const bool gathered = now - this->dispatching_since >= member_gather_time;
@@ -81,8 +84,9 @@
     return this->unheard_at_takeover - this->members.size();
 }
 
-// Of the entries of this data centre, the part that reports to nobody that this
-// one hears. An entry with no members is counted for by unheard_near().
+// The share of this data centre's entries, 0 to 1, that report to no dispatcher
+// this entry receives messages from. unheard_in_data_centre() covers an entry
+// without members.
 double peer_protocol::unreported_share(base::instant now) const
 {
     if (this->state.delegating || this->state.stopping ||
@@ -98,8 +102,9 @@
 }
 
 // Failure guarded against: a dispatcher falls silent and another one of its
-// data centre takes over. With a part of each limit kept for the first as for
-// one behind a cut, work within the limits was refused for half a minute.
+// data centre takes over. While a share of each limit stayed reserved for the
+// former, as for a partitioned one, work within the limits was refused for half
+// a minute.
 void peer_protocol::forget_replaced_dispatchers(base::instant now)
 {
     std::erase_if(this->counted_dispatchers, [&](const auto& one) {
--- a/src/greengagedrum/entry/peer_protocol.hpp
+++ b/src/greengagedrum/entry/peer_protocol.hpp
@@ -1,10 +1,12 @@
-// Speaks with the other entries: messages by datagram, items of the store on
-// request.
+// Communication with the other entries: state messages by datagram, and
+// configuration items on request over HTTP.
 //
-// Each message is whole, so a lost datagram is made good by the next, and a
-// connection that has gone silent can't be mistaken for a peer that has. Among
-// few entries each tells all others; among many, peer_sending.cpp says who
-// tells whom, and peer_roles.cpp what each of them is.
+// Each message carries the sender's complete state, so the next message repairs
+// the loss of a datagram, and liveness does not depend on connections that may
+// hang. In a small fleet each entry sends to all others. In a large fleet one
+// entry per data centre, the dispatcher, dispatches the requests of all entries
+// there, its members: peer_sending.cpp decides who sends to whom,
+// peer_roles.cpp which role this entry has.
 #pragma once
 
 #include <greengagedrum/entry/peer_transport.hpp>
@@ -23,35 +25,40 @@
 {
 
 struct peer_events {
-    // A peer's load has changed: places may be free.
+    // A peer's load has changed, so upstream slots may be free.
     std::function<void()> peer_load_changed;
-    // A peer passed items of the store.
+    // A peer sent configuration items of the store.
     std::function<void(const gossip::item_transfer&)> items_received;
-    // Another entry places this one's requests from now on.
+    // Another entry dispatches this entry's requests from now on.
     std::function<void()> delegation_started;
-    // None does any more; so many entries may let requests through unheard.
-    // `known`: what the one that did knew of limits, if it told lately.
+    // This entry dispatches its own requests again. `unheard`: entries and data
+    // centres never heard, which may send requests without this entry's
+    // knowledge. `known`: the former dispatcher's limit state if it arrived
+    // recently, else null.
     std::function<void(std::size_t unheard, const limit_handover* known)>
         delegation_ended;
-    // What the entry that places is told, and what it replied.
+    // The report to the dispatcher, and the dispatcher's reply.
     std::function<dispatch::member_report()> make_report;
     std::function<void(const dispatch::dispatcher_reply&)> reply_received;
-    // A member's report, with the loads that it sees, and a member's end.
+    // A member's report, with the upstream loads that it sees, and the loss of
+    // a member.
     std::function<void(base::slot_id, const gossip::message&)> report_received;
     std::function<void(base::slot_id)> member_lost;
-    // Members that are to be told something, and what.
+    // Members that are owed a reply, and the reply to one of them.
     std::function<std::vector<base::slot_id>()> members_awaiting_reply;
     std::function<dispatch::dispatcher_reply(base::slot_id)> make_reply;
 };
 
-// What an entry asks a peer for: items above a revision of the store, or, of a
-// life of that peer, what changed after so many changes.
+// A request to a peer for configuration items: those above a revision of the
+// store, or, with an incarnation, those changed after a change count of that
+// incarnation of the peer.
 struct item_query {
     std::uint64_t position = 0;
     std::optional<base::incarnation> incarnation;
 };
 
-// The target under which it is asked, and its reading.
+// The HTTP request target of a query, and its parser; empty if `target` is
+// malformed.
 std::string item_query_target(const item_query& query);
 std::optional<item_query> parse_item_query(std::string_view target);
 
@@ -64,24 +71,26 @@
                   peer_events events,
                   peer_transport transport);
 
-    // A datagram arrived; `from` is for the log.
+    // Handles a received datagram; `from` is only logged.
     void on_message(std::string_view bytes, const std::string& from);
 
-    // The time that the transport was told has passed.
+    // The timer started through the transport has expired.
     void on_timer();
 
-    // Tells soon, but not sooner than the least gap after the last message.
+    // Marks this entry's state as changed. The next message is sent as soon as
+    // the minimum gap since the last one allows.
     void schedule_gossip();
 
-    // This entry stops: others are to place for it and in its place.
+    // This entry shuts down: others are to dispatch its requests and take over
+    // its role.
     void begin_stop();
 
-    // Time has passed: tells, notices who fell silent, asks a peer for what
-    // the store does not give.
+    // Sends what is due, detects silent peers and fetches from a peer the items
+    // that the store does not deliver.
     void tick(bool store_fails);
 
-    // Another entry is to read the store for this one, and what was heard of
-    // it lately shows that someone does.
+    // True if a peer is responsible for reading the store for this entry and
+    // its recent messages show that it does.
     bool peer_reads_store() const;
     void record_store_answer()
     {
@@ -100,7 +109,6 @@
     gossip::message make_message(gossip::message_kind kind);
     gossip::message make_load_message(gossip::recipient_group who);
 
-    // ---- Among many entries
     void merge_suspects(const gossip::message& received, base::instant now);
     std::vector<quarantine::suspect_report>
     suspects_to_send(base::instant& sent_all_at, base::instant now);
@@ -153,19 +161,20 @@
     gossip::peer_table table;
     std::uint64_t sequence = 0;
     gossip::gossip_schedule schedule;
-    std::optional<base::instant> timer_due_at; // by the transport
+    std::optional<base::instant> timer_due_at; // of the transport's timer
     base::instant checked_at;
     base::instant fetch_started_at;
-    base::instant own_store_answer_at; // the store's last answer, to this entry
-    base::instant peer_store_answer_at; // the same of its peers, the newest
+    // Newest answers of the store, to this entry and to any peer.
+    base::instant own_store_answer_at;
+    base::instant peer_store_answer_at;
     std::uint64_t source_rotation = 0;
     bool fetching = false;
-    // When suspects that are not news were last sent.
+    // When unchanged crash suspects were last sent.
     base::instant near_suspects_sent_at;
     base::instant far_suspects_sent_at;
     base::instant member_suspects_sent_at;
 
-    // What an entry believed, and after which of its changes.
+    // A position in the change history of one incarnation of a peer.
     struct change_position {
         base::incarnation incarnation;
         std::uint64_t changes = 0;
@@ -177,30 +186,37 @@
     };
 
     gossip::dispatcher_election election;
-    base::instant started_at;    // this process
-    base::instant running_since; // without a pause
+    base::instant started_at;    // start of this process
+    base::instant running_since; // start of operation without a pause
     base::instant counted_at;
     base::instant
-        half_dispatched_since; // placing for half of its data centre, or more
-    traffic::slow_start_share current_share; // of cold upstreams; none at first
+        // Since when this entry dispatches for at least half of its data
+        // centre.
+        half_dispatched_since;
+    // This entry's share of the requests to cold upstreams; at first none.
+    traffic::slow_start_share current_share;
     bool uses_dispatchers = false;
-    std::optional<gossip::ipv4_address> dispatcher; // none: this entry
-    base::instant dispatcher_seen_at;               // when there was one last
-    base::instant dispatching_since;                // this entry, by itself
-    change_position synced_position; // to this entry, by whoever was asked last
+    std::optional<gossip::ipv4_address> dispatcher; // empty: this entry
+    base::instant dispatcher_seen_at;               // when there last was one
+    base::instant dispatching_since;                // this entry itself
+    // What this entry has received from the peer queried last.
+    change_position synced_position;
     std::uint64_t dispatcher_digest = 0;
     base::instant reported_at;
-    std::uint64_t unanswered_report = 0; // by sequence; 0: none
+    std::uint64_t unanswered_report = 0; // sequence number; 0: none
     base::instant heartbeat_at;
     base::instant query_sent_at;
     std::size_t next_to_query = 0;
     std::uint32_t role_notices_left =
-        0; // still to be told to other data centres
+        // Messages still to be sent to other data centres to announce that this
+        // entry no longer dispatches.
+        0;
     std::size_t unheard_at_takeover = 0;
-    // As the dispatcher told them last, to one that is next in line.
+    // Last received from the dispatcher, if this entry is one of its standby
+    // entries.
     std::optional<limit_handover> received_limits;
     std::unordered_map<base::slot_id, member> members;
-    // Others that place, of which the limiter was told.
+    // Other dispatchers whose usage the limiter counts.
     std::unordered_map<base::slot_id, gossip::ipv4_address> counted_dispatchers;
     struct entry_counts {
         std::size_t dispatchers = 0;
--- a/src/greengagedrum/entry/peer_socket.cpp
+++ b/src/greengagedrum/entry/peer_socket.cpp
@@ -51,7 +51,8 @@
         [this](relay::error_code error, std::size_t count) {
             if (error == relay::asio::error::operation_aborted)
                 return;
-            // A datagram that was refused somewhere shows here as a fault.
+            // An ICMP error for an earlier datagram is reported here; it is
+            // ignored.
             if (!error)
                 this->on_datagram({this->receive_buffer.data(), count},
                                   this->remote.address().to_string());
--- a/src/greengagedrum/entry/peer_socket.hpp
+++ b/src/greengagedrum/entry/peer_socket.hpp
@@ -1,5 +1,5 @@
-// The sockets of peer_protocol: datagrams on the peers' port, and a client for
-// items that a peer passes on.
+// The sockets behind peer_transport: a UDP socket on the peers' port, and an
+// HTTP client that fetches configuration items from peers.
 #pragma once
 
 #include <greengagedrum/entry/peer_transport.hpp>
@@ -23,7 +23,7 @@
                 const std::string& ip,
                 std::uint16_t port);
 
-    // Valid as long as this object is.
+    // The result refers to this object and must not outlive it.
     peer_transport transport();
 
     void start(datagram_handler on_datagram, std::function<void()> on_timer);
@@ -35,7 +35,7 @@
 
     relay::udp::socket socket;
     relay::udp::endpoint remote;
-    // FlatBuffers read numbers where they lie.
+    // FlatBuffers reads numbers in place, so the buffer is aligned.
     alignas(std::uint64_t) std::array<char, 65'536> receive_buffer{};
     relay::asio::steady_timer timer;
     std::shared_ptr<relay::http_get> client;
--- a/src/greengagedrum/entry/peer_transport.hpp
+++ b/src/greengagedrum/entry/peer_transport.hpp
@@ -1,5 +1,5 @@
-// How an entry reaches the others. The decisions of peer_protocol know nothing
-// of sockets, so that whole fleets can be played in virtual time.
+// The network as peer_protocol uses it. The protocol has no sockets of its own,
+// so that tests can run whole fleets in virtual time.
 #pragma once
 
 #include <greengagedrum/base/ip_address.hpp>
@@ -15,13 +15,13 @@
 {
 
 struct peer_transport {
-    // One that can't be sent is lost like any other datagram.
+    // Sends a datagram; errors are ignored, as datagrams may be lost anyway.
     std::function<void(std::string_view bytes, gossip::ipv4_address to)> send;
 
-    // `on_timer` of the link is due so soon.
+    // Calls peer_protocol::on_timer after `after`; replaces an earlier timer.
     std::function<void(base::duration after)> start_timer;
 
-    // Asks a peer's control address; one question at a time.
+    // HTTP GET on a peer's control address with a time limit; one at a time.
     std::function<void(const base::ip_endpoint& of,
                        const std::string& target,
                        base::duration bound,
