--- a/src/greengagedrum/entry/fleet_test/fault_injection.cpp
+++ b/src/greengagedrum/entry/fleet_test/fault_injection.cpp
@@ -1,4 +1,5 @@
-// What befalls the entries of a played fleet.
+// Fault injection of the simulated fleet: partitions, restarts, kills and
+// freezes.
 #include <greengagedrum/entry/fleet_test/virtual_fleet.hpp>
 
 #include <algorithm>
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
@@ -1,7 +1,7 @@
-// A fleet of entries in several data centres with one limited workspace, in
-// virtual time: the real messages between entries and the real limits, with
-// requests that take a place at once. It counts what was let through, refused
-// and sent between entries, as an operator would.
+// A simulated fleet with one rate-limited workspace, in virtual time. Messages
+// between entries and limits are the real ones; a granted request takes its
+// slot at once. The run counts admitted and refused requests, and the bytes
+// sent between entries.
 #pragma once
 
 #include <greengagedrum/entry/fleet_test/virtual_fleet.hpp>
@@ -15,27 +15,30 @@
 {
 
 struct fleet_plan : fault_plan {
-    double demand = 0.55;  // of the limit's rate
-    double requests = 100; // a second, in all
+    double demand = 0.55;  // share of the limit's rate
+    double requests = 100; // per second, all entries
 };
 
-// Draws a plan with anything that may happen, but for a loss of all entries:
-// what they knew is lost with them.
+// Draws a random plan with any fault except the loss of all entries, because
+// their knowledge of the usage is lost with them.
 fleet_plan random_fleet_plan(std::uint64_t seed);
 
 struct fleet_result {
     std::uint32_t asked = 0;
     std::uint32_t refused = 0; // over the limit
     std::uint32_t unanswered = 0;
-    double admitted_share = 0; // of what the limit allows in all that time
+    // Share of what the limit allows in the whole run.
+    double admitted_share = 0;
     double peak_window_share =
-        0;              // of what a window may hold, the most that one held
-    double peak_at = 0; // seconds
-    // Of the limit, kept at the end for entries that are not heard, the most at
-    // one entry.
+        // The highest usage of a window, as a share of its bound, and its time
+        // in seconds.
+        0;
+    double peak_at = 0;
+    // The largest share of the limit that any entry still reserves for absent
+    // entries at the end of the run.
     double reserved_for_absent = 0;
-    std::uint32_t dispatcher_changes = 0; // after the start of all entries
-    std::uint64_t busiest_bytes = 0;      // of one entry, a second, on average
+    std::uint32_t dispatcher_changes = 0; // after the first two seconds
+    std::uint64_t busiest_bytes = 0;      // of one entry, per second on average
 };
 
 class limited_fleet
@@ -54,7 +57,7 @@
         bool counted = false;
     };
 
-    // What one process has to do.
+    // The requests and grants of one entry.
     struct process_state {
         dispatch::member_request_table book;
         std::map<std::uint64_t, waiting_request> requests;
@@ -67,7 +70,7 @@
     }
     virtual_fleet::hooks hooks();
     peer_events events_of(node& process);
-    double limit() const; // a second; its burst is as much
+    double limit() const; // per second; the burst is as large
     void configure(node& one);
     double draw();
     void generate_requests();
@@ -85,7 +88,7 @@
 
     fleet_plan plan;
     std::mt19937_64 dice;
-    std::vector<process_state> processes; // by entry
+    std::vector<process_state> processes; // by entry number
     virtual_fleet fleet;
     std::deque<std::pair<base::instant, double>> admitted;
     std::uint64_t next_request = 1;
--- a/src/greengagedrum/entry/fleet_test/limited_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet_test.cpp
@@ -1,4 +1,4 @@
-// What a fleet refuses as over a limit while its entries come and go.
+// Requests that a fleet refuses as over a limit while entries come and go.
 #include <greengagedrum/entry/fleet_test/limited_fleet.hpp>
 
 #include <doctest/doctest.h>
@@ -34,8 +34,8 @@
     return got;
 }
 
-// At the usual load next to nothing is refused; at twice the limit, it holds
-// and is used.
+// At the usual load almost nothing is refused; at twice the limit, usage stays
+// within the limit and makes use of it.
 void check_both_loads(fleet_plan plan)
 {
     const fleet_result usual = run_plan(plan);
@@ -50,7 +50,7 @@
 
 } // namespace
 
-// All entries are restarted, one every two seconds, at the usual load.
+// A rolling restart, one entry every two seconds, at the usual load.
 TEST_CASE("rolling_restart_refuses_nothing_within_the_limit")
 {
     for (const std::size_t entries : {9U, 86U}) {
@@ -61,14 +61,14 @@
         const fleet_result got = run_plan(plan);
         CHECK(got.refused < got.asked / 1000);
         CHECK(got.peak_window_share <= 1);
-        // Those of the four data centres, and those that follow them, are
-        // stopped; strong ones that are back change nothing.
+        // The four data centres' dispatchers and their replacements are stopped
+        // once each; strong entries that return change nothing.
         CHECK(got.dispatcher_changes <= (entries > 9 ? 8 : 0));
     }
 }
 
-// The same while a workspace asks for twice its limit: what is let through
-// stays within it, and the limit is used.
+// The same while a workspace requests twice its limit: admitted usage stays
+// within the limit and makes use of it.
 TEST_CASE("rolling_restart_at_twice_the_limit_keeps_and_uses_it")
 {
     fleet_plan plan;
@@ -80,7 +80,8 @@
     CHECK(got.admitted_share >= 0.95);
 }
 
-// All dispatchers are killed, and those that follow them four seconds later.
+// All dispatchers are killed, and the entries that replaced them four seconds
+// later.
 TEST_CASE("two_dispatchers_killed_within_a_window_cost_little")
 {
     fleet_plan plan;
@@ -88,8 +89,7 @@
     check_both_loads(plan);
 }
 
-// All dispatchers stand still for five seconds, and go on as if nothing had
-// happened.
+// All dispatchers are frozen for five seconds and resume with outdated state.
 TEST_CASE("dispatchers_frozen_and_back_cost_little")
 {
     fleet_plan plan;
@@ -97,7 +97,7 @@
     check_both_loads(plan);
 }
 
-// One dispatcher is cut off with half of its members.
+// A network partition separates one dispatcher and half of its members.
 TEST_CASE("dispatcher_cut_off_with_half_of_its_members_keeps_the_limit")
 {
     fleet_plan plan;
@@ -105,7 +105,7 @@
     check_both_loads(plan);
 }
 
-// All entries are killed at once, and are back half a second later.
+// All entries are killed at once and restarted 600 ms later.
 TEST_CASE("fleet_killed_at_once_serves_again_within_two_seconds")
 {
     for (const std::size_t entries : {34U, 86U}) {
@@ -118,8 +118,8 @@
     }
 }
 
-// A fleet that shrinks until each entry places by itself goes on keeping a part
-// for those that are gone.
+// Failure guarded against: a fleet shrinks until each entry dispatches by
+// itself, and goes on reserving a share of the limit for the removed entries.
 TEST_CASE("fleet_that_shrinks_keeps_nothing_for_those_that_are_gone")
 {
     fleet_plan plan;
@@ -131,8 +131,8 @@
     CHECK(run_plan(plan).reserved_for_absent == 0);
 }
 
-// Dispatchers and others come and go in any way, with one workspace at 0.3 to 3
-// times its limit: no window of the operator's holds more than is tolerated.
+// Dispatchers and members come and go at random, with one workspace at 0.3 to 3
+// times its limit: no usage window holds more than is tolerated.
 TEST_CASE("random_changes_of_dispatchers_keep_every_window")
 {
     constexpr std::uint64_t seeds = 8;
@@ -144,8 +144,8 @@
     }
 }
 
-// Two parts of a data centre that can't hear each other, or dispatchers that
-// all stood still, give out a limit twice.
+// Failure guarded against: two partitioned halves of a data centre, or
+// dispatchers that were all frozen, each grant the whole limit.
 TEST_CASE("two_dispatchers_of_a_data_centre_keep_one_limit")
 {
     for (const std::uint64_t seed : {148U, 151U, 188U, 1044U}) {
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
@@ -63,8 +63,6 @@
     return out ? nullptr : one;
 }
 
-// ---- Entries ----------------------------------------------------------------
-
 settings virtual_fleet::settings_of(std::size_t number) const
 {
     settings out;
@@ -80,7 +78,8 @@
     out.peer_port = 1;
     for (std::size_t seed = 0; seed < seeds; ++seed)
         out.seeds.push_back({address_of(seed * 7 % this->plan.entries), 1});
-    // The first of each data centre is the strongest.
+    // The first entry of each data centre is the strongest, and at first its
+    // dispatcher.
     out.processors = number < this->plan.data_centres ? 0.5 : 0.12;
     return out;
 }
@@ -118,8 +117,6 @@
     fresh.protocol->schedule_gossip();
 }
 
-// ---- Messages ---------------------------------------------------------------
-
 void virtual_fleet::send(gossip::ipv4_address from,
                          gossip::ipv4_address to,
                          std::string_view bytes)
@@ -156,8 +153,6 @@
     }
 }
 
-// ---- The run ----------------------------------------------------------------
-
 void virtual_fleet::step(node& one)
 {
     if (one.frozen_until > this->now)
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
@@ -1,6 +1,7 @@
-// Entries in several data centres in virtual time: the real messages between
-// them over a network that delays and cuts, and processes that are stopped,
-// killed, frozen and started again. What the entries serve is the owner's.
+// A simulated fleet of entries in several data centres, in virtual time. The
+// messages between entries are the real ones, over a simulated network with
+// latency, datagram loss and partitions; entries are stopped, killed, frozen
+// and restarted. The owner provides what the entries do, through hooks.
 #pragma once
 
 #include <greengagedrum/dispatch/member_request_table.hpp>
@@ -14,35 +15,37 @@
 namespace greengagedrum::entry::fleet_test
 {
 
-// The address of the entry of number 0; the others follow.
+// Address of the entry with number 0; the others follow.
 inline constexpr gossip::ipv4_address first_address = 0x0a000001; // 10.0.0.1
 
 struct fault_plan {
     std::size_t entries = 86;
     std::size_t data_centres = 4;
     double seconds = 30;
-    base::duration restart_gap{0}; // all entries restarted, one after the other
+    base::duration restart_gap{0}; // between rolling restarts; 0: none
     double restarts_from = 12;     // seconds
-    // The dispatchers of the data centres, killed or frozen for so long.
+    // Times, in seconds, at which all dispatchers are killed or frozen, and the
+    // length of a freeze.
     std::vector<double> killed_at;
     std::vector<double> frozen_at;
     double frozen_for = 5;
-    // All are killed at once, and are back half a second later.
+    // All entries are killed at once, and are restarted 600 ms later.
     double all_killed_at = 1e9;
-    // Half of the entries of the first data centre, its dispatcher with them.
+    // Network partition: half of the entries of the first data centre, with its
+    // dispatcher, are separated from all others.
     double cut_from = 1e9;
     double cut_for = 10;
-    // All but the first few are gone for good.
+    // All but the first `remaining_entries` are removed for good.
     double shrinks_at = 1e9;
     std::size_t remaining_entries = 0;
-    double lost_share = 0; // of all datagrams
+    double lost_share = 0; // share of all datagrams
     std::uint64_t seed = 1;
 };
 
 class virtual_fleet
 {
 public:
-    // One process.
+    // One process of an entry.
     struct node {
         explicit node(base::instant now);
 
@@ -56,11 +59,12 @@
     };
 
     struct hooks {
-        // A process starts: what it is to know, and what it does for its link.
+        // Configures the state of a process that starts, and makes the
+        // callbacks for its peer_protocol.
         std::function<void(node&)> configure;
         std::function<peer_events(node&)> events;
         std::function<void(node&)> after_step = [](node&) {};
-        // It is about to be gone.
+        // Called before the process stops.
         std::function<void(node&)> before_stop = [](node&) {};
     };
 
@@ -69,19 +73,20 @@
     virtual_fleet(const virtual_fleet&) = delete;
     virtual_fleet& operator=(const virtual_fleet&) = delete;
 
-    // Starts all entries.
     void start();
-    // Lets five milliseconds pass.
+    // Advances virtual time by 5 ms.
     void step();
 
     std::size_t size() const { return this->nodes.size(); }
-    // Null while it is down.
+    // Null while the entry is down.
     node* at(std::size_t number) { return this->nodes[number].get(); }
-    // Null also while the balancer leaves it out.
+    // Null also while the load balancer sends the entry no requests: while it
+    // stops or is frozen.
     node* serving(std::size_t number);
     base::instant time() const { return this->now; }
     double seconds() const;
-    std::uint64_t busiest_bytes() const; // of one entry, in all
+    // Sent by the busiest entry over the whole run.
+    std::uint64_t busiest_bytes() const;
 
 private:
     struct datagram {
@@ -108,11 +113,12 @@
     hooks owner_hooks;
     base::instant started_at;
     base::instant now;
-    std::vector<std::unique_ptr<node>> nodes; // null: it is down
-    std::vector<base::instant> restart_at;    // of those that are down
+    std::vector<std::unique_ptr<node>> nodes; // null: down
+    // Restart times of entries that are down.
+    std::vector<base::instant> restart_at;
     std::deque<datagram> near_queue;
     std::deque<datagram> far_queue;
-    std::vector<std::uint64_t> sent_bytes; // by entry
+    std::vector<std::uint64_t> sent_bytes; // by entry number
     std::size_t next_restart = 0;
     std::size_t next_killed = 0;
     std::size_t next_frozen = 0;
--- a/src/greengagedrum/entry/test/dispatch_test.cpp
+++ b/src/greengagedrum/entry/test/dispatch_test.cpp
@@ -1,5 +1,5 @@
-// An entry among many, whose requests a dispatcher places: the test plays the
-// dispatcher by datagrams.
+// An entry of a large fleet whose requests a dispatcher dispatches. The test
+// sends the dispatcher's datagrams.
 #include <greengagedrum/entry/test/entry_fixture.hpp>
 #include <greengagedrum/gossip/message.hpp>
 
@@ -18,7 +18,8 @@
 using decision = std::function<void(const dispatch::slot_request&,
                                     dispatch::dispatcher_reply&)>;
 
-// The strongest entry of the data centre, at another address of loopback.
+// A fake dispatcher: the strongest entry of the data centre, at another
+// loopback address.
 class fake_dispatcher
 {
 public:
@@ -125,8 +126,8 @@
     }
 };
 
-// One of 42 parts, for the entry, the dispatcher and the others, is 285 tokens:
-// a request costs 200.
+// The entry's share of the limit is one of 42, for itself, the dispatcher and
+// the 40 others: 285 tokens. A request costs 200.
 struct scarce_member_fixture : member_fixture {
     scarce_member_fixture() : member_fixture(12'000) {}
 };
@@ -140,8 +141,8 @@
 
 } // namespace
 
-// A caller gets its answer though its entry decides nothing: the place comes
-// from the dispatcher, and the limit is counted there.
+// A member decides nothing itself: the dispatcher grants the slot and charges
+// the limit.
 TEST_CASE_FIXTURE(member_fixture, "member_sends_where_its_dispatcher_says")
 {
     std::atomic<int> uncounted{0};
@@ -158,8 +159,8 @@
     this->stop_sending();
 }
 
-// A workspace is beyond its limit over all entries, which only the dispatcher
-// knows. The caller is told when to come back.
+// The workspace is over its limit across all entries, which only the dispatcher
+// knows. The refusal tells the caller when to retry.
 TEST_CASE_FIXTURE(member_fixture, "limit_counted_by_the_dispatcher_refuses")
 {
     this->begin_and_wait([](const dispatch::slot_request& wanted,
@@ -175,8 +176,9 @@
     this->stop_sending();
 }
 
-// The dispatcher dies with a caller's request in its book. The entry places it
-// by itself within a second, since no other one answers.
+// The dispatcher dies while it holds a request of the member. No other
+// dispatcher answers, so the member dispatches the request by itself within a
+// second.
 TEST_CASE_FIXTURE(member_fixture, "request_outlives_its_dispatcher")
 {
     this->begin_and_wait(
@@ -193,10 +195,10 @@
     CHECK(this->received_requests().size() == 1);
 }
 
-// Three requests wait for a dispatcher that dies, and of the workspace's limit
-// the entry has a part that holds one. All three are counted before any of them
-// is sent: a place that falls free to one that is not counted yet would be
-// beyond the limit.
+// Three requests wait for a dispatcher that dies, and the entry's share of the
+// limit holds one. Failure guarded against: a slot falls free to a request that
+// is not charged yet, and the limit is exceeded. So all three are charged
+// before any is sent.
 TEST_CASE_FIXTURE(scarce_member_fixture, "requests_left_over_are_counted_first")
 {
     constexpr int callers = 3;
