--- a/src/greengagedrum/entry/exchange.cpp
+++ b/src/greengagedrum/entry/exchange.cpp
@@ -84,7 +84,7 @@
     const auto self = this->shared_from_this();
     out.not_connected = [self] {
         self->call.reset();
-        self->report_outcome("no connection");
+        self->report_outcome("connection failed");
         self->events.on_event(
             traffic::connect_failed{self->request.id, self->send_number});
     };
@@ -127,15 +127,15 @@
     const platform::answer_marks marks =
         platform::read_answer_marks(this->answer);
     if (marks.attempt != this->request.marks.attempt)
-        return "the answer is another request's";
+        return "response carries the id of another request";
     const bool success = this->answer.status >= relay::status_ok &&
                          this->answer.status < first_redirect;
     if (success && !marks.has_signature)
-        return "a success without the upstream's signature";
+        return "successful response without the upstream's signature";
     // No encoding was requested, so the response does not come from the
     // upstream.
     if (relay::find_header(this->answer.headers, "Content-Encoding"))
-        return "an encoded body";
+        return "response body has an unexpected Content-Encoding";
     return {};
 }
 
@@ -223,8 +223,9 @@
     const bool of_other_request =
         !marks.attempt.empty() && marks.attempt != this->request.marks.attempt;
     if ((misdirected || marks.not_run) && !of_other_request) {
-        this->report_outcome(misdirected ? "another upstream answers there"
-                                         : "turned away");
+        this->report_outcome(misdirected
+                                 ? "another upstream answers at this address"
+                                 : "rejected by the upstream");
         this->events.on_event(
             traffic::send_rejected{this->request.id,
                                    this->send_number,
--- a/src/greengagedrum/entry/fleet_test/limited_fleet_test.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet_test.cpp
@@ -21,7 +21,7 @@
             got.asked,
             ", unanswered ",
             got.unanswered,
-            ", let through ",
+            ", admitted ",
             got.admitted_share,
             " of the limit, window ",
             got.peak_window_share,
@@ -82,7 +82,7 @@
 
 // All dispatchers are killed, and the entries that replaced them four seconds
 // later.
-TEST_CASE("two_dispatchers_killed_within_a_window_cost_little")
+TEST_CASE("dispatchers_killed_twice_in_a_window_refuse_little")
 {
     fleet_plan plan;
     plan.killed_at = {15, 19};
@@ -90,7 +90,7 @@
 }
 
 // All dispatchers are frozen for five seconds and resume with outdated state.
-TEST_CASE("dispatchers_frozen_and_back_cost_little")
+TEST_CASE("dispatchers_resumed_after_freeze_refuse_little")
 {
     fleet_plan plan;
     plan.frozen_at = {15};
@@ -98,7 +98,7 @@
 }
 
 // A network partition separates one dispatcher and half of its members.
-TEST_CASE("dispatcher_cut_off_with_half_of_its_members_keeps_the_limit")
+TEST_CASE("dispatcher_partitioned_with_half_its_members_keeps_the_limit")
 {
     fleet_plan plan;
     plan.cut_from = 15;
@@ -106,7 +106,7 @@
 }
 
 // All entries are killed at once and restarted 600 ms later.
-TEST_CASE("fleet_killed_at_once_serves_again_within_two_seconds")
+TEST_CASE("fleet_killed_at_once_refuses_little_after_restart")
 {
     for (const std::size_t entries : {34U, 86U}) {
         fleet_plan plan;
@@ -120,7 +120,7 @@
 
 // Failure guarded against: a fleet shrinks until each entry dispatches by
 // itself, and goes on reserving a share of the limit for the removed entries.
-TEST_CASE("fleet_that_shrinks_keeps_nothing_for_those_that_are_gone")
+TEST_CASE("shrunk_fleet_reserves_nothing_for_removed_entries")
 {
     fleet_plan plan;
     plan.entries = 34;
@@ -133,7 +133,7 @@
 
 // Dispatchers and members come and go at random, with one workspace at 0.3 to 3
 // times its limit: no usage window holds more than is tolerated.
-TEST_CASE("random_changes_of_dispatchers_keep_every_window")
+TEST_CASE("random_faults_keep_usage_within_every_window")
 {
     constexpr std::uint64_t seeds = 8;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.cpp
@@ -105,7 +105,7 @@
                          const std::string&,
                          base::duration,
                          const relay::http_get::answer& on_answer) {
-        on_answer(tl::unexpected(std::string("not played")));
+        on_answer(tl::unexpected(std::string("not simulated")));
     };
     fresh.protocol = std::make_unique<peer_protocol>(
         this->settings_of(number),
--- a/src/greengagedrum/entry/peer_protocol.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -362,7 +362,9 @@
                 "peers",
                 "peer_gave_no_items",
                 {{"peer", to.ip},
-                 {"why", got ? std::string("status or bytes") : got.error()}});
+                 {"why",
+                  got ? std::string("unexpected status or undecodable items")
+                      : got.error()}});
         });
 }
 
--- a/src/greengagedrum/entry/test/dispatch_test.cpp
+++ b/src/greengagedrum/entry/test/dispatch_test.cpp
@@ -143,7 +143,8 @@
 
 // A member decides nothing itself: the dispatcher grants the slot and charges
 // the limit.
-TEST_CASE_FIXTURE(member_fixture, "member_sends_where_its_dispatcher_says")
+TEST_CASE_FIXTURE(member_fixture,
+                  "member_with_dispatcher_sends_to_granted_upstream")
 {
     std::atomic<int> uncounted{0};
     this->begin_and_wait([&uncounted](const dispatch::slot_request& wanted,
@@ -161,7 +162,8 @@
 
 // The workspace is over its limit across all entries, which only the dispatcher
 // knows. The refusal tells the caller when to retry.
-TEST_CASE_FIXTURE(member_fixture, "limit_counted_by_the_dispatcher_refuses")
+TEST_CASE_FIXTURE(member_fixture,
+                  "request_denied_by_dispatcher_gets_429_and_retry_after")
 {
     this->begin_and_wait([](const dispatch::slot_request& wanted,
                             dispatch::dispatcher_reply& into) {
@@ -179,7 +181,8 @@
 // The dispatcher dies while it holds a request of the member. No other
 // dispatcher answers, so the member dispatches the request by itself within a
 // second.
-TEST_CASE_FIXTURE(member_fixture, "request_outlives_its_dispatcher")
+TEST_CASE_FIXTURE(member_fixture,
+                  "request_of_dead_dispatcher_is_dispatched_by_member")
 {
     this->begin_and_wait(
         [](const dispatch::slot_request&, dispatch::dispatcher_reply&) {});
@@ -199,7 +202,8 @@
 // limit holds one. Failure guarded against: a slot falls free to a request that
 // is not charged yet, and the limit is exceeded. So all three are charged
 // before any is sent.
-TEST_CASE_FIXTURE(scarce_member_fixture, "requests_left_over_are_counted_first")
+TEST_CASE_FIXTURE(scarce_member_fixture,
+                  "requests_of_dead_dispatcher_are_charged_before_any_is_sent")
 {
     constexpr int callers = 3;
     std::atomic<int> seen{0};
--- a/src/greengagedrum/entry/test/limit_test.cpp
+++ b/src/greengagedrum/entry/test/limit_test.cpp
@@ -65,7 +65,7 @@
 
 // Peers count the usage that an entry admits. A request counts as waiting until
 // it is sent, and as used from then on.
-TEST_CASE_FIXTURE(limit_fixture, "cost_is_told_as_used_once_a_request_is_sent")
+TEST_CASE_FIXTURE(limit_fixture, "request_once_sent_is_reported_as_used")
 {
     auto asked = this->client();
     REQUIRE(asked.Get("/again/", headers()));
@@ -78,7 +78,7 @@
 // Callers disconnect while their requests wait for a slot. These requests were
 // never sent, so their cost is refunded to the workspace. Otherwise a burst of
 // impatient callers would use up its whole limit without any response.
-TEST_CASE_FIXTURE(limit_fixture, "cost_of_a_caller_that_left_the_queue_is_free")
+TEST_CASE_FIXTURE(limit_fixture, "request_of_disconnected_caller_is_refunded")
 {
     constexpr std::uint64_t slots = 5;
     std::atomic<bool> answer{false};
--- a/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
+++ b/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
@@ -75,7 +75,7 @@
 // Its usage counts once, so the workspace's next request is within the limit
 // and is answered.
 TEST_CASE_FIXTURE(replaced_dispatcher_fixture,
-                  "dispatcher_that_stops_is_counted_once_by_others")
+                  "dispatcher_stopping_with_successor_is_counted_once")
 {
     const auto third = static_cast<std::uint32_t>(3 * limit_per_second);
     for (int message = 0; message < 50; ++message) {
