--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -103,9 +103,9 @@
     out.items_received = [](const gossip::item_transfer&) {};
     out.delegation_started = [this, &process] {
         process.state.delegating = true;
-        const dispatch::request_changes news =
+        const dispatch::request_changes changes =
             this->state_of(process).book.remove_all_members();
-        for (const dispatch::limit_charge& cost : news.released_charges)
+        for (const dispatch::limit_charge& cost : changes.released_charges)
             process.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
     };
@@ -119,8 +119,8 @@
         this->on_reply(process, what);
     };
     out.report_received = [this, &process](base::slot_id member,
-                                           const gossip::message& told) {
-        this->on_report(process, member, told);
+                                           const gossip::message& received) {
+        this->on_report(process, member, received);
     };
     out.member_lost = [this, &process](base::slot_id member) {
         for (const dispatch::limit_charge& cost :
@@ -209,15 +209,15 @@
 
 void limited_fleet::on_report(node& dispatcher,
                               base::slot_id member,
-                              const gossip::message& told)
+                              const gossip::message& received)
 {
     quota::usage_limiter& limiter = dispatcher.state.limiter;
     dispatch::member_request_table& book = this->state_of(dispatcher).book;
-    const dispatch::request_changes news = book.on_report(
-        member, told.incarnation, told.report, told.upstream_uses);
-    for (const dispatch::limit_charge& cost : news.released_charges)
+    const dispatch::request_changes changes = book.on_report(
+        member, received.incarnation, received.report, received.upstream_uses);
+    for (const dispatch::limit_charge& cost : changes.released_charges)
         limiter.refund_unsent(cost.workspace, cost.amount, this->fleet.time());
-    for (const auto& [id, wanted] : news.new_requests) {
+    for (const auto& [id, wanted] : changes.new_requests) {
         const auto over = limiter.try_acquire(
             busy_workspace, wanted.cost, 0, this->fleet.time());
         if (over) {
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
@@ -77,7 +77,7 @@
     void on_request(node& at, double cost);
     void on_report(node& dispatcher,
                    base::slot_id member,
-                   const gossip::message& told);
+                   const gossip::message& received);
     void on_reply(node& member, const dispatch::dispatcher_reply& what);
     void
     dispatch_alone(node& one, std::size_t unheard, const limit_handover* known);
--- a/src/greengagedrum/entry/peer_protocol.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -123,16 +123,16 @@
                               {{"from", from}, {"bytes", bytes.size()}});
         return;
     }
-    const gossip::peer_update news = this->table.on_message(*message, now);
-    if (news == gossip::peer_update::outdated)
+    const gossip::peer_update update = this->table.on_message(*message, now);
+    if (update == gossip::peer_update::outdated)
         return;
     this->election.on_message(*message, now);
-    if (news != gossip::peer_update::none)
+    if (update != gossip::peer_update::none)
         this->state.log.write(
             now,
             "peers",
-            news == gossip::peer_update::found ? "peer_found"
-                                               : "peer_restarted",
+            update == gossip::peer_update::found ? "peer_found"
+                                                 : "peer_restarted",
             {{"peer", message->instance},
              {"config_revision", message->configuration_revision},
              {"store_revision", message->store_revision}});
@@ -161,7 +161,7 @@
     case gossip::message_kind::dispatcher_query_reply:
         break;
     }
-    if (news != gossip::peer_update::none)
+    if (update != gossip::peer_update::none)
         this->update_role(now);
     if (this->uses_dispatchers && this->dispatcher == message->address)
         return this->sync_with_dispatcher(*message, now);
@@ -250,7 +250,8 @@
     return out;
 }
 
-gossip::message peer_protocol::make_load_message(gossip::recipient_group who)
+gossip::message
+peer_protocol::make_load_message(gossip::recipient_group recipients)
 {
     const base::instant now = this->state.clock();
     gossip::message out = this->make_message(
@@ -259,12 +260,12 @@
     out.upstream_uses = this->state.scheduler.own_load(now);
     out.waiting_by_service = this->state.scheduler.own_queue_reports(now);
     out.workspace_uses = this->state.limiter.own_usage(now);
-    out.known_entries = this->table.select_known_entries(who, now);
-    out.suspects =
-        this->suspects_to_send(who == gossip::recipient_group::own_data_centre
-                                   ? this->near_suspects_sent_at
-                                   : this->far_suspects_sent_at,
-                               now);
+    out.known_entries = this->table.select_known_entries(recipients, now);
+    out.suspects = this->suspects_to_send(
+        recipients == gossip::recipient_group::own_data_centre
+            ? this->near_suspects_sent_at
+            : this->far_suspects_sent_at,
+        now);
     return out;
 }
 
@@ -273,23 +274,24 @@
     const base::instant now = this->state.clock();
     if (this->uses_dispatchers)
         return this->send_due_with_dispatchers(now);
-    for (const gossip::recipient_group who :
+    for (const gossip::recipient_group recipients :
          {gossip::recipient_group::own_data_centre,
           gossip::recipient_group::other_data_centres}) {
-        if (this->schedule.is_due(who, now))
-            this->send_load(who);
+        if (this->schedule.is_due(recipients, now))
+            this->send_load(recipients);
     }
 }
 
-void peer_protocol::send_load(gossip::recipient_group who)
+void peer_protocol::send_load(gossip::recipient_group recipients)
 {
     const base::instant now = this->state.clock();
-    this->schedule.on_sent(who, now);
+    this->schedule.on_sent(recipients, now);
     const std::vector<gossip::ipv4_address> to_tell =
-        this->table.select_recipients(who, now);
+        this->table.select_recipients(recipients, now);
     if (to_tell.empty())
         return;
-    const std::string bytes = gossip::encode(this->make_load_message(who));
+    const std::string bytes =
+        gossip::encode(this->make_load_message(recipients));
     for (const gossip::ipv4_address address : to_tell)
         this->transport.send(bytes, address);
 }
--- a/src/greengagedrum/entry/peer_protocol.hpp
+++ b/src/greengagedrum/entry/peer_protocol.hpp
@@ -104,10 +104,10 @@
 
 private:
     void send_due();
-    void send_load(gossip::recipient_group who);
+    void send_load(gossip::recipient_group recipients);
     void set_timer();
     gossip::message make_message(gossip::message_kind kind);
-    gossip::message make_load_message(gossip::recipient_group who);
+    gossip::message make_load_message(gossip::recipient_group recipients);
 
     void merge_suspects(const gossip::message& received, base::instant now);
     std::vector<quarantine::suspect_report>
--- a/src/greengagedrum/entry/peer_sending.cpp
+++ b/src/greengagedrum/entry/peer_sending.cpp
@@ -71,9 +71,9 @@
     if (heartbeat_due)
         this->heartbeat_at = now;
     if (this->state.delegating) {
-        const bool news =
+        const bool changed =
             this->schedule.is_due(recipient_group::own_data_centre, now);
-        if (news || this->is_report_overdue(now)) {
+        if (changed || this->is_report_overdue(now)) {
             this->schedule.on_sent(recipient_group::own_data_centre, now);
             this->send_report(now);
         }
@@ -171,7 +171,7 @@
     const std::vector<gossip::known_entry> known =
         this->election.select_known_entries(
             base::data_centre_id(this->own_settings.data_centre), now);
-    const std::vector<gossip::ipv4_address> next =
+    const std::vector<gossip::ipv4_address> standby =
         this->election.standby_entries(now);
     const auto suspects =
         this->suspects_to_send(this->member_suspects_sent_at, now);
@@ -182,7 +182,8 @@
         out.known_entries = known;
         out.suspects = suspects;
         out.reply = this->events.make_reply(slot);
-        if (std::find(next.begin(), next.end(), one.address) != next.end())
+        if (std::find(standby.begin(), standby.end(), one.address) !=
+            standby.end())
             out.workspace_uses = this->state.limiter.window_usage(now);
         this->transport.send(gossip::encode(out), one.address);
     }
--- a/src/greengagedrum/entry/test/dispatch_test.cpp
+++ b/src/greengagedrum/entry/test/dispatch_test.cpp
@@ -89,14 +89,15 @@
                 relay::asio::buffer(this->buffer), 0, fault);
             if (fault)
                 return;
-            const auto told =
+            const auto received =
                 gossip::decode_message({this->buffer.data(), count});
-            if (!told || told->kind != gossip::message_kind::report)
+            if (!received || received->kind != gossip::message_kind::report)
                 continue;
             this->reports += 1;
             into = {};
-            into.acked_report = told->report.sequence;
-            for (const dispatch::slot_request& one : told->report.slot_requests)
+            into.acked_report = received->report.sequence;
+            for (const dispatch::slot_request& one :
+                 received->report.slot_requests)
                 this->decide(one, into);
         }
     }
--- a/src/greengagedrum/entry/test/limit_test.cpp
+++ b/src/greengagedrum/entry/test/limit_test.cpp
@@ -38,10 +38,10 @@
                 std::this_thread::sleep_for(10ms);
                 continue;
             }
-            const auto told =
+            const auto received =
                 gossip::decode_message({this->buffer.data(), count});
-            REQUIRE(told);
-            for (const quota::workspace_usage& one : told->workspace_uses) {
+            REQUIRE(received);
+            for (const quota::workspace_usage& one : received->workspace_uses) {
                 if (matches(one))
                     return true;
             }
--- a/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
+++ b/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
@@ -47,10 +47,10 @@
         return out;
     }
 
-    void send(const gossip::message& told)
+    void send(const gossip::message& sent)
     {
         this->socket.send_to(
-            relay::asio::buffer(gossip::encode(told)),
+            relay::asio::buffer(gossip::encode(sent)),
             {relay::asio::ip::make_address("127.0.0.1"), this->port()});
     }
 
