--- a/src/greengagedrum/entry/peer_sending.cpp
+++ b/src/greengagedrum/entry/peer_sending.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Interval of messages to receivers for which there is no news.
+// Interval of messages that are sent although nothing has changed.
 constexpr base::duration heartbeat_interval = std::chrono::milliseconds(100);
 
 // Entries that may have restarted are sent a dispatcher query, a few at a time:
