--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -104,7 +104,7 @@
     out.delegation_started = [this, &process] {
         process.state.delegating = true;
         const dispatch::request_changes changes =
-            this->state_of(process).book.remove_all_members();
+            this->state_of(process).member_requests.remove_all_members();
         for (const dispatch::limit_charge& cost : changes.released_charges)
             process.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
@@ -115,8 +115,8 @@
     };
     out.make_report = [this, &process] { return this->make_report(process); };
     out.reply_received = [this,
-                          &process](const dispatch::dispatcher_reply& what) {
-        this->on_reply(process, what);
+                          &process](const dispatch::dispatcher_reply& reply) {
+        this->on_reply(process, reply);
     };
     out.report_received = [this, &process](base::slot_id member,
                                            const gossip::message& received) {
@@ -125,18 +125,18 @@
     out.member_lost = [this, &process](base::slot_id member) {
         for (const dispatch::limit_charge& cost :
              this->state_of(process)
-                 .book.remove_member(member)
+                 .member_requests.remove_member(member)
                  .released_charges)
             process.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
     };
     out.members_awaiting_reply = [this, &process] {
-        return this->state_of(process).book.members_to_answer(
+        return this->state_of(process).member_requests.members_to_answer(
             this->fleet.time());
     };
     out.make_reply = [this, &process](base::slot_id member) {
-        return this->state_of(process).book.build_reply(member,
-                                                        this->fleet.time());
+        return this->state_of(process).member_requests.build_reply(
+            member, this->fleet.time());
     };
     return out;
 }
@@ -212,32 +212,33 @@
                               const gossip::message& received)
 {
     quota::usage_limiter& limiter = dispatcher.state.limiter;
-    dispatch::member_request_table& book = this->state_of(dispatcher).book;
-    const dispatch::request_changes changes = book.on_report(
+    dispatch::member_request_table& member_requests =
+        this->state_of(dispatcher).member_requests;
+    const dispatch::request_changes changes = member_requests.on_report(
         member, received.incarnation, received.report, received.upstream_uses);
     for (const dispatch::limit_charge& cost : changes.released_charges)
         limiter.refund_unsent(cost.workspace, cost.amount, this->fleet.time());
     for (const auto& [id, wanted] : changes.new_requests) {
-        const auto over = limiter.try_acquire(
+        const auto retry_after = limiter.try_acquire(
             busy_workspace, wanted.cost, 0, this->fleet.time());
-        if (over) {
-            book.on_declined(id,
-                             base::not_run(base::reason::limit_reached, *over));
+        if (retry_after) {
+            member_requests.on_declined(
+                id, base::not_run(base::reason::limit_reached, *retry_after));
             continue;
         }
         traffic::send_request order;
         order.request = id;
         order.send = 1;
         order.upstream = base::upstream_id("any");
-        book.on_granted(order);
+        member_requests.on_granted(order);
         limiter.on_sent(busy_workspace, wanted.cost, this->fleet.time());
     }
 }
 
 void limited_fleet::on_reply(node& member,
-                             const dispatch::dispatcher_reply& what)
+                             const dispatch::dispatcher_reply& reply)
 {
-    for (const dispatch::slot_grant& one : what.grants) {
+    for (const dispatch::slot_grant& one : reply.grants) {
         const auto found =
             this->state_of(member).requests.find(one.id.request.value);
         if (found == this->state_of(member).requests.end())
@@ -245,7 +246,7 @@
         this->admit(found->second.cost);
         this->state_of(member).requests.erase(found);
     }
-    for (const dispatch::slot_denial& one : what.denials) {
+    for (const dispatch::slot_denial& one : reply.denials) {
         if (this->state_of(member).requests.erase(one.id.request.value) > 0)
             this->result.refused += 1;
     }
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
@@ -59,7 +59,7 @@
 
     // The requests and grants of one entry.
     struct process_state {
-        dispatch::member_request_table book;
+        dispatch::member_request_table member_requests;
         std::map<std::uint64_t, waiting_request> requests;
         bool was_delegating = false;
     };
@@ -78,7 +78,7 @@
     void on_report(node& dispatcher,
                    base::slot_id member,
                    const gossip::message& received);
-    void on_reply(node& member, const dispatch::dispatcher_reply& what);
+    void on_reply(node& member, const dispatch::dispatcher_reply& reply);
     void
     dispatch_alone(node& one, std::size_t unheard, const limit_handover* known);
     dispatch::member_report make_report(const node& member);
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -14,16 +14,17 @@
     for (auto& [id, request] : this->requests) {
         if (request.sent_at)
             continue;
-        const auto over = this->state.limiter.try_acquire(request.workspace,
-                                                          request.cost,
-                                                          request.priority,
-                                                          this->state.clock());
-        request.counted_here = !over;
-        if (!over)
+        const auto retry_after =
+            this->state.limiter.try_acquire(request.workspace,
+                                            request.cost,
+                                            request.priority,
+                                            this->state.clock());
+        request.counted_here = !retry_after;
+        if (!retry_after)
             continue;
         this->log_over_limit(
-            request.workspace, request.cost, request.priority, *over);
-        over_limit.emplace_back(id, *over);
+            request.workspace, request.cost, request.priority, *retry_after);
+        over_limit.emplace_back(id, *retry_after);
     }
     for (const auto& [id, retry_after] : over_limit)
         this->refuse_waiting_request(id, retry_after);
