--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -13,16 +13,16 @@
     for (auto& [id, request] : this->requests) {
         if (request.sent_at)
             continue;
-        const auto over = this->state.limiter.try_acquire(request.workspace,
+        const auto retry_after = this->state.limiter.try_acquire(request.workspace,
                                                           request.cost,
                                                           request.priority,
                                                           this->state.clock());
-        request.counted_here = !over;
-        if (!over)
+        request.counted_here = !retry_after;
+        if (!retry_after)
             continue;
         this->log_over_limit(
-            request.workspace, request.cost, request.priority, *over);
-        over_limit.emplace_back(id, *over);
+            request.workspace, request.cost, request.priority, *retry_after);
+        over_limit.emplace_back(id, *retry_after);
     }
     for (const auto& [id, retry_after] : over_limit)
         this->refuse_queued_request(id, retry_after);
--- a/src/greengagedrum/entry/test/dispatch_test.cpp
+++ b/src/greengagedrum/entry/test/dispatch_test.cpp
@@ -1,5 +1,5 @@
-// An entry among many, whose requests a dispatcher places: the test plays the
-// dispatcher by datagrams.
+// An entry of a large fleet whose requests a dispatcher dispatches. The test
+// sends the dispatcher's datagrams.
 #include <greengagedrum/entry/test/entry_fixture.hpp>
 #include <greengagedrum/gossip/message.hpp>
 
@@ -18,7 +18,8 @@
 using decision = std::function<void(const dispatch::slot_request&,
                                     dispatch::dispatcher_reply&)>;
 
-// The strongest entry of the data centre, at another address of loopback.
+// A fake dispatcher: the strongest entry of the data centre, at another
+// loopback address.
 class fake_dispatcher
 {
 public:
@@ -88,14 +89,15 @@
                 relay::asio::buffer(this->buffer), 0, fault);
             if (fault)
                 return;
-            const auto told =
+            const auto received =
                 gossip::decode_message({this->buffer.data(), count});
-            if (!told || told->kind != gossip::message_kind::report)
+            if (!received || received->kind != gossip::message_kind::report)
                 continue;
             this->reports += 1;
             into = {};
-            into.acked_report = told->report.sequence;
-            for (const dispatch::slot_request& one : told->report.slot_requests)
+            into.acked_report = received->report.sequence;
+            for (const dispatch::slot_request& one :
+                 received->report.slot_requests)
                 this->decide(one, into);
         }
     }
@@ -125,8 +127,8 @@
     }
 };
 
-// One of 42 parts, for the entry, the dispatcher and the others, is 285 tokens:
-// a request costs 200.
+// The entry's share of the limit is one of 42, for itself, the dispatcher and
+// the 40 others: 285 tokens. A request costs 200.
 struct scarce_member_fixture : member_fixture {
     scarce_member_fixture() : member_fixture(12'000) {}
 };
@@ -140,9 +142,10 @@
 
 } // namespace
 
-// A caller gets its answer though its entry decides nothing: the place comes
-// from the dispatcher, and the limit is counted there.
-TEST_CASE_FIXTURE(member_fixture, "member_sends_where_its_dispatcher_says")
+// A member decides nothing itself: the dispatcher grants the slot and charges
+// the limit.
+TEST_CASE_FIXTURE(member_fixture,
+                  "member_with_dispatcher_sends_to_granted_upstream")
 {
     std::atomic<int> uncounted{0};
     this->begin_and_wait([&uncounted](const dispatch::slot_request& wanted,
@@ -158,9 +161,10 @@
     this->stop_sending();
 }
 
-// A workspace is beyond its limit over all entries, which only the dispatcher
-// knows. The caller is told when to come back.
-TEST_CASE_FIXTURE(member_fixture, "limit_counted_by_the_dispatcher_refuses")
+// The workspace is over its limit across all entries, which only the dispatcher
+// knows. The refusal tells the caller when to retry.
+TEST_CASE_FIXTURE(member_fixture,
+                  "request_denied_by_dispatcher_gets_429_and_retry_after")
 {
     this->begin_and_wait([](const dispatch::slot_request& wanted,
                             dispatch::dispatcher_reply& into) {
@@ -175,9 +179,11 @@
     this->stop_sending();
 }
 
-// The dispatcher dies with a caller's request in its book. The entry places it
-// by itself within a second, since no other one answers.
-TEST_CASE_FIXTURE(member_fixture, "request_outlives_its_dispatcher")
+// The dispatcher dies while it holds a request of the member. No other
+// dispatcher answers, so the member dispatches the request by itself within a
+// second.
+TEST_CASE_FIXTURE(member_fixture,
+                  "request_of_dead_dispatcher_is_dispatched_by_member")
 {
     this->begin_and_wait(
         [](const dispatch::slot_request&, dispatch::dispatcher_reply&) {});
@@ -193,11 +199,12 @@
     CHECK(this->received_requests().size() == 1);
 }
 
-// Three requests wait for a dispatcher that dies, and of the workspace's limit
-// the entry has a part that holds one. All three are counted before any of them
-// is sent: a place that falls free to one that is not counted yet would be
-// beyond the limit.
-TEST_CASE_FIXTURE(scarce_member_fixture, "requests_left_over_are_counted_first")
+// Three requests wait for a dispatcher that dies, and the entry's share of the
+// limit holds one. Failure guarded against: a slot falls free to a request that
+// is not charged yet, and the limit is exceeded. So all three are charged
+// before any is sent.
+TEST_CASE_FIXTURE(scarce_member_fixture,
+                  "requests_of_dead_dispatcher_are_charged_before_any_is_sent")
 {
     constexpr int callers = 3;
     std::atomic<int> seen{0};
--- a/src/greengagedrum/entry/test/limit_test.cpp
+++ b/src/greengagedrum/entry/test/limit_test.cpp
@@ -37,10 +37,10 @@
                 std::this_thread::sleep_for(10ms);
                 continue;
             }
-            const auto told =
+            const auto received =
                 gossip::decode_message({this->buffer.data(), count});
-            REQUIRE(told);
-            for (const quota::workspace_usage& one : told->workspace_usage) {
+            REQUIRE(received);
+            for (const quota::workspace_usage& one : received->workspace_usage) {
                 if (matches(one))
                     return true;
             }
@@ -64,7 +64,7 @@
 
 // An entry's peers count what it lets through. A request counts as waiting
 // until it is sent, and as used from then on.
-TEST_CASE_FIXTURE(limit_fixture, "cost_is_told_as_used_once_a_request_is_sent")
+TEST_CASE_FIXTURE(limit_fixture, "request_once_sent_is_reported_as_used")
 {
     auto asked = this->client();
     REQUIRE(asked.Get("/again/", headers()));
@@ -77,7 +77,7 @@
 // Callers leave while their requests wait for a slot. Nothing of these was
 // sent: the workspace may use their cost for others, or an impatient burst
 // would take its whole limit and get nothing for it.
-TEST_CASE_FIXTURE(limit_fixture, "cost_of_a_caller_that_left_the_queue_is_free")
+TEST_CASE_FIXTURE(limit_fixture, "request_of_disconnected_caller_is_refunded")
 {
     constexpr std::uint64_t slots = 5;
     std::atomic<bool> answer{false};
--- a/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
+++ b/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
@@ -46,10 +46,10 @@
         return out;
     }
 
-    void send(const gossip::message& told)
+    void send(const gossip::message& sent)
     {
         this->socket.send_to(
-            relay::asio::buffer(gossip::encode(told)),
+            relay::asio::buffer(gossip::encode(sent)),
             {relay::asio::ip::make_address("127.0.0.1"), this->port()});
     }
 
@@ -74,7 +74,7 @@
 // through counts once: the workspace's next request is within its limit and is
 // answered.
 TEST_CASE_FIXTURE(replaced_dispatcher_fixture,
-                  "dispatcher_that_stops_is_counted_once_by_others")
+                  "dispatcher_stopping_with_successor_is_counted_once")
 {
     const auto third = static_cast<std::uint32_t>(3 * limit_per_second);
     for (int message = 0; message < 50; ++message) {
