--- a/src/greengagedrum/entry/entry.hpp
+++ b/src/greengagedrum/entry/entry.hpp
@@ -84,9 +84,8 @@
     base::instant last_tick;
     base::instant last_timeout_check;
     base::instant last_settings_check;
-    base::duration total_suspended{
-        // Total time the machine was suspended, as of the last tick.
-        0};
+    // Total time the machine was suspended, as of the last tick.
+    base::duration total_suspended{0};
     std::optional<base::instant> pause_detected_at;
     std::optional<base::instant> stop_started_at;
     bool accepting_connections = true;
