--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.hpp
@@ -17,7 +17,7 @@
 
 struct poison_request_plan : fault_plan {
     std::size_t upstreams = 9;
-    // Between poison requests.
+    // Interval between poison requests.
     base::duration poison_interval = std::chrono::milliseconds(700);
     // Copies of the poison request, sent at once to random entries.
     std::size_t copies = 1;
--- a/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/slow_start_fleet.cpp
@@ -13,7 +13,7 @@
 
 const base::upstream_class_id engines("engines");
 constexpr std::uint32_t slots = 50;
-// Between requests at one entry.
+// Interval between requests at one entry.
 constexpr base::duration request_interval = 50ms;
 constexpr base::duration window = 1s;
 
--- a/src/greengagedrum/entry/settings.hpp
+++ b/src/greengagedrum/entry/settings.hpp
@@ -15,13 +15,13 @@
 {
 
 struct bounds {
-    // From SIGTERM to SIGKILL.
+    // Time from SIGTERM to SIGKILL.
     base::duration stop_timeout = std::chrono::seconds(8);
-    // Until a change of the configuration is in force.
+    // Time until a configuration change is in force.
     base::duration configuration_delay = std::chrono::seconds(2);
-    // Until a draining upstream gets no new work.
+    // Time until a draining upstream gets no new work.
     base::duration drain_delay = std::chrono::seconds(2);
-    double retry_ratio = 0.2; // share of a service's requests
+    double retry_ratio = 0.2; // retries per request of a service
     base::duration retry_window = std::chrono::seconds(10);
     double retry_slack = 0; // extra retries in a window, over all entries
     base::duration usage_window = std::chrono::seconds(8);
@@ -30,7 +30,7 @@
     double usage_slack = 0; // extra units beyond that share, over all entries
     double warmup_overshoot = 1; // multiple of a cold upstream's published rate
     double warmup_slack = 0;     // extra requests a second, over all entries
-    // Until an evacuated data centre gets no new work.
+    // Time until an evacuated data centre gets no new work.
     base::duration evacuation_delay = std::chrono::seconds(2);
 
     // The shortest delay allowed for anything that the store publishes.
