--- a/src/greengagedrum/daemon/decision_thread.cpp
+++ b/src/greengagedrum/daemon/decision_thread.cpp
@@ -193,7 +193,7 @@
     this->send_to_peer(what);
 }
 
-void decision_thread::carry_out(const delivery::tell_load& what)
+void decision_thread::carry_out(const delivery::send_load_digest& what)
 {
     this->tell_load(what.digest);
 }
--- a/src/greengagedrum/daemon/decision_thread.hpp
+++ b/src/greengagedrum/daemon/decision_thread.hpp
@@ -73,7 +73,7 @@
     void carry_out(const delivery::end_answered& what);
     void carry_out(const delivery::end_failed& what);
     void carry_out(const delivery::send_claim_message& what);
-    void carry_out(const delivery::tell_load& what);
+    void carry_out(const delivery::send_load_digest& what);
     void direct(base::request_id request, callers::directive what);
     void note_list(const membership::instance_list& list);
     void publish_status();
--- a/src/greengagedrum/delivery/messages.hpp
+++ b/src/greengagedrum/delivery/messages.hpp
@@ -229,7 +229,7 @@
 };
 
 // The load to send to the peers with the next heartbeat.
-struct tell_load {
+struct send_load_digest {
     capacity::load_digest digest;
 };
 
@@ -240,6 +240,6 @@
                             end_failed,
                             assign_ticket,
                             send_claim_message,
-                            tell_load>;
+                            send_load_digest>;
 
 } // namespace greengagedrum::delivery
--- a/src/greengagedrum/delivery/sharing.cpp
+++ b/src/greengagedrum/delivery/sharing.cpp
@@ -108,7 +108,7 @@
 {
     static_cast<void>(what);
     this->out->push_back(
-        tell_load{this->shares.compose(this->own_use(), this->now)});
+        send_load_digest{this->shares.compose(this->own_use(), this->now)});
 }
 
 // Empty until a configuration says which upstreams there are.
--- a/src/greengagedrum/delivery/test/joined_actions.cpp
+++ b/src/greengagedrum/delivery/test/joined_actions.cpp
@@ -129,7 +129,7 @@
 }
 
 // Loads are not part of these runs.
-void joined_entries::carry_out(joined_entry& at, const tell_load& what)
+void joined_entries::carry_out(joined_entry& at, const send_load_digest& what)
 {
     static_cast<void>(at);
     static_cast<void>(what);
--- a/src/greengagedrum/delivery/test/joined_entries.hpp
+++ b/src/greengagedrum/delivery/test/joined_entries.hpp
@@ -117,7 +117,7 @@
     void carry_out(joined_entry& at, const end_failed& what);
     void carry_out(joined_entry& at, const assign_ticket& what);
     void carry_out(joined_entry& at, const send_claim_message& what);
-    static void carry_out(joined_entry& at, const tell_load& what);
+    static void carry_out(joined_entry& at, const send_load_digest& what);
     joined_subject& end(joined_entry& at, base::request_id request);
     base::answer_ptr answer_of(base::dispatch_id dispatch) const;
 
--- a/src/greengagedrum/delivery/test/peer_tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/peer_tiers_test.cpp
@@ -83,7 +83,7 @@
                 at.started.push_back(*start);
             if (const auto* end = std::get_if<end_failed>(&one))
                 at.failed.push_back(*end);
-            if (const auto* told = std::get_if<tell_load>(&one))
+            if (const auto* told = std::get_if<send_load_digest>(&one))
                 at.told = told->digest;
         }
     }
--- a/src/greengagedrum/delivery/test/policy_run.hpp
+++ b/src/greengagedrum/delivery/test/policy_run.hpp
@@ -263,7 +263,7 @@
     void on(const start_resume& done) { static_cast<void>(done); }
     void on(const send_claim_message& done) { static_cast<void>(done); }
 
-    void on(const tell_load& done) { static_cast<void>(done); }
+    void on(const send_load_digest& done) { static_cast<void>(done); }
 
     struct question {
         std::size_t tier = 0;
--- a/src/greengagedrum/delivery/test/random_run.hpp
+++ b/src/greengagedrum/delivery/test/random_run.hpp
@@ -267,7 +267,7 @@
 
     void check(const send_claim_message& done) { static_cast<void>(done); }
 
-    void check(const tell_load& done) { static_cast<void>(done); }
+    void check(const send_load_digest& done) { static_cast<void>(done); }
 
     void end(base::request_id id)
     {
--- a/src/greengagedrum/trace/message_fields.hpp
+++ b/src/greengagedrum/trace/message_fields.hpp
@@ -133,6 +133,6 @@
 
 template <>
 inline constexpr auto fields_of<delivery::tell_load> =
-    std::tuple{named("digest", &delivery::tell_load::digest)};
+    std::tuple{named("digest", &delivery::send_load_digest::digest)};
 
 } // namespace greengagedrum::trace
--- a/src/greengagedrum/trace/test/random_recording.hpp
+++ b/src/greengagedrum/trace/test/random_recording.hpp
@@ -214,7 +214,7 @@
                 this->streams.emplace_back(began->dispatch, began->connection);
             if (const auto* again = std::get_if<delivery::start_resume>(&one))
                 this->streams.emplace_back(again->dispatch, again->connection);
-            if (const auto* told = std::get_if<delivery::tell_load>(&one))
+            if (const auto* told = std::get_if<delivery::send_load_digest>(&one))
                 this->loads_told += told->digest.limits.size();
         }
     }
--- a/src/greengagedrum/trace/test/recorder_test.cpp
+++ b/src/greengagedrum/trace/test/recorder_test.cpp
@@ -151,7 +151,7 @@
                            idempotency::claim_release{4, slot, {}, {}, key}},
         assign_ticket{base::request_id{1},
                       std::get<idempotency::ticket>(ticket)},
-        tell_load{digest}};
+        send_load_digest{digest}};
     for (const action& one : actions)
         check_same(one, action_from);
     for (const event& one : {event(stream_finished{id, whole, 3}),
