--- a/src/greengagedrum/callers/routes.cpp
+++ b/src/greengagedrum/callers/routes.cpp
@@ -4,7 +4,7 @@
 #include <greengagedrum/callers/request_port.hpp>
 #include <greengagedrum/callers/routes.hpp>
 #include <greengagedrum/callers/session.hpp>
-#include <greengagedrum/delivery/unclaimed.hpp>
+#include <greengagedrum/delivery/unclaimed_verdict.hpp>
 #include <greengagedrum/http/current_connection.hpp>
 
 #include <httplib.h>
@@ -45,7 +45,7 @@
     if (!read)
         return write_problem(read.error(), response);
     if (shared.stopping)
-        return write_verdict(delivery::unclaimed(read->arrival,
+        return write_verdict(delivery::unclaimed_verdict(read->arrival,
                                                  base::reason::stopping,
                                                  stopping_hint),
                              response);
--- a/src/greengagedrum/callers/session.cpp
+++ b/src/greengagedrum/callers/session.cpp
@@ -1,7 +1,7 @@
 #include <greengagedrum/callers/answer_writer.hpp>
 #include <greengagedrum/callers/context.hpp>
 #include <greengagedrum/callers/session.hpp>
-#include <greengagedrum/delivery/unclaimed.hpp>
+#include <greengagedrum/delivery/unclaimed_verdict.hpp>
 #include <greengagedrum/http/current_connection.hpp>
 
 #include <httplib.h>
@@ -41,7 +41,7 @@
     if (!this->submit()) {
         const telemetry::process_count full{telemetry::counter::ring_full};
         this->shared.telemetry.record(full);
-        return this->fail(delivery::unclaimed(this->request.arrival,
+        return this->fail(delivery::unclaimed_verdict(this->request.arrival,
                                               base::reason::internal,
                                               full_ring_hint),
                           response);
--- a/src/greengagedrum/delivery/scheduler.cpp
+++ b/src/greengagedrum/delivery/scheduler.cpp
@@ -1,5 +1,5 @@
 #include <greengagedrum/delivery/scheduler.hpp>
-#include <greengagedrum/delivery/unclaimed.hpp>
+#include <greengagedrum/delivery/unclaimed_verdict.hpp>
 
 #include <algorithm>
 #include <cassert>
@@ -116,7 +116,7 @@
     item.subject = what.subject;
     if (this->stop)
         return this->end_with(
-            item, unclaimed(what, base::reason::stopping, stop_retry_hint));
+            item, unclaimed_verdict(what, base::reason::stopping, stop_retry_hint));
     // The answer to a repeat may be kept, whatever the upstreams do now.
     if (!may_be_repeat(what) && !this->planner.servable(item.work))
         return this->end_unservable(item);
--- a/src/greengagedrum/delivery/unclaimed.hpp
+++ b/src/greengagedrum/delivery/unclaimed_verdict.hpp
@@ -17,7 +17,7 @@
 // The failure: a receipt runs, its answer is lost, and the repeat reaches an
 // entry that is stopping or full; told not_run, the clerk prints it again.
 // Without a claim nobody here can know that it did not run.
-inline base::verdict unclaimed(const request_arrived& what,
+inline base::verdict unclaimed_verdict(const request_arrived& what,
                                base::reason why,
                                base::duration retry_after)
 {
