--- a/src/greengagedrum/delivery/scheduler.hpp
+++ b/src/greengagedrum/delivery/scheduler.hpp
@@ -42,7 +42,7 @@
     std::uint32_t resumes_max = 5;  // tries in a row without progress
     // An upstream that can't be reached is asked for a stream dispatched at
     // most once for this long after its last sign of life.
-    base::duration cut_patience = std::chrono::seconds(60);
+    base::duration unreachable_resume_window = std::chrono::seconds(60);
     backoff_range resume_backoff;
     backoff_range retry_backoff;
     std::uint32_t dispatches_max = 3; // of one idempotent request
--- a/src/greengagedrum/delivery/streams.cpp
+++ b/src/greengagedrum/delivery/streams.cpp
@@ -132,7 +132,7 @@
     const bool cut_off =
         cause == break_cause::unreachable &&
         item.work.repetition == base::repetition::at_most_once &&
-        this->now - item.last_progress < this->options.cut_patience;
+        this->now - item.last_progress < this->options.unreachable_resume_window;
     if (cut_off && item.resumes > 0)
         item.resumes -= 1;
     this->try_resume(item);
--- a/src/greengagedrum/trace/option_fields.hpp
+++ b/src/greengagedrum/trace/option_fields.hpp
@@ -66,7 +66,7 @@
     named("desk", &delivery::scheduler_options::desk),
     named("placement", &delivery::scheduler_options::placement),
     named("resumes_max", &delivery::scheduler_options::resumes_max),
-    named("cut_patience_us", &delivery::scheduler_options::cut_patience),
+    named("cut_patience_us", &delivery::scheduler_options::unreachable_resume_window),
     named("resume_backoff", &delivery::scheduler_options::resume_backoff),
     named("retry_backoff", &delivery::scheduler_options::retry_backoff),
     named("dispatches_max", &delivery::scheduler_options::dispatches_max),
