--- a/src/greengagedrum/delivery/backoff.cpp
+++ b/src/greengagedrum/delivery/backoff.cpp
@@ -12,7 +12,7 @@
     const std::uint32_t doublings =
         std::min(attempt == 0 ? 0 : attempt - 1, doublings_max);
     const base::duration step =
-        std::min(range.most, range.first * (std::int64_t{1} << doublings));
+        std::min(range.maximum, range.initial * (std::int64_t{1} << doublings));
     const double share = 0.5 + random / 2.0;
     const double ticks = static_cast<double>(step.count()) * share;
     return base::duration(static_cast<base::duration::rep>(ticks));
--- a/src/greengagedrum/delivery/backoff.hpp
+++ b/src/greengagedrum/delivery/backoff.hpp
@@ -9,8 +9,8 @@
 {
 
 struct backoff_range {
-    base::duration first{20'000};
-    base::duration most{1'000'000};
+    base::duration initial{20'000};
+    base::duration maximum{1'000'000};
 };
 
 // `random` is uniform in [0, 1). The wait lies in [half, whole] of the step, so
--- a/src/greengagedrum/trace/option_fields.hpp
+++ b/src/greengagedrum/trace/option_fields.hpp
@@ -9,8 +9,8 @@
 
 template <>
 inline constexpr auto fields_of<delivery::backoff_range> =
-    std::tuple{named("first_us", &delivery::backoff_range::first),
-               named("most_us", &delivery::backoff_range::most)};
+    std::tuple{named("first_us", &delivery::backoff_range::initial),
+               named("most_us", &delivery::backoff_range::maximum)};
 
 template <>
 inline constexpr auto fields_of<admission::options> =
