--- a/src/greengagedrum/callers/session.cpp
+++ b/src/greengagedrum/callers/session.cpp
@@ -123,7 +123,7 @@
         if (const auto* end = std::get_if<delivery::end_failed>(&current))
             return end->verdict;
         if (const auto* end = std::get_if<delivery::end_answered>(&current)) {
-            const base::answer_ptr whole = end->whole;
+            const base::answer_ptr whole = end->answer;
             // A stream read to its end has been passed on already, even if
             // the decision thread heard of that end twice.
             if (!this->made && writer != nullptr)
--- a/src/greengagedrum/delivery/messages.hpp
+++ b/src/greengagedrum/delivery/messages.hpp
@@ -59,7 +59,7 @@
 // The whole answer has come.
 struct stream_finished {
     base::dispatch_id dispatch;
-    base::answer_ptr whole;
+    base::answer_ptr answer;
     std::uint32_t cached_tokens = 0; // prompt tokens found in its cache
 };
 
@@ -208,7 +208,7 @@
 // had it from the stream (an answer kept here or at a peer).
 struct end_answered {
     base::request_id request;
-    base::answer_ptr whole;
+    base::answer_ptr answer;
 };
 
 // The request ends without its answer.
--- a/src/greengagedrum/delivery/streams.cpp
+++ b/src/greengagedrum/delivery/streams.cpp
@@ -93,9 +93,9 @@
     if (item == nullptr || item->dispatch != what.dispatch)
         return;
     this->planner.finished(item->dispatch,
-                           what.whole ? what.whole->tokens : 0,
+                           what.answer ? what.answer->tokens : 0,
                            what.cached_tokens);
-    this->end_answered_with(*item, what.whole);
+    this->end_answered_with(*item, what.answer);
 }
 
 void scheduler::on(const stream_broken& what)
--- a/src/greengagedrum/delivery/test/joined_actions.cpp
+++ b/src/greengagedrum/delivery/test/joined_actions.cpp
@@ -86,9 +86,9 @@
     joined_subject& own = this->end(at, what.request);
     own.answered += 1;
     CHECK_MESSAGE(own.written == 1, this->where());
-    REQUIRE(what.whole);
+    REQUIRE(what.answer);
     const auto made = this->answer_of(own.written_as);
-    CHECK_MESSAGE(what.whole->body == made->body, this->where());
+    CHECK_MESSAGE(what.answer->body == made->body, this->where());
     if (own.written_as.life != at.life || own.answered > 1)
         own.recalled += 1;
 }
--- a/src/greengagedrum/trace/codec.cpp
+++ b/src/greengagedrum/trace/codec.cpp
@@ -188,7 +188,7 @@
         if (changed != nullptr && changed->snapshot == nullptr)
             throw bad_line("snapshot: must be there");
         const auto* ended = std::get_if<delivery::stream_finished>(&out);
-        if (ended != nullptr && ended->whole == nullptr)
+        if (ended != nullptr && ended->answer == nullptr)
             throw bad_line("whole: must be there");
     });
 }
--- a/src/greengagedrum/trace/ledger.cpp
+++ b/src/greengagedrum/trace/ledger.cpp
@@ -108,8 +108,8 @@
 ledger::finding ledger::take(const delivery::end_answered& what,
                              base::instant now)
 {
-    if (what.whole != nullptr)
-        this->records[what.request].answer_length = what.whole->body.size();
+    if (what.answer != nullptr)
+        this->records[what.request].answer_length = what.answer->body.size();
     return this->end(what.request, now);
 }
 
--- a/src/greengagedrum/trace/message_fields.hpp
+++ b/src/greengagedrum/trace/message_fields.hpp
@@ -43,7 +43,7 @@
 template <>
 inline constexpr auto fields_of<delivery::stream_finished> = std::tuple{
     named("dispatch", &delivery::stream_finished::dispatch),
-    named("whole", &delivery::stream_finished::whole),
+    named("whole", &delivery::stream_finished::answer),
     named("cached_tokens", &delivery::stream_finished::cached_tokens)};
 
 template <>
@@ -119,7 +119,7 @@
 template <>
 inline constexpr auto fields_of<delivery::end_answered> =
     std::tuple{named("request", &delivery::end_answered::request),
-               named("whole", &delivery::end_answered::whole)};
+               named("whole", &delivery::end_answered::answer)};
 
 template <>
 inline constexpr auto fields_of<delivery::end_failed> =
