--- a/fuzz/caller_request.cpp
+++ b/fuzz/caller_request.cpp
@@ -54,7 +54,7 @@
 void check_model(const callers::caller_request& taken,
                  const nlohmann::json& body)
 {
-    const base::request_spec& work = taken.arrival.work;
+    const base::request_spec& work = taken.arrival.spec;
     require(work.output_tokens >= 1 &&
                 work.output_tokens <= taken.rules->max_tokens,
             "max_tokens lies in the kind's bound");
--- a/src/greengagedrum/callers/caller_request.cpp
+++ b/src/greengagedrum/callers/caller_request.cpp
@@ -94,7 +94,7 @@
     auto read = read_model_body(body, *out.rules);
     if (!read)
         return tl::unexpected(read.error());
-    base::request_spec& work = out.arrival.work;
+    base::request_spec& work = out.arrival.spec;
     work.model = base::model_id(out.rules->model);
     work.prompt_tokens = tokens_in(read->prompt);
     work.output_tokens = read->max_tokens;
@@ -138,7 +138,7 @@
 
 void fill_work(caller_request& out)
 {
-    base::request_spec& work = out.arrival.work;
+    base::request_spec& work = out.arrival.spec;
     work.workspace = out.workspace->id;
     work.kind = out.rules->id;
     work.upstream_class = out.rules->upstream_class;
--- a/src/greengagedrum/delivery/claims.cpp
+++ b/src/greengagedrum/delivery/claims.cpp
@@ -41,14 +41,14 @@
         item.subject = made;
         this->out->push_back(assign_ticket{item.id, made});
     }
-    if (item.work.repetition == base::repetition::idempotent)
+    if (item.spec.repetition == base::repetition::idempotent)
         return this->enqueue(item);
     item.claimed = true;
     item.phase = phase::claiming;
-    this->timers.set(item, item.work.deadline);
+    this->timers.set(item, item.spec.deadline);
     this->desk.begin(item.id,
                      *item.subject,
-                     this->home_of(item.work.workspace),
+                     this->home_of(item.spec.workspace),
                      item.body_digest,
                      this->now,
                      this->desk_out);
@@ -77,7 +77,7 @@
         this->desk.may_dispatch(item.id, this->now))
         return true;
     this->change_phase(item, phase::claiming);
-    this->timers.set(item, item.work.deadline);
+    this->timers.set(item, item.spec.deadline);
     this->grants_void.push_back(item.id);
     return false;
 }
@@ -130,7 +130,7 @@
     if (item.phase != phase::claiming)
         return;
     this->change_phase(item, phase::queued);
-    if (!this->planner.servable(item.work))
+    if (!this->planner.servable(item.spec))
         return this->end_unservable(item);
     this->enqueue(item);
 }
--- a/src/greengagedrum/delivery/messages.hpp
+++ b/src/greengagedrum/delivery/messages.hpp
@@ -28,7 +28,7 @@
 struct request_arrived {
     base::request_id request;
     base::request_spec
-        work; // `arrived` and `deadline` are filled in by the core
+        spec; // `arrived` and `deadline` are filled in by the core
     base::duration deadline_after{0};
     std::uint64_t body_digest = 0;
     std::optional<idempotency::claim_subject> subject; // ticket or key, if any
--- a/src/greengagedrum/delivery/preemption.cpp
+++ b/src/greengagedrum/delivery/preemption.cpp
@@ -16,7 +16,7 @@
     double least = 0;
     for (const placement::room& room : rooms) {
         for (const admission::running* lower :
-             this->run_set.lower_requests(room.upstream, item.work.tier)) {
+             this->run_set.lower_requests(room.upstream, item.spec.tier)) {
             request& one = this->requests.at(lower->request);
             if (!this->may_be_preempted(one))
                 continue;
@@ -41,7 +41,7 @@
 // long work has to end some day.
 bool scheduler::may_be_preempted(const request& item) const
 {
-    const base::request_spec& work = item.work;
+    const base::request_spec& work = item.spec;
     return work.preemptible &&
            work.repetition == base::repetition::idempotent &&
            item.caller_present && is_running(item.phase) &&
@@ -53,13 +53,13 @@
 // answer has begun, else in proportion to the time it has had.
 double scheduler::prefill_thrown(const request& item) const
 {
-    const double prompt = item.work.prompt_tokens;
+    const double prompt = item.spec.prompt_tokens;
     const admission::running* run = this->run_set.find(item.id);
     if (item.tokens_seen > 0 || run == nullptr)
         return prompt;
     const double had = static_cast<double>((this->now - run->since).count());
     const double whole = static_cast<double>(
-        std::max(this->estimator.prefill(item.work), base::duration{1})
+        std::max(this->estimator.prefill(item.spec), base::duration{1})
             .count());
     return prompt * std::min(1.0, had / whole);
 }
--- a/src/greengagedrum/delivery/request.hpp
+++ b/src/greengagedrum/delivery/request.hpp
@@ -16,7 +16,7 @@
 
 struct request {
     base::request_id id;
-    base::request_spec work;
+    base::request_spec spec;
     delivery::phase phase = delivery::phase::queued;
     bool may_have_run = false; // some dispatch was not proved unwritten
     bool caller_present = true;
--- a/src/greengagedrum/delivery/scheduler.cpp
+++ b/src/greengagedrum/delivery/scheduler.cpp
@@ -109,16 +109,16 @@
     this->count.arrived += 1;
     request& item = this->requests[what.request];
     item.id = what.request;
-    item.work = what.work;
-    item.work.arrived = this->now;
-    item.work.deadline = this->now + what.deadline_after;
+    item.spec = what.spec;
+    item.spec.arrived = this->now;
+    item.spec.deadline = this->now + what.deadline_after;
     item.body_digest = what.body_digest;
     item.subject = what.subject;
     if (this->stop)
         return this->end_with(
             item, unclaimed_verdict(what, base::reason::stopping, stop_retry_hint));
     // The answer to a repeat may be kept, whatever the upstreams do now.
-    if (!may_be_repeat(what) && !this->planner.servable(item.work))
+    if (!may_be_repeat(what) && !this->planner.servable(item.spec))
         return this->end_unservable(item);
     this->retries.earn();
     this->begin_claim(item);
@@ -160,7 +160,7 @@
         // connection finds out.
         this->planner.silent(item.upstream, this->now);
         this->break_stream(item, false);
-        if (item.work.model.empty())
+        if (item.spec.model.empty())
             return this->retry_or_end(item, base::reason::upstream_silent);
         this->change_phase(item, phase::resuming);
         this->try_resume(item);
@@ -188,7 +188,7 @@
 {
     this->planner.ended(item.dispatch, this->now);
     if (const auto* ran = this->run_set.find(item.id))
-        this->estimator.observe(item.work, this->now - ran->since);
+        this->estimator.observe(item.spec, this->now - ran->since);
     if (item.claimed)
         this->desk.answered(item.id, whole, this->now, this->desk_out);
     item.claimed = false;
@@ -236,7 +236,7 @@
                               base::verdict{item.run_state(),
                                             base::reason::deadline,
                                             std::nullopt});
-    if (item.work.repetition == base::repetition::at_most_once)
+    if (item.spec.repetition == base::repetition::at_most_once)
         return;
     this->break_stream(item, true);
     if (item.tokens_seen > 0)
@@ -312,7 +312,7 @@
             item.phase == phase::dispatched || item.phase == phase::resuming;
         if (running) {
             const bool cancel =
-                item.work.repetition == base::repetition::idempotent;
+                item.spec.repetition == base::repetition::idempotent;
             this->break_stream(item, cancel);
             this->planner.ended(item.dispatch, this->now);
             item.may_have_run = true;
--- a/src/greengagedrum/delivery/streams.cpp
+++ b/src/greengagedrum/delivery/streams.cpp
@@ -22,8 +22,8 @@
     if (item.claimed && !item.may_have_run)
         this->desk.dispatched(item.id);
     this->dispatches.emplace(item.dispatch, item.id);
-    this->run_set.add({item.id, item.work, upstream, this->now});
-    this->planner.sent(item.dispatch, upstream, item.work, this->now);
+    this->run_set.add({item.id, item.spec, upstream, this->now});
+    this->planner.sent(item.dispatch, upstream, item.spec, this->now);
     this->watch_progress(item);
     this->count.dispatched += 1;
     item.connection += 1;
@@ -40,10 +40,10 @@
     const base::instant silent =
         this->now + this->planner.patience(item.dispatch, this->now);
     const bool only_try =
-        item.work.model.empty() &&
-        item.work.repetition == base::repetition::at_most_once;
+        item.spec.model.empty() &&
+        item.spec.repetition == base::repetition::at_most_once;
     this->timers.set(item,
-                     only_try ? std::max(silent, item.work.deadline) : silent);
+                     only_try ? std::max(silent, item.spec.deadline) : silent);
 }
 
 // Nothing was written, so this dispatch never was: the request is queued
@@ -70,7 +70,7 @@
     this->change_phase(*item, phase::waiting);
     const base::duration wait =
         backoff(this->options.retry_backoff, item->refusals, this->random());
-    this->timers.set(*item, std::min(this->now + wait, item->work.deadline));
+    this->timers.set(*item, std::min(this->now + wait, item->spec.deadline));
 }
 
 void scheduler::on(const stream_progressed& what)
@@ -126,12 +126,12 @@
     const bool lost = cause == break_cause::unknown_stream ||
                       cause == break_cause::refused ||
                       cause == break_cause::malformed;
-    if (lost || item.work.model.empty())
+    if (lost || item.spec.model.empty())
         return this->retry_or_end(item, base::reason::upstream_failed);
     this->change_phase(item, phase::resuming);
     const bool cut_off =
         cause == break_cause::unreachable &&
-        item.work.repetition == base::repetition::at_most_once &&
+        item.spec.repetition == base::repetition::at_most_once &&
         this->now - item.last_progress < this->options.unreachable_resume_window;
     if (cut_off && item.resumes > 0)
         item.resumes -= 1;
@@ -152,7 +152,7 @@
 {
     this->change_phase(item, phase::dispatched);
     this->count.resumed += 1;
-    this->count.resumed_by_tier[base::index_of(item.work.tier)] += 1;
+    this->count.resumed_by_tier[base::index_of(item.spec.tier)] += 1;
     this->watch_progress(item);
     this->out->push_back(start_resume{.request = item.id,
                                       .dispatch = item.dispatch,
@@ -169,26 +169,26 @@
     this->dispatches.erase(item.dispatch);
     item.may_have_run = true;
     const bool repeatable =
-        item.work.repetition == base::repetition::idempotent &&
+        item.spec.repetition == base::repetition::idempotent &&
         item.caller_present && item.dispatches < this->options.dispatches_max &&
-        this->now < item.work.deadline && this->retries.spend();
+        this->now < item.spec.deadline && this->retries.spend();
     if (!repeatable)
         return this->end_with(item, base::may_have_run(why));
     this->count.retried += 1;
-    this->count.retried_by_tier[base::index_of(item.work.tier)] += 1;
+    this->count.retried_by_tier[base::index_of(item.spec.tier)] += 1;
     this->waste_prefill(item);
     item.avoid.push_back(item.upstream);
     this->change_phase(item, phase::waiting);
     const base::duration wait =
         backoff(this->options.retry_backoff, item.dispatches, this->random());
-    this->timers.set(item, std::min(this->now + wait, item.work.deadline));
+    this->timers.set(item, std::min(this->now + wait, item.spec.deadline));
 }
 
 void scheduler::waste_prefill(const request& item)
 {
-    const std::uint64_t tokens = item.work.prompt_tokens;
+    const std::uint64_t tokens = item.spec.prompt_tokens;
     this->count.prefill_wasted += tokens;
-    this->count.prefill_wasted_by_tier[base::index_of(item.work.tier)] +=
+    this->count.prefill_wasted_by_tier[base::index_of(item.spec.tier)] +=
         tokens;
 }
 
--- a/src/greengagedrum/delivery/test/joined_entries.cpp
+++ b/src/greengagedrum/delivery/test/joined_entries.cpp
@@ -180,12 +180,12 @@
 {
     request_arrived what;
     what.request = base::request_id{++this->last_request};
-    what.work.workspace = base::workspace_id("booths");
-    what.work.upstream_class = base::upstream_class_id("photo");
-    what.work.model = base::model_id("compliance");
-    what.work.repetition = base::repetition::at_most_once;
-    what.work.prompt_tokens = 100;
-    what.work.output_tokens = 20;
+    what.spec.workspace = base::workspace_id("booths");
+    what.spec.upstream_class = base::upstream_class_id("photo");
+    what.spec.model = base::model_id("compliance");
+    what.spec.repetition = base::repetition::at_most_once;
+    what.spec.prompt_tokens = 100;
+    what.spec.output_tokens = 20;
     what.deadline_after = 5s;
     what.body_digest = subject;
     what.subject = this->subjects[subject].claim;
--- a/src/greengagedrum/delivery/test/peer_tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/peer_tiers_test.cpp
@@ -122,14 +122,14 @@
     {
         request_arrived what;
         what.request = base::request_id{++this->last_request};
-        what.work.upstream_class = base::upstream_class_id("photo");
-        what.work.model = base::model_id("compliance");
-        what.work.tier = tier;
-        what.work.repetition = tier == base::tier::bulk
+        what.spec.upstream_class = base::upstream_class_id("photo");
+        what.spec.model = base::model_id("compliance");
+        what.spec.tier = tier;
+        what.spec.repetition = tier == base::tier::bulk
                                    ? base::repetition::at_most_once
                                    : base::repetition::idempotent;
-        what.work.prompt_tokens = 100;
-        what.work.output_tokens = 50;
+        what.spec.prompt_tokens = 100;
+        what.spec.output_tokens = 50;
         what.deadline_after = deadline_after;
         this->step(at, what);
     }
--- a/src/greengagedrum/delivery/test/policy_run.hpp
+++ b/src/greengagedrum/delivery/test/policy_run.hpp
@@ -156,7 +156,7 @@
         const load_kind& kind = kinds[tier];
         request_arrived what_came;
         what_came.request = base::request_id{++this->last_request};
-        base::request_spec& work = what_came.work;
+        base::request_spec& work = what_came.spec;
         work.workspace = base::workspace_id("kenitra");
         work.kind = base::kind_id("kind-" + std::to_string(tier));
         work.upstream_class = base::upstream_class_id("dossier");
--- a/src/greengagedrum/delivery/test/random_run.hpp
+++ b/src/greengagedrum/delivery/test/random_run.hpp
@@ -94,7 +94,7 @@
     {
         request_arrived what;
         what.request = base::request_id{++this->last_request};
-        base::request_spec& work = what.work;
+        base::request_spec& work = what.spec;
         work.workspace =
             base::workspace_id(this->chance(0.2) ? "mall" : "yard");
         work.kind = base::kind_id(this->chance(0.5) ? "caption" : "review");
--- a/src/greengagedrum/delivery/test/recovery_test.cpp
+++ b/src/greengagedrum/delivery/test/recovery_test.cpp
@@ -150,8 +150,8 @@
         actions);
     request_arrived asked;
     asked.request = base::request_id{1};
-    asked.work.upstream_class = base::upstream_class_id("photo");
-    asked.work.model = base::model_id("compliance");
+    asked.spec.upstream_class = base::upstream_class_id("photo");
+    asked.spec.model = base::model_id("compliance");
     asked.deadline_after = std::chrono::seconds(1);
     core.step(asked, base::instant{}, actions);
     REQUIRE(actions.size() == 2); // its ticket, then its dispatch
--- a/src/greengagedrum/delivery/test/scheduler_fixture.hpp
+++ b/src/greengagedrum/delivery/test/scheduler_fixture.hpp
@@ -109,12 +109,12 @@
         request_arrived what;
         what.request = base::request_id{++this->last_request};
         what.subject = std::move(subject);
-        what.work.upstream_class = base::upstream_class_id("photo");
-        what.work.model = base::model_id("compliance");
-        what.work.repetition = repetition;
-        what.work.tier = tier;
-        what.work.prompt_tokens = 100;
-        what.work.output_tokens = 50;
+        what.spec.upstream_class = base::upstream_class_id("photo");
+        what.spec.model = base::model_id("compliance");
+        what.spec.repetition = repetition;
+        what.spec.tier = tier;
+        what.spec.prompt_tokens = 100;
+        what.spec.output_tokens = 50;
         what.deadline_after = std::chrono::seconds(60);
         this->step(what);
         return what.request;
@@ -125,8 +125,8 @@
     {
         request_arrived what;
         what.request = base::request_id{++this->last_request};
-        what.work.upstream_class = base::upstream_class_id("photo");
-        what.work.repetition = repetition;
+        what.spec.upstream_class = base::upstream_class_id("photo");
+        what.spec.repetition = repetition;
         what.deadline_after = std::chrono::seconds(60);
         this->step(what);
         return what.request;
--- a/src/greengagedrum/delivery/test/tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/tiers_test.cpp
@@ -39,7 +39,7 @@
     {
         request_arrived what;
         what.request = base::request_id{++this->last_request};
-        what.work = work;
+        what.spec = work;
         what.deadline_after = deadline;
         this->step(what);
         return what.request;
--- a/src/greengagedrum/delivery/unclaimed_verdict.hpp
+++ b/src/greengagedrum/delivery/unclaimed_verdict.hpp
@@ -11,7 +11,7 @@
 inline bool may_be_repeat(const request_arrived& what)
 {
     return what.subject &&
-           what.work.repetition == base::repetition::at_most_once;
+           what.spec.repetition == base::repetition::at_most_once;
 }
 
 // The failure: a receipt runs, its answer is lost, and the repeat reaches an
--- a/src/greengagedrum/delivery/waiting.cpp
+++ b/src/greengagedrum/delivery/waiting.cpp
@@ -54,26 +54,26 @@
 void scheduler::enqueue(request& item)
 {
     item.phase = phase::queued;
-    const base::duration expected = this->estimator.expected(item.work);
+    const base::duration expected = this->estimator.expected(item.spec);
     const base::duration run =
         part_of(expected, this->options.admission.belief);
-    this->timers.set(item, std::max(this->now, item.work.deadline - run));
+    this->timers.set(item, std::max(this->now, item.spec.deadline - run));
     const bool fresh = item.dispatches == 0 && item.refusals == 0 &&
                        item.preemptions == 0 && !item.may_have_run;
     if (fresh && !this->can_be_met(item, expected))
         return this->give_up(item, base::reason::deadline);
     const auto victim = this->admission.enqueue(
-        item.id, item.work, expected, !fresh, this->now);
+        item.id, item.spec, expected, !fresh, this->now);
     const bool itself = victim && *victim == item.id;
     if (victim)
         this->give_up(this->requests.at(*victim), base::reason::overloaded);
     if (itself || !fresh || !this->admission.held(item.id))
         return;
     const base::duration held =
-        this->admission.held_for(item.work, expected, this->now);
+        this->admission.held_for(item.spec, expected, this->now);
     const base::duration needed =
         part_of(held + expected, this->options.admission.belief);
-    if (this->now + needed > item.work.deadline)
+    if (this->now + needed > item.spec.deadline)
         this->end_with(item,
                        base::not_run(base::reason::limit_reached,
                                      std::clamp(held, hint_least, hint_most)));
@@ -99,12 +99,12 @@
 bool scheduler::place_free(request& item)
 {
     std::vector<base::upstream_id> avoid = item.avoid;
-    for (const placement::room& room : this->planner.rooms(item.work))
-        if (this->distress.above(room.upstream, item.work.tier, this->now))
+    for (const placement::room& room : this->planner.rooms(item.spec))
+        if (this->distress.above(room.upstream, item.spec.tier, this->now))
             avoid.push_back(room.upstream);
-    const auto choice = this->planner.choose(item.work, avoid, this->now);
+    const auto choice = this->planner.choose(item.spec, avoid, this->now);
     if (!choice ||
-        this->distress.above(choice->upstream, item.work.tier, this->now))
+        this->distress.above(choice->upstream, item.spec.tier, this->now))
         return false;
     this->dispatch(item, choice->upstream);
     return true;
@@ -119,13 +119,13 @@
 // and no more, however long the work is.
 bool scheduler::place_by_floor(request& item)
 {
-    const auto rooms = this->planner.rooms(item.work);
+    const auto rooms = this->planner.rooms(item.spec);
     // Work of this tier and below together: three tiers that each held a
     // floor of their own would fill a small engine's overdraft for good.
     std::uint32_t held = 0;
     for (const base::tier tier : base::all_tiers)
-        if (!base::more_urgent(tier, item.work.tier))
-            held += this->run_set.count(item.work.upstream_class, tier);
+        if (!base::more_urgent(tier, item.spec.tier))
+            held += this->run_set.count(item.spec.upstream_class, tier);
     if (held >= this->floor_places(rooms))
         return false;
     return this->place_free(item) ||
@@ -148,15 +148,15 @@
 // line holds, for nobody's place would be unfair.
 bool scheduler::make_room(request& item)
 {
-    const auto rooms = this->planner.rooms(item.work);
-    const bool here = this->lower_runs(item.work, rooms);
-    if (!here && !this->lower_runs_at_peers(item.work))
+    const auto rooms = this->planner.rooms(item.spec);
+    const bool here = this->lower_runs(item.spec, rooms);
+    if (!here && !this->lower_runs_at_peers(item.spec))
         return false;
     if (this->overdraw(item, rooms, this->options.admission.overdraft_share))
         return true;
     const bool at_risk = std::any_of(
         rooms.begin(), rooms.end(), [&](const placement::room& room) {
-            return this->distress.of(room.upstream, item.work.tier, this->now);
+            return this->distress.of(room.upstream, item.spec.tier, this->now);
         });
     return at_risk && this->preempt_for(item, rooms);
 }
@@ -170,7 +170,7 @@
     bool best_avoided = true;
     for (const placement::room& room : rooms) {
         if (room.in_flight >= overdraft_bound(room, share) ||
-            this->distress.above(room.upstream, item.work.tier, this->now))
+            this->distress.above(room.upstream, item.spec.tier, this->now))
             continue;
         const bool avoided =
             std::find(item.avoid.begin(), item.avoid.end(), room.upstream) !=
@@ -216,9 +216,9 @@
 // upstream with the most room whatever its overdraft, up to the hard bound.
 bool scheduler::force(request& item)
 {
-    const auto rooms = this->planner.rooms(item.work);
-    if (!this->lower_runs(item.work, rooms) &&
-        !this->lower_runs_at_peers(item.work))
+    const auto rooms = this->planner.rooms(item.spec);
+    if (!this->lower_runs(item.spec, rooms) &&
+        !this->lower_runs_at_peers(item.spec))
         return false;
     const double share = this->options.admission.overdraft_share;
     if (this->overdraw(item, rooms, share) || this->preempt_for(item, rooms))
@@ -242,7 +242,7 @@
 {
     if (this->admission.held(item.id)) {
         const base::duration held = this->admission.held_for(
-            item.work, this->estimator.expected(item.work), this->now);
+            item.spec, this->estimator.expected(item.spec), this->now);
         return this->end_with(
             item,
             base::not_run(base::reason::limit_reached,
@@ -251,7 +251,7 @@
     if (item.refusals > 0)
         return this->end_with(item,
                               base::not_run(base::reason::upstream_failed,
-                                            this->hint_for(item.work)));
+                                            this->hint_for(item.spec)));
     this->give_up(item, base::reason::deadline);
 }
 
@@ -275,7 +275,7 @@
             if (found == this->requests.end() ||
                 found->second.phase != phase::queued)
                 continue;
-            this->mark_distress(found->second.work);
+            this->mark_distress(found->second.spec);
             if (!this->grant_holds(found->second) ||
                 this->force(found->second)) {
                 this->admission.remove(id);
@@ -301,12 +301,12 @@
 
 void scheduler::shed(request& item, base::reason why)
 {
-    const bool any = this->planner.servable(item.work);
+    const bool any = this->planner.servable(item.spec);
     if (any)
-        this->count.shed[base::index_of(item.work.tier)] += 1;
+        this->count.shed[base::index_of(item.spec.tier)] += 1;
     this->end_with(item,
                    base::not_run(any ? why : base::reason::no_upstream,
-                                 this->hint_for(item.work)));
+                                 this->hint_for(item.spec)));
 }
 
 // How long the line ahead takes to drain, by this instance's places but those
@@ -333,17 +333,17 @@
 bool scheduler::can_be_met(const request& item, base::duration expected)
 {
     const admission::options& own = this->options.admission;
-    const base::duration wait = this->wait_for(item.work);
+    const base::duration wait = this->wait_for(item.spec);
     if (wait == base::duration{0})
         return true;
-    const base::duration left = item.work.deadline - this->now;
+    const base::duration left = item.spec.deadline - this->now;
     if (part_of(wait + expected, own.risk) > left)
-        this->mark_distress(item.work);
+        this->mark_distress(item.spec);
     if (part_of(wait + expected, own.belief) <= left)
         return true;
-    return this->admission.lower_waits(item.work) ||
-           this->lower_runs(item.work, this->planner.rooms(item.work)) ||
-           this->lower_runs_at_peers(item.work);
+    return this->admission.lower_waits(item.spec) ||
+           this->lower_runs(item.spec, this->planner.rooms(item.spec)) ||
+           this->lower_runs_at_peers(item.spec);
 }
 
 // When the line will have become so short that the same request would meet
--- a/src/greengagedrum/trace/ledger.cpp
+++ b/src/greengagedrum/trace/ledger.cpp
@@ -16,7 +16,7 @@
 void ledger::note(const delivery::event& what)
 {
     if (const auto* arrived = std::get_if<delivery::request_arrived>(&what))
-        this->records[arrived->request].repetition = arrived->work.repetition;
+        this->records[arrived->request].repetition = arrived->spec.repetition;
     const auto* refused = std::get_if<delivery::connect_refused>(&what);
     if (refused == nullptr)
         return;
--- a/src/greengagedrum/trace/message_fields.hpp
+++ b/src/greengagedrum/trace/message_fields.hpp
@@ -9,7 +9,7 @@
 template <>
 inline constexpr auto fields_of<delivery::request_arrived> = std::tuple{
     named("request", &delivery::request_arrived::request),
-    named("work", &delivery::request_arrived::work),
+    named("work", &delivery::request_arrived::spec),
     named("deadline_after_us", &delivery::request_arrived::deadline_after),
     named("body_digest", &delivery::request_arrived::body_digest),
     named("subject", &delivery::request_arrived::subject)};
--- a/src/greengagedrum/trace/test/random_recording.hpp
+++ b/src/greengagedrum/trace/test/random_recording.hpp
@@ -124,14 +124,14 @@
     {
         delivery::request_arrived out;
         out.request = base::request_id{++this->last};
-        out.work.workspace = base::workspace_id("mall");
-        out.work.kind = base::kind_id("review");
-        out.work.upstream_class = base::upstream_class_id("photo");
-        out.work.model = base::model_id("compliance");
-        out.work.tier = base::all_tiers[this->draw(base::tier_count)];
-        out.work.repetition = static_cast<base::repetition>(this->draw(2));
-        out.work.prompt_tokens = static_cast<std::uint32_t>(this->draw(5000));
-        out.work.output_tokens = static_cast<std::uint32_t>(this->draw(500));
+        out.spec.workspace = base::workspace_id("mall");
+        out.spec.kind = base::kind_id("review");
+        out.spec.upstream_class = base::upstream_class_id("photo");
+        out.spec.model = base::model_id("compliance");
+        out.spec.tier = base::all_tiers[this->draw(base::tier_count)];
+        out.spec.repetition = static_cast<base::repetition>(this->draw(2));
+        out.spec.prompt_tokens = static_cast<std::uint32_t>(this->draw(5000));
+        out.spec.output_tokens = static_cast<std::uint32_t>(this->draw(500));
         out.deadline_after = base::duration(this->draw(30'000'000));
         out.body_digest = this->chance();
         return out;
--- a/src/programs/ggd_bench_core.cpp
+++ b/src/programs/ggd_bench_core.cpp
@@ -246,7 +246,7 @@
     {
         delivery::request_arrived what;
         what.request = base::request_id{++this->number};
-        what.work = make_work(this->number);
+        what.spec = make_work(this->number);
         what.deadline_after = std::chrono::hours(1);
         this->now += between;
         this->step(what);
