--- a/src/greengagedrum/callers/routes.cpp
+++ b/src/greengagedrum/callers/routes.cpp
@@ -46,8 +46,8 @@
         return write_problem(read.error(), response);
     if (shared.stopping)
         return write_verdict(delivery::unclaimed_verdict(read->arrival,
-                                                 base::reason::stopping,
-                                                 stopping_hint),
+                                                         base::reason::stopping,
+                                                         stopping_hint),
                              response);
     std::make_shared<session>(shared, std::move(*read))->serve(response);
 }
--- a/src/greengagedrum/callers/session.cpp
+++ b/src/greengagedrum/callers/session.cpp
@@ -42,8 +42,8 @@
         const telemetry::process_count full{telemetry::counter::ring_full};
         this->shared.telemetry.record(full);
         return this->fail(delivery::unclaimed_verdict(this->request.arrival,
-                                              base::reason::internal,
-                                              full_ring_hint),
+                                                      base::reason::internal,
+                                                      full_ring_hint),
                           response);
     }
     directive first = this->first_after_ticket(response);
--- a/src/greengagedrum/daemon/part_options.cpp
+++ b/src/greengagedrum/daemon/part_options.cpp
@@ -40,7 +40,7 @@
     constexpr double percent = 100.0;
     delivery::scheduler_options out;
     out.slot = base::slot_id(settings.instance);
-    out.life = life;
+    out.incarnation = life;
     out.data_centre = base::data_centre_id(settings.data_centre);
     out.seed = life.value;
     out.placement.policy = policy_of(settings.placement);
--- a/src/greengagedrum/delivery/claims.cpp
+++ b/src/greengagedrum/delivery/claims.cpp
@@ -20,7 +20,7 @@
 void scheduler::on(const claim_message& what)
 {
     this->desk.on_message(
-        what.sender, what.life, what.body, this->now, this->desk_out);
+        what.sender, what.incarnation, what.body, this->now, this->desk_out);
 }
 
 void scheduler::on(const process_paused& what)
--- a/src/greengagedrum/delivery/messages.hpp
+++ b/src/greengagedrum/delivery/messages.hpp
@@ -83,7 +83,7 @@
 // A message of a peer about a ticket or key.
 struct claim_message {
     base::slot_id sender;
-    base::incarnation life;
+    base::incarnation incarnation;
     idempotency::message body;
 };
 
@@ -116,7 +116,7 @@
 
 struct peer_load {
     base::slot_id sender;
-    base::incarnation life;
+    base::incarnation incarnation;
     capacity::load_digest digest;
 };
 
--- a/src/greengagedrum/delivery/scheduler.cpp
+++ b/src/greengagedrum/delivery/scheduler.cpp
@@ -25,7 +25,7 @@
     idempotency::desk_options out = options.desk;
     out.slot = options.slot;
     out.data_centre = options.data_centre;
-    out.life = options.life;
+    out.life = options.incarnation;
     return out;
 }
 
@@ -116,7 +116,8 @@
     item.subject = what.subject;
     if (this->stop)
         return this->end_with(
-            item, unclaimed_verdict(what, base::reason::stopping, stop_retry_hint));
+            item,
+            unclaimed_verdict(what, base::reason::stopping, stop_retry_hint));
     // The answer to a repeat may be kept, whatever the upstreams do now.
     if (!may_be_repeat(what) && !this->planner.servable(item.spec))
         return this->end_unservable(item);
--- a/src/greengagedrum/delivery/scheduler.hpp
+++ b/src/greengagedrum/delivery/scheduler.hpp
@@ -33,7 +33,7 @@
 
 struct scheduler_options {
     base::slot_id slot;
-    base::incarnation life;
+    base::incarnation incarnation;
     base::data_centre_id data_centre;
     std::uint64_t seed = 1;
     admission::options admission;
--- a/src/greengagedrum/delivery/sharing.cpp
+++ b/src/greengagedrum/delivery/sharing.cpp
@@ -21,7 +21,7 @@
     if (what.digest.complete)
         this->planner.peer_lost(what.sender);
     this->planner.peer_use(what.sender, what.digest.uses, this->now);
-    this->shares.heard(what.sender, what.life, what.digest, this->now);
+    this->shares.heard(what.sender, what.incarnation, what.digest, this->now);
     this->refresh_shares();
 }
 
--- a/src/greengagedrum/delivery/streams.cpp
+++ b/src/greengagedrum/delivery/streams.cpp
@@ -13,7 +13,7 @@
 {
     this->change_phase(item, phase::dispatched);
     item.dispatch =
-        base::dispatch_id{this->options.life, this->next_dispatch++};
+        base::dispatch_id{this->options.incarnation, this->next_dispatch++};
     item.upstream = upstream;
     item.tokens_seen = 0;
     item.resumes = 0;
@@ -132,7 +132,8 @@
     const bool cut_off =
         cause == break_cause::unreachable &&
         item.spec.repetition == base::repetition::at_most_once &&
-        this->now - item.last_progress < this->options.unreachable_resume_window;
+        this->now - item.last_progress <
+            this->options.unreachable_resume_window;
     if (cut_off && item.resumes > 0)
         item.resumes -= 1;
     this->try_resume(item);
--- a/src/greengagedrum/delivery/test/joined_entries.cpp
+++ b/src/greengagedrum/delivery/test/joined_entries.cpp
@@ -52,7 +52,7 @@
 {
     scheduler_options out;
     out.slot = slot;
-    out.life = life;
+    out.incarnation = life;
     out.data_centre = base::data_centre_id("zona-4");
     out.seed = seed;
     out.desk.retry_window = 10s;
--- a/src/greengagedrum/delivery/test/peer_tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/peer_tiers_test.cpp
@@ -46,7 +46,7 @@
     {
         scheduler_options out;
         out.slot = base::slot_id(name);
-        out.life = base::incarnation{7};
+        out.incarnation = base::incarnation{7};
         out.data_centre = base::data_centre_id("zona-4");
         return out;
     }
@@ -92,7 +92,7 @@
     {
         peer_load what;
         what.sender = base::slot_id(slot);
-        what.life = base::incarnation{7};
+        what.incarnation = base::incarnation{7};
         this->step(from, load_due{});
         what.digest = from.told;
         this->step(to, what);
--- a/src/greengagedrum/delivery/test/random_run.hpp
+++ b/src/greengagedrum/delivery/test/random_run.hpp
@@ -26,7 +26,7 @@
     {
         scheduler_options out;
         out.slot = base::slot_id("zona-4-a");
-        out.life = base::incarnation{7};
+        out.incarnation = base::incarnation{7};
         out.data_centre = base::data_centre_id("zona-4");
         out.seed = seed;
         out.admission.waiting_max = seed % 2 == 0 ? 20 : 200;
@@ -148,7 +148,7 @@
     {
         peer_load what;
         what.sender = base::slot_id("zona-4-b");
-        what.life = base::incarnation{9};
+        what.incarnation = base::incarnation{9};
         what.digest.sequence = ++this->peer_sequence;
         capacity::class_demand demand;
         demand.upstream_class = base::upstream_class_id("photo");
--- a/src/greengagedrum/delivery/test/scheduler_fixture.hpp
+++ b/src/greengagedrum/delivery/test/scheduler_fixture.hpp
@@ -32,7 +32,7 @@
     {
         scheduler_options out;
         out.slot = base::slot_id("zona-4-a");
-        out.life = base::incarnation{7};
+        out.incarnation = base::incarnation{7};
         out.data_centre = base::data_centre_id("zona-4");
         return out;
     }
--- a/src/greengagedrum/delivery/unclaimed_verdict.hpp
+++ b/src/greengagedrum/delivery/unclaimed_verdict.hpp
@@ -18,8 +18,8 @@
 // entry that is stopping or full; told not_run, the clerk prints it again.
 // Without a claim nobody here can know that it did not run.
 inline base::verdict unclaimed_verdict(const request_arrived& what,
-                               base::reason why,
-                               base::duration retry_after)
+                                       base::reason why,
+                                       base::duration retry_after)
 {
     base::verdict out = base::not_run(why, retry_after);
     if (may_be_repeat(what))
--- a/src/greengagedrum/trace/ledger.cpp
+++ b/src/greengagedrum/trace/ledger.cpp
@@ -132,7 +132,8 @@
     return std::nullopt;
 }
 
-ledger::finding ledger::take(const delivery::send_load_digest& what, base::instant now)
+ledger::finding ledger::take(const delivery::send_load_digest& what,
+                             base::instant now)
 {
     static_cast<void>(what);
     static_cast<void>(now);
--- a/src/greengagedrum/trace/ledger.hpp
+++ b/src/greengagedrum/trace/ledger.hpp
@@ -63,7 +63,8 @@
     static finding take(const delivery::assign_ticket& what, base::instant now);
     static finding take(const delivery::send_claim_message& what,
                         base::instant now);
-    static finding take(const delivery::send_load_digest& what, base::instant now);
+    static finding take(const delivery::send_load_digest& what,
+                        base::instant now);
     finding end(base::request_id request, base::instant now);
 
     std::map<base::request_id, request_record> records;
--- a/src/greengagedrum/trace/message_fields.hpp
+++ b/src/greengagedrum/trace/message_fields.hpp
@@ -55,7 +55,7 @@
 template <>
 inline constexpr auto fields_of<delivery::claim_message> =
     std::tuple{named("sender", &delivery::claim_message::sender),
-               named("life", &delivery::claim_message::life),
+               named("life", &delivery::claim_message::incarnation),
                named("body", &delivery::claim_message::body)};
 
 template <>
@@ -78,7 +78,7 @@
 template <>
 inline constexpr auto fields_of<delivery::peer_load> =
     std::tuple{named("sender", &delivery::peer_load::sender),
-               named("life", &delivery::peer_load::life),
+               named("life", &delivery::peer_load::incarnation),
                named("digest", &delivery::peer_load::digest)};
 
 template <>
--- a/src/greengagedrum/trace/option_fields.hpp
+++ b/src/greengagedrum/trace/option_fields.hpp
@@ -59,14 +59,15 @@
 template <>
 inline constexpr auto fields_of<delivery::scheduler_options> = std::tuple{
     named("slot", &delivery::scheduler_options::slot),
-    named("life", &delivery::scheduler_options::life),
+    named("life", &delivery::scheduler_options::incarnation),
     named("data_centre", &delivery::scheduler_options::data_centre),
     named("seed", &delivery::scheduler_options::seed),
     named("admission", &delivery::scheduler_options::admission),
     named("desk", &delivery::scheduler_options::desk),
     named("placement", &delivery::scheduler_options::placement),
     named("resumes_max", &delivery::scheduler_options::resumes_max),
-    named("cut_patience_us", &delivery::scheduler_options::unreachable_resume_window),
+    named("cut_patience_us",
+          &delivery::scheduler_options::unreachable_resume_window),
     named("resume_backoff", &delivery::scheduler_options::resume_backoff),
     named("retry_backoff", &delivery::scheduler_options::retry_backoff),
     named("dispatches_max", &delivery::scheduler_options::dispatches_max),
--- a/src/greengagedrum/trace/test/random_recording.hpp
+++ b/src/greengagedrum/trace/test/random_recording.hpp
@@ -76,7 +76,7 @@
     {
         delivery::scheduler_options out;
         out.slot = base::slot_id("zona-4-a");
-        out.life = base::incarnation{9};
+        out.incarnation = base::incarnation{9};
         out.data_centre = base::data_centre_id("zona-4");
         out.seed = seed;
         return out;
@@ -214,7 +214,8 @@
                 this->streams.emplace_back(began->dispatch, began->connection);
             if (const auto* again = std::get_if<delivery::start_resume>(&one))
                 this->streams.emplace_back(again->dispatch, again->connection);
-            if (const auto* told = std::get_if<delivery::send_load_digest>(&one))
+            if (const auto* told =
+                    std::get_if<delivery::send_load_digest>(&one))
                 this->loads_told += told->digest.limits.size();
         }
     }
--- a/src/programs/bench_state/sections.hpp
+++ b/src/programs/bench_state/sections.hpp
@@ -294,7 +294,7 @@
             store.apply(documents_of(size, 270));
             delivery::scheduler_options options;
             options.slot = base::slot_id("zona-4-a");
-            options.life = base::incarnation{1};
+            options.incarnation = base::incarnation{1};
             options.data_centre = base::data_centre_id("zona-4");
             delivery::scheduler core(options);
             std::vector<delivery::action> actions;
--- a/src/programs/ggd_bench_core.cpp
+++ b/src/programs/ggd_bench_core.cpp
@@ -225,7 +225,7 @@
     {
         delivery::scheduler_options out;
         out.slot = base::slot_id("bench");
-        out.life = base::incarnation{1};
+        out.incarnation = base::incarnation{1};
         out.data_centre = base::data_centre_id("zona-4");
         out.placement.policy = policy_of(policy);
         out.placement.patience_floor = std::chrono::hours(1);
