--- a/src/greengagedrum/trace/message_fields.hpp
+++ b/src/greengagedrum/trace/message_fields.hpp
@@ -132,7 +132,7 @@
                named("body", &delivery::send_claim_message::body)};
 
 template <>
-inline constexpr auto fields_of<delivery::tell_load> =
+inline constexpr auto fields_of<delivery::send_load_digest> =
     std::tuple{named("digest", &delivery::send_load_digest::digest)};
 
 } // namespace greengagedrum::trace
--- a/src/greengagedrum/trace/names.hpp
+++ b/src/greengagedrum/trace/names.hpp
@@ -92,7 +92,8 @@
 inline constexpr std::string_view name_of<delivery::send_claim_message> =
     "send_claim_message";
 template <>
-inline constexpr std::string_view name_of<delivery::tell_load> = "tell_load";
+inline constexpr std::string_view name_of<delivery::send_load_digest> =
+    "tell_load";
 template <>
 inline constexpr std::string_view name_of<idempotency::claim_request> =
     "claim_request";
