--- a/src/greengagedrum/delivery/claims.cpp
+++ b/src/greengagedrum/delivery/claims.cpp
@@ -19,8 +19,11 @@
 
 void scheduler::on(const claim_message& what)
 {
-    this->desk.on_message(
-        what.sender, what.incarnation, what.body, this->now, this->desk_out);
+    this->desk.on_message(what.sender,
+                          what.incarnation,
+                          what.body,
+                          this->now,
+                          this->desk_outputs);
 }
 
 void scheduler::on(const process_paused& what)
@@ -43,7 +46,7 @@
     }
     if (item.spec.repetition == base::repetition::idempotent)
         return this->enqueue(item);
-    item.claimed = true;
+    item.holds_claim = true;
     item.phase = phase::claiming;
     this->timers.set(item, item.spec.deadline);
     this->desk.begin(item.id,
@@ -51,40 +54,40 @@
                      this->home_of(item.spec.workspace),
                      item.body_digest,
                      this->now,
-                     this->desk_out);
+                     this->desk_outputs);
 }
 
 base::data_centre_id scheduler::home_of(base::workspace_id workspace) const
 {
-    const auto found = this->homes.find(workspace);
-    return found == this->homes.end() ? this->options.data_centre
-                                      : found->second;
+    const auto found = this->home_data_centres.find(workspace);
+    return found == this->home_data_centres.end() ? this->options.data_centre
+                                                  : found->second;
 }
 
-void scheduler::learn_homes()
+void scheduler::update_home_data_centres()
 {
     this->desk.set_homes(this->snapshot->fleet.data_centres, this->now);
-    this->homes.clear();
+    this->home_data_centres.clear();
     for (const auto& [name, workspace] : this->snapshot->workspaces)
-        this->homes[workspace.id] = workspace.home;
+        this->home_data_centres[workspace.id] = workspace.home;
 }
 
 // False when its grant has grown older than the lease while it stood in line:
 // it has to be asked for again before anything is handed over.
-bool scheduler::grant_holds(request& item)
+bool scheduler::check_grant(request& item)
 {
-    if (!item.claimed || item.may_have_run ||
+    if (!item.holds_claim || item.may_have_run ||
         this->desk.may_dispatch(item.id, this->now))
         return true;
     this->change_phase(item, phase::claiming);
     this->timers.set(item, item.spec.deadline);
-    this->grants_void.push_back(item.id);
+    this->expired_grants.push_back(item.id);
     return false;
 }
 
-void scheduler::renew_grants()
+void scheduler::renew_expired_grants()
 {
-    for (const base::request_id id : std::exchange(this->grants_void, {})) {
+    for (const base::request_id id : std::exchange(this->expired_grants, {})) {
         const auto found = this->requests.find(id);
         if (found != this->requests.end())
             this->begin_claim(found->second);
@@ -95,31 +98,31 @@
 // less certain by that: an answer may be in the making at another entry.
 base::run_state scheduler::close_claim(request& item, base::run_state run)
 {
-    if (!item.claimed)
+    if (!item.holds_claim)
         return run;
-    item.claimed = false;
+    item.holds_claim = false;
     if (item.may_have_run || is_running(item.phase)) {
-        this->desk.failed(item.id, run, this->now, this->desk_out);
+        this->desk.failed(item.id, run, this->now, this->desk_outputs);
         return run;
     }
     const base::run_state told =
-        this->desk.give_up(item.id, this->now, this->desk_out);
+        this->desk.give_up(item.id, this->now, this->desk_outputs);
     return told == base::run_state::may_have_run ? told : run;
 }
 
 // True when something was carried out, which may have freed or filled places.
-bool scheduler::settle_claims()
+bool scheduler::apply_desk_outputs()
 {
-    if (this->desk_out.empty() && this->grants_void.empty())
+    if (this->desk_outputs.empty() && this->expired_grants.empty())
         return false;
-    this->renew_grants();
-    for (const idempotency::output& one : std::exchange(this->desk_out, {}))
-        std::visit([this](const auto& concrete) { this->settle(concrete); },
+    this->renew_expired_grants();
+    for (const idempotency::output& one : std::exchange(this->desk_outputs, {}))
+        std::visit([this](const auto& concrete) { this->apply(concrete); },
                    one);
     return true;
 }
 
-void scheduler::settle(const idempotency::granted& what)
+void scheduler::apply(const idempotency::granted& what)
 {
     const auto found = this->requests.find(what.request);
     if (found == this->requests.end())
@@ -131,37 +134,37 @@
         return;
     this->change_phase(item, phase::queued);
     if (!this->planner.servable(item.spec))
-        return this->end_unservable(item);
+        return this->end_without_upstream(item);
     this->enqueue(item);
 }
 
-void scheduler::settle(const idempotency::attached& what)
+void scheduler::apply(const idempotency::attached& what)
 {
     const auto found = this->requests.find(what.request);
     if (found != this->requests.end() && found->second.phase == phase::claiming)
         this->change_phase(found->second, phase::attached);
 }
 
-void scheduler::settle(const idempotency::recalled& what)
+void scheduler::apply(const idempotency::recalled& what)
 {
     const auto found = this->requests.find(what.request);
     if (found == this->requests.end())
         return;
-    found->second.claimed = false;
+    found->second.holds_claim = false;
     this->count.recalled += 1;
-    this->end_answered_with(found->second, what.whole);
+    this->end_with_answer(found->second, what.whole);
 }
 
-void scheduler::settle(const idempotency::refused& what)
+void scheduler::apply(const idempotency::refused& what)
 {
     const auto found = this->requests.find(what.request);
     if (found == this->requests.end())
         return;
-    found->second.claimed = false;
-    this->end_with(found->second, what.verdict);
+    found->second.holds_claim = false;
+    this->end_with_verdict(found->second, what.verdict);
 }
 
-void scheduler::settle(const idempotency::send& what)
+void scheduler::apply(const idempotency::send& what)
 {
     this->out->push_back(send_claim_message{what.to, what.body});
 }
--- a/src/greengagedrum/delivery/phase.cpp
+++ b/src/greengagedrum/delivery/phase.cpp
@@ -32,9 +32,9 @@
     set_of({phase::dispatched, phase::claiming, phase::ended}),
     // dispatched: refused connect (nothing written); lost its connection;
     // failed and idempotent; whole, or given up
-    set_of({phase::queued, phase::resuming, phase::waiting, phase::ended}),
+    set_of({phase::queued, phase::resuming, phase::backing_off, phase::ended}),
     // resuming: reading again; failed and idempotent; given up
-    set_of({phase::dispatched, phase::waiting, phase::ended}),
+    set_of({phase::dispatched, phase::backing_off, phase::ended}),
     // waiting: next try; no budget or no time left
     set_of({phase::queued, phase::ended}),
     // ended: for good
@@ -51,7 +51,7 @@
 
 } // namespace
 
-bool may_follow(phase from, phase to)
+bool is_transition_allowed(phase from, phase to)
 {
     return (transitions[static_cast<std::size_t>(from)] & bit(to)) != 0;
 }
--- a/src/greengagedrum/delivery/phase.hpp
+++ b/src/greengagedrum/delivery/phase.hpp
@@ -19,19 +19,19 @@
 {
 
 enum class phase : std::uint8_t {
-    claiming,   // asked the home of its ticket or key
-    attached,   // another entry holds it: waits for that answer
-    queued,     // waits for an upstream
-    dispatched, // handed to an upstream, its stream is being read
-    resuming,   // lost its connection, waits to read the stream on
-    waiting,    // idempotent, failed once, backs off before its next dispatch
-    ended       // answered, or told its verdict
+    claiming,    // asked the home of its ticket or key
+    attached,    // another entry holds it: waits for that answer
+    queued,      // waits for an upstream
+    dispatched,  // handed to an upstream, its stream is being read
+    resuming,    // lost its connection, waits to read the stream on
+    backing_off, // idempotent, failed once, backs off before its next dispatch
+    ended        // answered, or told its verdict
 };
 
 inline constexpr int phase_count = 7;
 
 // True when the life may go from `from` to `to`.
-bool may_follow(phase from, phase to);
+bool is_transition_allowed(phase from, phase to);
 
 // True while an upstream has the request.
 constexpr bool is_running(phase value)
--- a/src/greengagedrum/delivery/preemption.cpp
+++ b/src/greengagedrum/delivery/preemption.cpp
@@ -10,29 +10,30 @@
 namespace greengagedrum::delivery
 {
 
-bool scheduler::preempt_for(request& item, rooms_view rooms)
+bool scheduler::preempt_lower_tier(request& item, rooms_view rooms)
 {
     request* best = nullptr;
-    double least = 0;
+    double least_lost = 0;
     for (const placement::room& room : rooms) {
         for (const admission::running* lower :
-             this->run_set.lower_requests(room.upstream, item.spec.tier)) {
+             this->running_requests.lower_requests(room.upstream,
+                                                   item.spec.tier)) {
             request& one = this->requests.at(lower->request);
             if (!this->may_be_preempted(one))
                 continue;
-            const double thrown = this->prefill_thrown(one);
-            if (best != nullptr && thrown >= least)
+            const double lost = this->lost_prefill_tokens(one);
+            if (best != nullptr && lost >= least_lost)
                 continue;
             best = &one;
-            least = thrown;
+            least_lost = lost;
         }
     }
     if (best == nullptr)
         return false;
     const base::upstream_id freed = best->upstream;
     this->count.preempted += 1;
-    this->count.prefill_wasted += static_cast<std::uint64_t>(least);
-    this->return_to_line(*best);
+    this->count.prefill_wasted += static_cast<std::uint64_t>(least_lost);
+    this->requeue_preempted(*best);
     this->dispatch(item, freed);
     return true;
 }
@@ -51,11 +52,11 @@
 
 // Tokens of its prompt that would have to be read again: all of them once an
 // answer has begun, else in proportion to the time it has had.
-double scheduler::prefill_thrown(const request& item) const
+double scheduler::lost_prefill_tokens(const request& item) const
 {
     const double prompt = item.spec.prompt_tokens;
-    const admission::running* run = this->run_set.find(item.id);
-    if (item.tokens_seen > 0 || run == nullptr)
+    const admission::running* run = this->running_requests.find(item.id);
+    if (item.tokens_received > 0 || run == nullptr)
         return prompt;
     const double had = static_cast<double>((this->now - run->since).count());
     const double whole = static_cast<double>(
@@ -65,7 +66,7 @@
 }
 
 // Not counted against its tries: it did not fail.
-void scheduler::return_to_line(request& item)
+void scheduler::requeue_preempted(request& item)
 {
     this->break_stream(item, true);
     this->planner.ended(item.dispatch, this->now);
@@ -73,8 +74,8 @@
     item.may_have_run = true;
     item.dispatches -= 1;
     item.preemptions += 1;
-    item.tokens_seen = 0;
-    this->change_phase(item, phase::waiting);
+    item.tokens_received = 0;
+    this->change_phase(item, phase::backing_off);
     this->change_phase(item, phase::queued);
     this->enqueue(item);
 }
--- a/src/greengagedrum/delivery/request.hpp
+++ b/src/greengagedrum/delivery/request.hpp
@@ -20,7 +20,7 @@
     delivery::phase phase = delivery::phase::queued;
     bool may_have_run = false; // some dispatch was not proved unwritten
     bool caller_present = true;
-    bool claimed = false; // the desk holds it, until told of its end
+    bool holds_claim = false; // the desk holds it, until told of its end
     std::uint64_t body_digest = 0;
     std::optional<idempotency::claim_subject> subject;
 
@@ -28,13 +28,14 @@
     base::dispatch_id dispatch;
     base::upstream_id upstream;
     std::uint32_t connection = 0; // the newest one's number
-    std::uint32_t tokens_seen = 0;
+    std::uint32_t tokens_received = 0;
     base::instant last_progress;
-    std::uint32_t resumes = 0;            // tries since the last progress
-    std::uint32_t dispatches = 0;         // of this request, in all
-    std::uint32_t refusals = 0;           // connects refused before a byte left
-    std::uint32_t preemptions = 0;        // dispatches cancelled for others
-    std::vector<base::upstream_id> avoid; // upstreams that failed it
+    std::uint32_t resume_attempts = 0;  // tries since the last progress
+    std::uint32_t dispatches = 0;       // of this request, in all
+    std::uint32_t connect_refusals = 0; // connects refused before a byte left
+    std::uint32_t preemptions = 0;      // dispatches cancelled for others
+    std::vector<base::upstream_id>
+        avoided_upstreams; // upstreams that failed it
 
     // When the core looks at it next by itself, if at all.
     std::optional<base::instant> timer;
--- a/src/greengagedrum/delivery/retry_budget.cpp
+++ b/src/greengagedrum/delivery/retry_budget.cpp
@@ -5,16 +5,16 @@
 namespace greengagedrum::delivery
 {
 
-void retry_budget::earn()
+void retry_budget::deposit()
 {
-    this->saved = std::min(this->bound, this->saved + this->fraction);
+    this->balance = std::min(this->bound, this->balance + this->fraction);
 }
 
-bool retry_budget::spend()
+bool retry_budget::try_withdraw()
 {
-    if (this->saved < 1.0)
+    if (this->balance < 1.0)
         return false;
-    this->saved -= 1.0;
+    this->balance -= 1.0;
     return true;
 }
 
--- a/src/greengagedrum/delivery/retry_budget.hpp
+++ b/src/greengagedrum/delivery/retry_budget.hpp
@@ -14,17 +14,17 @@
 public:
     // `fraction`: retries earned by one fresh request; `bound`: the most saved.
     retry_budget(double fraction, double bound)
-        : fraction(fraction), bound(bound), saved(bound)
+        : fraction(fraction), bound(bound), balance(bound)
     {
     }
 
-    void earn();
-    bool spend(); // false: no retry left
+    void deposit();
+    bool try_withdraw(); // false: no retry left
 
 private:
     double fraction;
     double bound;
-    double saved;
+    double balance;
 };
 
 } // namespace greengagedrum::delivery
--- a/src/greengagedrum/delivery/scheduler.cpp
+++ b/src/greengagedrum/delivery/scheduler.cpp
@@ -9,8 +9,8 @@
 
 namespace
 {
-constexpr base::duration stop_retry_hint = std::chrono::milliseconds(100);
-constexpr base::duration no_upstream_hint = std::chrono::seconds(1);
+constexpr base::duration stopping_retry_after = std::chrono::milliseconds(100);
+constexpr base::duration no_upstream_retry_after = std::chrono::seconds(1);
 
 placement::options planner_options(const scheduler_options& options)
 {
@@ -47,14 +47,14 @@
     this->out = &actions;
     this->fire_timers();
     std::visit([this](const auto& concrete) { this->on(concrete); }, what);
-    if (this->now >= this->shares_due)
-        this->refresh_shares();
-    this->desk.tick(this->now, this->desk_out);
-    this->settle_claims();
+    if (this->now >= this->next_share_refresh)
+        this->update_shares();
+    this->desk.tick(this->now, this->desk_outputs);
+    this->apply_desk_outputs();
     do {
-        this->give_out();
-        this->settle_given_up();
-    } while (this->settle_claims());
+        this->dispatch_queued();
+        this->force_or_shed_candidates();
+    } while (this->apply_desk_outputs());
     this->out = nullptr;
 }
 
@@ -80,7 +80,7 @@
     return found == this->requests.end() ? nullptr : &found->second;
 }
 
-request* scheduler::by_dispatch(base::dispatch_id dispatch)
+request* scheduler::find_by_dispatch(base::dispatch_id dispatch)
 {
     const auto found = this->dispatches.find(dispatch);
     if (found == this->dispatches.end())
@@ -96,9 +96,9 @@
 
 void scheduler::change_phase(request& item, phase to)
 {
-    assert(may_follow(item.phase, to));
+    assert(is_transition_allowed(item.phase, to));
     if (is_running(item.phase) && !is_running(to))
-        this->run_set.remove(item.id);
+        this->running_requests.remove(item.id);
     item.phase = to;
 }
 
@@ -114,21 +114,23 @@
     item.spec.deadline = this->now + what.deadline_after;
     item.body_digest = what.body_digest;
     item.subject = what.subject;
-    if (this->stop)
-        return this->end_with(
-            item,
-            unclaimed_verdict(what, base::reason::stopping, stop_retry_hint));
+    if (this->stop_requested)
+        return this->end_with_verdict(item,
+                                      unclaimed_verdict(what,
+                                                        base::reason::stopping,
+                                                        stopping_retry_after));
     // The answer to a repeat may be kept, whatever the upstreams do now.
-    if (!may_be_repeat(what) && !this->planner.servable(item.spec))
-        return this->end_unservable(item);
-    this->retries.earn();
+    if (!may_have_run_elsewhere(what) && !this->planner.servable(item.spec))
+        return this->end_without_upstream(item);
+    this->retries.deposit();
     this->begin_claim(item);
 }
 
-void scheduler::end_unservable(request& item)
+void scheduler::end_without_upstream(request& item)
 {
-    this->end_with(item,
-                   base::not_run(base::reason::no_upstream, no_upstream_hint));
+    this->end_with_verdict(
+        item,
+        base::not_run(base::reason::no_upstream, no_upstream_retry_after));
 }
 
 // ---- Timers ---------------------------------------------------------------
@@ -146,14 +148,14 @@
 {
     switch (item.phase) {
     case phase::queued:
-        this->time_in_line_over(item);
+        this->on_queue_timeout(item);
         return;
     case phase::claiming:
     case phase::attached:
-        this->end_with(item,
-                       base::verdict{item.run_state(),
-                                     base::reason::deadline,
-                                     std::nullopt});
+        this->end_with_verdict(item,
+                               base::verdict{item.run_state(),
+                                             base::reason::deadline,
+                                             std::nullopt});
         return;
     case phase::dispatched:
         // The connection may have gone silent for good while the upstream
@@ -164,12 +166,12 @@
         if (item.spec.model.empty())
             return this->retry_or_end(item, base::reason::upstream_silent);
         this->change_phase(item, phase::resuming);
-        this->try_resume(item);
+        this->schedule_resume(item);
         return;
     case phase::resuming:
         this->resume(item);
         return;
-    case phase::waiting:
+    case phase::backing_off:
         this->change_phase(item, phase::queued);
         this->enqueue(item);
         return;
@@ -185,20 +187,20 @@
 
 // ---- Ends -----------------------------------------------------------------
 
-void scheduler::end_answered_with(request& item, base::answer_ptr whole)
+void scheduler::end_with_answer(request& item, base::answer_ptr whole)
 {
     this->planner.ended(item.dispatch, this->now);
-    if (const auto* ran = this->run_set.find(item.id))
+    if (const auto* ran = this->running_requests.find(item.id))
         this->estimator.observe(item.spec, this->now - ran->since);
-    if (item.claimed)
-        this->desk.answered(item.id, whole, this->now, this->desk_out);
-    item.claimed = false;
+    if (item.holds_claim)
+        this->desk.answered(item.id, whole, this->now, this->desk_outputs);
+    item.holds_claim = false;
     this->count.answered += 1;
     this->out->push_back(end_answered{item.id, std::move(whole)});
-    this->forget(item);
+    this->remove(item);
 }
 
-void scheduler::end_with(request& item, base::verdict verdict)
+void scheduler::end_with_verdict(request& item, base::verdict verdict)
 {
     // A request that was handed over once can never be told not_run.
     if (item.may_have_run)
@@ -209,14 +211,14 @@
     else
         this->count.may_have_run += 1;
     this->out->push_back(end_failed{item.id, verdict});
-    this->forget(item);
+    this->remove(item);
 }
 
-void scheduler::forget(request& item)
+void scheduler::remove(request& item)
 {
     this->timers.clear(item);
     this->admission.forget(item.id);
-    this->run_set.remove(item.id);
+    this->running_requests.remove(item.id);
     this->dispatches.erase(item.dispatch);
     this->requests.erase(item.id);
 }
@@ -233,15 +235,15 @@
     const bool running =
         item.phase == phase::dispatched || item.phase == phase::resuming;
     if (!running)
-        return this->end_with(item,
-                              base::verdict{item.run_state(),
-                                            base::reason::deadline,
-                                            std::nullopt});
+        return this->end_with_verdict(item,
+                                      base::verdict{item.run_state(),
+                                                    base::reason::deadline,
+                                                    std::nullopt});
     if (item.spec.repetition == base::repetition::at_most_once)
         return;
     this->break_stream(item, true);
-    if (item.tokens_seen > 0)
-        this->waste_prefill(item);
+    if (item.tokens_received > 0)
+        this->count_wasted_prefill(item);
     this->retry_or_end(item, base::reason::upstream_failed);
 }
 
@@ -253,15 +255,15 @@
     this->planner.set_fleet(what.snapshot->fleet);
     this->estimator.set_fleet(what.snapshot->fleet);
     // The list may have come first, with names that only this fleet knows.
-    this->planner.set_listed(this->listed.instances);
-    this->learn_homes();
+    this->planner.set_listed(this->instance_listing.instances);
+    this->update_home_data_centres();
     this->set_entries();
 }
 
 void scheduler::on(const instances_listed& what)
 {
-    this->listed = what.list;
-    this->planner.set_listed(this->listed.instances);
+    this->instance_listing = what.list;
+    this->planner.set_listed(this->instance_listing.instances);
     this->set_entries();
 }
 
@@ -296,13 +298,13 @@
 void scheduler::on(const stop_begun& what)
 {
     static_cast<void>(what);
-    this->stop = true;
+    this->stop_requested = true;
 }
 
 void scheduler::on(const stop_forced& what)
 {
     static_cast<void>(what);
-    this->stop = true;
+    this->stop_requested = true;
     std::vector<base::request_id> left;
     for (const auto& [id, item] : this->requests)
         left.push_back(id);
@@ -318,7 +320,7 @@
             this->planner.ended(item.dispatch, this->now);
             item.may_have_run = true;
         }
-        this->end_with(item, base::not_run(base::reason::stopping));
+        this->end_with_verdict(item, base::not_run(base::reason::stopping));
     }
 }
 
--- a/src/greengagedrum/delivery/scheduler.hpp
+++ b/src/greengagedrum/delivery/scheduler.hpp
@@ -83,7 +83,7 @@
 
     std::size_t in_flight() const { return this->requests.size(); }
     std::size_t waiting() const { return this->admission.waiting(); }
-    bool stopping() const { return this->stop; }
+    bool stopping() const { return this->stop_requested; }
     const scheduler_counters& counters() const { return this->count; }
 
     // Null once it has ended.
@@ -91,7 +91,10 @@
 
     // What the promise about tiers is checked against, see
     // admission/invariant.hpp.
-    const admission::running_set& running() const { return this->run_set; }
+    const admission::running_set& running() const
+    {
+        return this->running_requests;
+    }
     std::vector<placement::room> rooms(const base::request_spec& item) const
     {
         return this->planner.rooms(item);
@@ -128,100 +131,102 @@
 
     void fire_timers();
     void on_timer(request& item);
-    void give_out();
+    void dispatch_queued();
     void dispatch(request& item, base::upstream_id upstream);
     void enqueue(request& item);
-    void recover(request& item, break_cause cause);
-    void try_resume(request& item);
+    void handle_broken_stream(request& item, break_cause cause);
+    void schedule_resume(request& item);
     void resume(request& item);
     void break_stream(const request& item, bool cancel);
     void retry_or_end(request& item, base::reason why);
-    void end_answered_with(request& item, base::answer_ptr whole);
-    void end_with(request& item, base::verdict verdict);
-    void end_unservable(request& item);
-    void forget(request& item);
+    void end_with_answer(request& item, base::answer_ptr whole);
+    void end_with_verdict(request& item, base::verdict verdict);
+    void end_without_upstream(request& item);
+    void remove(request& item);
     void change_phase(request& item, phase to);
-    void watch_progress(request& item);
-    request* by_dispatch(base::dispatch_id dispatch);
-    void waste_prefill(const request& item);
+    void set_progress_timer(request& item);
+    request* find_by_dispatch(base::dispatch_id dispatch);
+    void count_wasted_prefill(const request& item);
     double random();
 
     // delivery/claims.cpp: tickets and callers' keys.
     void begin_claim(request& item);
     base::data_centre_id home_of(base::workspace_id workspace) const;
-    void learn_homes();
-    bool grant_holds(request& item);
-    void renew_grants();
+    void update_home_data_centres();
+    bool check_grant(request& item);
+    void renew_expired_grants();
     base::run_state close_claim(request& item, base::run_state run);
-    bool settle_claims();
-    void settle(const idempotency::granted& what);
-    void settle(const idempotency::attached& what);
-    void settle(const idempotency::recalled& what);
-    void settle(const idempotency::refused& what);
-    void settle(const idempotency::send& what);
+    bool apply_desk_outputs();
+    void apply(const idempotency::granted& what);
+    void apply(const idempotency::attached& what);
+    void apply(const idempotency::recalled& what);
+    void apply(const idempotency::refused& what);
+    void apply(const idempotency::send& what);
 
     // delivery/waiting.cpp: the line, and who gives way in it.
     using rooms_view = std::span<const placement::room>;
-    bool place(base::request_id id,
-               const base::request_spec& item,
-               admission::grant);
-    bool place_free(request& item);
-    bool place_by_floor(request& item);
+    bool try_dispatch(base::request_id id,
+                      const base::request_spec& item,
+                      admission::grant);
+    bool dispatch_to_free_slot(request& item);
+    bool dispatch_within_floor(request& item);
     bool make_room(request& item);
     void mark_distress(const base::request_spec& item);
     bool overdraw(request& item, rooms_view rooms, double share);
-    bool force(request& item);
-    bool lower_runs(const base::request_spec& item, rooms_view rooms) const;
+    bool force_dispatch(request& item);
+    bool lower_tier_runs_here(const base::request_spec& item,
+                              rooms_view rooms) const;
     bool lower_runs_at_peers(const base::request_spec& item) const;
-    std::uint32_t floor_places(rooms_view rooms) const;
-    void time_in_line_over(request& item);
-    void give_up(const request& item, base::reason why);
-    void settle_given_up();
+    std::uint32_t floor_slots(rooms_view rooms) const;
+    void on_queue_timeout(request& item);
+    void add_shed_candidate(const request& item, base::reason why);
+    void force_or_shed_candidates();
     void shed(request& item, base::reason why);
-    bool can_be_met(const request& item, base::duration expected);
-    base::duration wait_for(const base::request_spec& item) const;
-    base::duration hint_for(const base::request_spec& item) const;
+    bool can_meet_deadline(const request& item, base::duration expected);
+    base::duration expected_wait(const base::request_spec& item) const;
+    base::duration retry_after_for(const base::request_spec& item) const;
 
     // delivery/preemption.cpp
-    bool preempt_for(request& item, rooms_view rooms);
+    bool preempt_lower_tier(request& item, rooms_view rooms);
     bool may_be_preempted(const request& item) const;
-    double prefill_thrown(const request& item) const;
-    void return_to_line(request& item);
+    double lost_prefill_tokens(const request& item) const;
+    void requeue_preempted(request& item);
 
     // delivery/sharing.cpp: this instance's part of upstreams and limits.
     void set_entries();
-    void refresh_shares();
-    void set_limit_shares();
-    capacity::load_digest own_use();
-    void note_limit_uses(capacity::load_digest& used);
+    void update_shares();
+    void set_own_limits();
+    capacity::load_digest own_load();
+    void add_limit_usage(capacity::load_digest& digest);
 
     scheduler_options options;
     std::mt19937_64 generator;
     admission::controller admission;
     placement::planner planner;
     idempotency::desk desk;
-    std::unordered_map<base::workspace_id, base::data_centre_id> homes;
-    admission::running_set run_set;
+    std::unordered_map<base::workspace_id, base::data_centre_id>
+        home_data_centres;
+    admission::running_set running_requests;
     admission::run_estimator estimator;
     admission::distress distress;
     capacity::shares shares;
-    base::instant shares_due;
-    base::instant load_told;
-    std::map<admission::limit_key, std::uint64_t> tokens_told;
+    base::instant next_share_refresh;
+    base::instant last_digest_at;
+    std::map<admission::limit_key, std::uint64_t> reported_tokens;
     retry_budget retries;
     timer_queue timers;
     std::unordered_map<base::request_id, request> requests;
     std::unordered_map<base::dispatch_id, base::request_id> dispatches;
     config::snapshot_ptr snapshot;
-    membership::instance_list listed;
+    membership::instance_list instance_listing;
     scheduler_counters count;
     std::uint64_t next_dispatch = 1;
-    bool stop = false;
+    bool stop_requested = false;
 
     // Valid within step().
-    std::vector<idempotency::output> desk_out;
-    std::vector<base::request_id> grants_void;
-    std::vector<std::pair<base::request_id, base::reason>> given_up;
+    std::vector<idempotency::output> desk_outputs;
+    std::vector<base::request_id> expired_grants;
+    std::vector<std::pair<base::request_id, base::reason>> shed_candidates;
     base::instant now;
     std::vector<action>* out = nullptr;
 };
--- a/src/greengagedrum/delivery/sharing.cpp
+++ b/src/greengagedrum/delivery/sharing.cpp
@@ -22,7 +22,7 @@
         this->planner.peer_lost(what.sender);
     this->planner.peer_use(what.sender, what.digest.uses, this->now);
     this->shares.heard(what.sender, what.incarnation, what.digest, this->now);
-    this->refresh_shares();
+    this->update_shares();
 }
 
 void scheduler::on(const peer_lost& what)
@@ -30,7 +30,7 @@
     this->planner.peer_lost(what.slot);
     this->desk.lost(what.slot);
     this->shares.lost(what.slot);
-    this->refresh_shares();
+    this->update_shares();
 }
 
 // The list says who exists. Before it is known, whoever the fleet document
@@ -38,25 +38,27 @@
 void scheduler::set_entries()
 {
     std::set<base::slot_id> live;
-    for (const membership::listed_instance& line : this->listed.instances) {
-        if (line.type == membership::instance_type::entry &&
-            line.state == membership::listed_state::live &&
-            base::data_centre_id(line.data_centre) == this->options.data_centre)
-            live.insert(base::slot_id(line.name));
+    for (const membership::listed_instance& instance :
+         this->instance_listing.instances) {
+        if (instance.type == membership::instance_type::entry &&
+            instance.state == membership::listed_state::live &&
+            base::data_centre_id(instance.data_centre) ==
+                this->options.data_centre)
+            live.insert(base::slot_id(instance.name));
     }
-    if (this->listed.instances.empty() && this->snapshot) {
+    if (this->instance_listing.instances.empty() && this->snapshot) {
         for (const auto& centre : this->snapshot->fleet.data_centres)
             if (centre.id == this->options.data_centre)
                 for (const config::entry_slot& slot : centre.slots)
                     live.insert(slot.id);
     }
     this->shares.set_entries(std::move(live));
-    this->refresh_shares();
+    this->update_shares();
 }
 
-void scheduler::refresh_shares()
+void scheduler::update_shares()
 {
-    this->shares_due = this->now + share_period;
+    this->next_share_refresh = this->now + share_period;
     if (!this->snapshot)
         return;
     std::map<base::upstream_class_id, std::uint32_t> totals;
@@ -75,12 +77,12 @@
                                      this->now);
         this->planner.set_allowance(entry.id, share);
     }
-    this->set_limit_shares();
+    this->set_own_limits();
 }
 
 // At least one request at once: a limit smaller than the number of entries
 // would else shut some of them out for good.
-void scheduler::set_limit_shares()
+void scheduler::set_own_limits()
 {
     std::map<admission::limit_key, admission::limit> bounds;
     const double idle = this->shares.of_idle_limit(this->now);
@@ -108,15 +110,15 @@
 {
     static_cast<void>(what);
     this->out->push_back(
-        send_load_digest{this->shares.compose(this->own_use(), this->now)});
+        send_load_digest{this->shares.compose(this->own_load(), this->now)});
 }
 
 // Empty until a configuration says which upstreams there are.
-capacity::load_digest scheduler::own_use()
+capacity::load_digest scheduler::own_load()
 {
-    capacity::load_digest used;
+    capacity::load_digest digest;
     if (!this->snapshot)
-        return used;
+        return digest;
     std::set<base::upstream_class_id> classes;
     for (const auto& entry : this->snapshot->fleet.upstreams) {
         if (entry.data_centre != this->options.data_centre)
@@ -124,10 +126,10 @@
         classes.insert(entry.upstream_class);
         capacity::upstream_use use;
         use.upstream = entry.id;
-        use.in_flight = this->run_set.in_flight(entry.id);
-        use.tokens_in_flight = this->run_set.tokens(entry.id);
+        use.in_flight = this->running_requests.in_flight(entry.id);
+        use.tokens_in_flight = this->running_requests.tokens(entry.id);
         use.overdraft = use.in_flight > this->planner.allowance(entry.id);
-        used.uses.push_back(use);
+        digest.uses.push_back(use);
     }
     for (const base::upstream_class_id id : classes) {
         capacity::class_demand demand;
@@ -136,20 +138,20 @@
         for (const base::tier tier : base::all_tiers) {
             const std::size_t index = base::index_of(tier);
             demand.waiting[index] = waiting[index];
-            demand.running[index] = this->run_set.count(id, tier);
+            demand.running[index] = this->running_requests.count(id, tier);
         }
-        used.demands.push_back(demand);
+        digest.demands.push_back(demand);
     }
-    this->note_limit_uses(used);
-    return used;
+    this->add_limit_usage(digest);
+    return digest;
 }
 
 // Tokens a second are those let through since the last digest.
-void scheduler::note_limit_uses(capacity::load_digest& used)
+void scheduler::add_limit_usage(capacity::load_digest& digest)
 {
-    const double passed =
-        std::chrono::duration<double>(this->now - this->load_told).count();
-    this->load_told = this->now;
+    const double elapsed_s =
+        std::chrono::duration<double>(this->now - this->last_digest_at).count();
+    this->last_digest_at = this->now;
     for (const auto& [name, workspace] : this->snapshot->workspaces) {
         for (const config::kind_rules& kind : workspace.kinds) {
             if (kind.max_in_flight == 0 && kind.tokens_per_second == 0)
@@ -163,11 +165,11 @@
             const std::uint64_t spent =
                 this->admission.limits_in_use().spent(key);
             const std::uint64_t fresh =
-                spent - std::exchange(this->tokens_told[key], spent);
-            if (kind.tokens_per_second > 0 && passed > 0)
+                spent - std::exchange(this->reported_tokens[key], spent);
+            if (kind.tokens_per_second > 0 && elapsed_s > 0)
                 use.tokens_per_second = static_cast<std::uint32_t>(
-                    static_cast<double>(fresh) / passed);
-            used.limits.push_back(use);
+                    static_cast<double>(fresh) / elapsed_s);
+            digest.limits.push_back(use);
         }
     }
 }
--- a/src/greengagedrum/delivery/streams.cpp
+++ b/src/greengagedrum/delivery/streams.cpp
@@ -15,16 +15,16 @@
     item.dispatch =
         base::dispatch_id{this->options.incarnation, this->next_dispatch++};
     item.upstream = upstream;
-    item.tokens_seen = 0;
-    item.resumes = 0;
+    item.tokens_received = 0;
+    item.resume_attempts = 0;
     item.dispatches += 1;
     item.last_progress = this->now;
-    if (item.claimed && !item.may_have_run)
+    if (item.holds_claim && !item.may_have_run)
         this->desk.dispatched(item.id);
     this->dispatches.emplace(item.dispatch, item.id);
-    this->run_set.add({item.id, item.spec, upstream, this->now});
+    this->running_requests.add({item.id, item.spec, upstream, this->now});
     this->planner.sent(item.dispatch, upstream, item.spec, this->now);
-    this->watch_progress(item);
+    this->set_progress_timer(item);
     this->count.dispatched += 1;
     item.connection += 1;
     this->out->push_back(
@@ -35,7 +35,7 @@
 // read on. The failure: its connection is broken while it works on a receipt,
 // and the clerk is told may_have_run of an answer that was about to come. A
 // call that can't be repeated is therefore waited for until its deadline.
-void scheduler::watch_progress(request& item)
+void scheduler::set_progress_timer(request& item)
 {
     const base::instant silent =
         this->now + this->planner.patience(item.dispatch, this->now);
@@ -51,63 +51,64 @@
 // dispatch was made.
 void scheduler::on(const connect_refused& what)
 {
-    request* item = this->by_dispatch(what.dispatch);
+    request* item = this->find_by_dispatch(what.dispatch);
     if (item == nullptr || item->phase != phase::dispatched ||
-        item->connection != what.connection || item->tokens_seen > 0)
+        item->connection != what.connection || item->tokens_received > 0)
         return;
     this->planner.refused(item->upstream, this->now);
     this->planner.ended(item->dispatch, this->now);
     this->dispatches.erase(item->dispatch);
     item->dispatches -= 1;
-    item->refusals += 1;
-    if (item->claimed && !item->may_have_run)
+    item->connect_refusals += 1;
+    if (item->holds_claim && !item->may_have_run)
         this->desk.not_dispatched(item->id);
-    item->avoid.push_back(item->upstream);
+    item->avoided_upstreams.push_back(item->upstream);
     if (!item->caller_present)
-        return this->end_with(*item, base::not_run(base::reason::stopping));
+        return this->end_with_verdict(*item,
+                                      base::not_run(base::reason::stopping));
     // Backs off: with every upstream down, an immediate second try would
     // spin between them until the deadline.
-    this->change_phase(*item, phase::waiting);
-    const base::duration wait =
-        backoff(this->options.retry_backoff, item->refusals, this->random());
+    this->change_phase(*item, phase::backing_off);
+    const base::duration wait = backoff(
+        this->options.retry_backoff, item->connect_refusals, this->random());
     this->timers.set(*item, std::min(this->now + wait, item->spec.deadline));
 }
 
 void scheduler::on(const stream_progressed& what)
 {
-    request* item = this->by_dispatch(what.dispatch);
+    request* item = this->find_by_dispatch(what.dispatch);
     if (item == nullptr || item->dispatch != what.dispatch)
         return;
     if (item->phase == phase::resuming)
         return;
-    item->tokens_seen = std::max(item->tokens_seen, what.tokens);
-    item->resumes = 0;
+    item->tokens_received = std::max(item->tokens_received, what.tokens);
+    item->resume_attempts = 0;
     item->last_progress = this->now;
     this->planner.progressed(item->dispatch, what.tokens, this->now);
-    this->watch_progress(*item);
+    this->set_progress_timer(*item);
 }
 
 void scheduler::on(const stream_finished& what)
 {
-    request* item = this->by_dispatch(what.dispatch);
+    request* item = this->find_by_dispatch(what.dispatch);
     if (item == nullptr || item->dispatch != what.dispatch)
         return;
     this->planner.finished(item->dispatch,
                            what.answer ? what.answer->tokens : 0,
                            what.cached_tokens);
-    this->end_answered_with(*item, what.answer);
+    this->end_with_answer(*item, what.answer);
 }
 
 void scheduler::on(const stream_broken& what)
 {
-    request* item = this->by_dispatch(what.dispatch);
+    request* item = this->find_by_dispatch(what.dispatch);
     if (item == nullptr || item->dispatch != what.dispatch ||
         item->phase != phase::dispatched || item->connection != what.connection)
         return;
     if (what.cause == break_cause::no_connection ||
         what.cause == break_cause::refused)
         this->planner.refused(item->upstream, this->now);
-    this->recover(*item, what.cause);
+    this->handle_broken_stream(*item, what.cause);
 }
 
 // ---- Recovery -------------------------------------------------------------
@@ -121,7 +122,7 @@
 // stream: a few tries find out. One that can't be reached is more likely cut
 // off, and still at work; work dispatched at most once has no other answer to
 // hope for, so it is asked again for as long as a cut usually lasts.
-void scheduler::recover(request& item, break_cause cause)
+void scheduler::handle_broken_stream(request& item, break_cause cause)
 {
     const bool lost = cause == break_cause::unknown_stream ||
                       cause == break_cause::refused ||
@@ -134,18 +135,18 @@
         item.spec.repetition == base::repetition::at_most_once &&
         this->now - item.last_progress <
             this->options.unreachable_resume_window;
-    if (cut_off && item.resumes > 0)
-        item.resumes -= 1;
-    this->try_resume(item);
+    if (cut_off && item.resume_attempts > 0)
+        item.resume_attempts -= 1;
+    this->schedule_resume(item);
 }
 
-void scheduler::try_resume(request& item)
+void scheduler::schedule_resume(request& item)
 {
-    if (item.resumes >= this->options.resumes_max)
+    if (item.resume_attempts >= this->options.resumes_max)
         return this->retry_or_end(item, base::reason::upstream_failed);
-    item.resumes += 1;
-    const base::duration wait =
-        backoff(this->options.resume_backoff, item.resumes, this->random());
+    item.resume_attempts += 1;
+    const base::duration wait = backoff(
+        this->options.resume_backoff, item.resume_attempts, this->random());
     this->timers.set(item, this->now + wait);
 }
 
@@ -154,12 +155,12 @@
     this->change_phase(item, phase::dispatched);
     this->count.resumed += 1;
     this->count.resumed_by_tier[base::index_of(item.spec.tier)] += 1;
-    this->watch_progress(item);
+    this->set_progress_timer(item);
     this->out->push_back(start_resume{.request = item.id,
                                       .dispatch = item.dispatch,
                                       .upstream = item.upstream,
                                       .connection = ++item.connection,
-                                      .offset = item.tokens_seen});
+                                      .offset = item.tokens_received});
 }
 
 // The dispatch is given up. An idempotent request may be run anew, within its
@@ -172,20 +173,20 @@
     const bool repeatable =
         item.spec.repetition == base::repetition::idempotent &&
         item.caller_present && item.dispatches < this->options.dispatches_max &&
-        this->now < item.spec.deadline && this->retries.spend();
+        this->now < item.spec.deadline && this->retries.try_withdraw();
     if (!repeatable)
-        return this->end_with(item, base::may_have_run(why));
+        return this->end_with_verdict(item, base::may_have_run(why));
     this->count.retried += 1;
     this->count.retried_by_tier[base::index_of(item.spec.tier)] += 1;
-    this->waste_prefill(item);
-    item.avoid.push_back(item.upstream);
-    this->change_phase(item, phase::waiting);
+    this->count_wasted_prefill(item);
+    item.avoided_upstreams.push_back(item.upstream);
+    this->change_phase(item, phase::backing_off);
     const base::duration wait =
         backoff(this->options.retry_backoff, item.dispatches, this->random());
     this->timers.set(item, std::min(this->now + wait, item.spec.deadline));
 }
 
-void scheduler::waste_prefill(const request& item)
+void scheduler::count_wasted_prefill(const request& item)
 {
     const std::uint64_t tokens = item.spec.prompt_tokens;
     this->count.prefill_wasted += tokens;
--- a/src/greengagedrum/delivery/test/random_run.hpp
+++ b/src/greengagedrum/delivery/test/random_run.hpp
@@ -283,10 +283,10 @@
         if (from == to)
             return;
         // One step may take a request through two transitions.
-        bool legal = may_follow(from, to);
+        bool legal = is_transition_allowed(from, to);
         for (int middle = 0; middle < phase_count && !legal; ++middle)
-            legal = may_follow(from, static_cast<phase>(middle)) &&
-                    may_follow(static_cast<phase>(middle), to);
+            legal = is_transition_allowed(from, static_cast<phase>(middle)) &&
+                    is_transition_allowed(static_cast<phase>(middle), to);
         CHECK_MESSAGE(legal, this->where());
     }
 
--- a/src/greengagedrum/delivery/test/tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/tiers_test.cpp
@@ -259,7 +259,7 @@
         for (const std::uint64_t id : {1, 2, 4}) {
             const request* item = this->core.find(base::request_id{id});
             this->step(
-                stream_progressed{item->dispatch, item->tokens_seen + 1});
+                stream_progressed{item->dispatch, item->tokens_received + 1});
         }
         this->pass(std::chrono::seconds(1));
         if (this->get<end_failed>() != nullptr)
--- a/src/greengagedrum/delivery/unclaimed_verdict.hpp
+++ b/src/greengagedrum/delivery/unclaimed_verdict.hpp
@@ -8,7 +8,7 @@
 
 // True when an earlier request with the same ticket or key may have run
 // through another entry.
-inline bool may_be_repeat(const request_arrived& what)
+inline bool may_have_run_elsewhere(const request_arrived& what)
 {
     return what.subject &&
            what.spec.repetition == base::repetition::at_most_once;
@@ -22,7 +22,7 @@
                                        base::duration retry_after)
 {
     base::verdict out = base::not_run(why, retry_after);
-    if (may_be_repeat(what))
+    if (may_have_run_elsewhere(what))
         out.run = base::run_state::may_have_run;
     return out;
 }
--- a/src/greengagedrum/delivery/waiting.cpp
+++ b/src/greengagedrum/delivery/waiting.cpp
@@ -12,17 +12,17 @@
 namespace
 {
 
-constexpr base::duration hint_least = std::chrono::milliseconds(100);
-constexpr base::duration hint_most = std::chrono::minutes(5);
+constexpr base::duration retry_after_min = std::chrono::milliseconds(100);
+constexpr base::duration retry_after_max = std::chrono::minutes(5);
 
-base::duration part_of(base::duration whole, double part)
+base::duration scaled(base::duration whole, double part)
 {
     const double ticks = static_cast<double>(whole.count()) * part;
     return base::duration(static_cast<base::duration::rep>(ticks));
 }
 
 // Places up to which an instance fills an upstream when it overdraws.
-std::uint32_t overdraft_bound(const placement::room& room, double share)
+std::uint32_t overdraft_limit(const placement::room& room, double share)
 {
     if (share <= 0)
         return room.allowance;
@@ -32,7 +32,7 @@
 }
 
 // Less filled by this instance, for what the upstream can hold.
-bool roomier(const placement::room& left, const placement::room& right)
+bool less_loaded(const placement::room& left, const placement::room& right)
 {
     const std::uint64_t left_load = std::uint64_t{left.in_flight} * right.limit;
     const std::uint64_t right_load =
@@ -42,63 +42,65 @@
 
 } // namespace
 
-void scheduler::give_out()
+void scheduler::dispatch_queued()
 {
-    this->admission.offer(
-        this->now,
-        [this](base::request_id id,
-               const base::request_spec& item,
-               admission::grant how) { return this->place(id, item, how); });
+    this->admission.offer(this->now,
+                          [this](base::request_id id,
+                                 const base::request_spec& item,
+                                 admission::grant how) {
+                              return this->try_dispatch(id, item, how);
+                          });
 }
 
 void scheduler::enqueue(request& item)
 {
     item.phase = phase::queued;
     const base::duration expected = this->estimator.expected(item.spec);
-    const base::duration run =
-        part_of(expected, this->options.admission.belief);
+    const base::duration run = scaled(expected, this->options.admission.belief);
     this->timers.set(item, std::max(this->now, item.spec.deadline - run));
-    const bool fresh = item.dispatches == 0 && item.refusals == 0 &&
+    const bool fresh = item.dispatches == 0 && item.connect_refusals == 0 &&
                        item.preemptions == 0 && !item.may_have_run;
-    if (fresh && !this->can_be_met(item, expected))
-        return this->give_up(item, base::reason::deadline);
+    if (fresh && !this->can_meet_deadline(item, expected))
+        return this->add_shed_candidate(item, base::reason::deadline);
     const auto victim = this->admission.enqueue(
         item.id, item.spec, expected, !fresh, this->now);
     const bool itself = victim && *victim == item.id;
     if (victim)
-        this->give_up(this->requests.at(*victim), base::reason::overloaded);
+        this->add_shed_candidate(this->requests.at(*victim),
+                                 base::reason::overloaded);
     if (itself || !fresh || !this->admission.held(item.id))
         return;
     const base::duration held =
         this->admission.held_for(item.spec, expected, this->now);
     const base::duration needed =
-        part_of(held + expected, this->options.admission.belief);
+        scaled(held + expected, this->options.admission.belief);
     if (this->now + needed > item.spec.deadline)
-        this->end_with(item,
-                       base::not_run(base::reason::limit_reached,
-                                     std::clamp(held, hint_least, hint_most)));
+        this->end_with_verdict(
+            item,
+            base::not_run(base::reason::limit_reached,
+                          std::clamp(held, retry_after_min, retry_after_max)));
 }
 
 // ---- Placing --------------------------------------------------------------
 
-bool scheduler::place(base::request_id id,
-                      const base::request_spec& work,
-                      admission::grant how)
+bool scheduler::try_dispatch(base::request_id id,
+                             const base::request_spec& work,
+                             admission::grant how)
 {
     request& item = this->requests.at(id);
-    if (!this->grant_holds(item))
+    if (!this->check_grant(item))
         return true;
     if (how == admission::grant::floor)
-        return this->place_by_floor(item);
-    if (this->place_free(item))
+        return this->dispatch_within_floor(item);
+    if (this->dispatch_to_free_slot(item))
         return true;
     return work.tier == base::tier::urgent && this->make_room(item);
 }
 
 // To an upstream with a free place and no higher tier in distress.
-bool scheduler::place_free(request& item)
+bool scheduler::dispatch_to_free_slot(request& item)
 {
-    std::vector<base::upstream_id> avoid = item.avoid;
+    std::vector<base::upstream_id> avoid = item.avoided_upstreams;
     for (const placement::room& room : this->planner.rooms(item.spec))
         if (this->distress.above(room.upstream, item.spec.tier, this->now))
             avoid.push_back(room.upstream);
@@ -117,7 +119,7 @@
 // work stands in line until its deadline. Because the floor is counted in
 // places at once, it costs the higher tiers that part of the upstreams' speed
 // and no more, however long the work is.
-bool scheduler::place_by_floor(request& item)
+bool scheduler::dispatch_within_floor(request& item)
 {
     const auto rooms = this->planner.rooms(item.spec);
     // Work of this tier and below together: three tiers that each held a
@@ -125,21 +127,22 @@
     std::uint32_t held = 0;
     for (const base::tier tier : base::all_tiers)
         if (!base::more_urgent(tier, item.spec.tier))
-            held += this->run_set.count(item.spec.upstream_class, tier);
-    if (held >= this->floor_places(rooms))
+            held +=
+                this->running_requests.count(item.spec.upstream_class, tier);
+    if (held >= this->floor_slots(rooms))
         return false;
-    return this->place_free(item) ||
+    return this->dispatch_to_free_slot(item) ||
            this->overdraw(item, rooms, this->options.admission.overdraft_share);
 }
 
-std::uint32_t scheduler::floor_places(rooms_view rooms) const
+std::uint32_t scheduler::floor_slots(rooms_view rooms) const
 {
-    std::uint32_t places = 0;
+    std::uint32_t slots = 0;
     for (const placement::room& room : rooms)
-        places += room.allowance;
+        slots += room.allowance;
     const double part = this->options.admission.floor_share;
     return std::max<std::uint32_t>(
-        1, static_cast<std::uint32_t>(static_cast<double>(places) * part));
+        1, static_cast<std::uint32_t>(static_cast<double>(slots) * part));
 }
 
 // Urgent work does not wait behind lower work that runs: it overdraws, and with
@@ -149,8 +152,8 @@
 bool scheduler::make_room(request& item)
 {
     const auto rooms = this->planner.rooms(item.spec);
-    const bool here = this->lower_runs(item.spec, rooms);
-    if (!here && !this->lower_runs_at_peers(item.spec))
+    const bool lower_here = this->lower_tier_runs_here(item.spec, rooms);
+    if (!lower_here && !this->lower_runs_at_peers(item.spec))
         return false;
     if (this->overdraw(item, rooms, this->options.admission.overdraft_share))
         return true;
@@ -158,7 +161,7 @@
         rooms.begin(), rooms.end(), [&](const placement::room& room) {
             return this->distress.of(room.upstream, item.spec.tier, this->now);
         });
-    return at_risk && this->preempt_for(item, rooms);
+    return at_risk && this->preempt_lower_tier(item, rooms);
 }
 
 // Continuous batching admits it, at the price of some speed for all. Nothing
@@ -169,14 +172,16 @@
     const placement::room* best = nullptr;
     bool best_avoided = true;
     for (const placement::room& room : rooms) {
-        if (room.in_flight >= overdraft_bound(room, share) ||
+        if (room.in_flight >= overdraft_limit(room, share) ||
             this->distress.above(room.upstream, item.spec.tier, this->now))
             continue;
         const bool avoided =
-            std::find(item.avoid.begin(), item.avoid.end(), room.upstream) !=
-            item.avoid.end();
-        const bool better = best == nullptr || (best_avoided && !avoided) ||
-                            (best_avoided == avoided && roomier(room, *best));
+            std::find(item.avoided_upstreams.begin(),
+                      item.avoided_upstreams.end(),
+                      room.upstream) != item.avoided_upstreams.end();
+        const bool better =
+            best == nullptr || (best_avoided && !avoided) ||
+            (best_avoided == avoided && less_loaded(room, *best));
         if (!better)
             continue;
         best = &room;
@@ -189,14 +194,14 @@
     return true;
 }
 
-bool scheduler::lower_runs(const base::request_spec& item,
-                           rooms_view rooms) const
+bool scheduler::lower_tier_runs_here(const base::request_spec& item,
+                                     rooms_view rooms) const
 {
     const std::uint32_t factor = this->options.admission.hard_factor;
     return std::any_of(
         rooms.begin(), rooms.end(), [&](const placement::room& room) {
             return room.in_flight < admission::hard_bound(room, factor) &&
-                   this->run_set.lower_on(room.upstream, item.tier);
+                   this->running_requests.lower_on(room.upstream, item.tier);
         });
 }
 
@@ -214,20 +219,22 @@
 
 // The last way before a request is shed while lower work runs: it goes to the
 // upstream with the most room whatever its overdraft, up to the hard bound.
-bool scheduler::force(request& item)
+bool scheduler::force_dispatch(request& item)
 {
     const auto rooms = this->planner.rooms(item.spec);
-    if (!this->lower_runs(item.spec, rooms) &&
+    if (!this->lower_tier_runs_here(item.spec, rooms) &&
         !this->lower_runs_at_peers(item.spec))
         return false;
     const double share = this->options.admission.overdraft_share;
-    if (this->overdraw(item, rooms, share) || this->preempt_for(item, rooms))
+    if (this->overdraw(item, rooms, share) ||
+        this->preempt_lower_tier(item, rooms))
         return true;
     const placement::room* best = nullptr;
     for (const placement::room& room : rooms) {
         const std::uint32_t bound =
             admission::hard_bound(room, this->options.admission.hard_factor);
-        if (room.in_flight < bound && (best == nullptr || roomier(room, *best)))
+        if (room.in_flight < bound &&
+            (best == nullptr || less_loaded(room, *best)))
             best = &room;
     }
     if (best == nullptr)
@@ -238,54 +245,55 @@
 }
 
 // The latest start that could still meet its deadline has passed.
-void scheduler::time_in_line_over(request& item)
+void scheduler::on_queue_timeout(request& item)
 {
     if (this->admission.held(item.id)) {
         const base::duration held = this->admission.held_for(
             item.spec, this->estimator.expected(item.spec), this->now);
-        return this->end_with(
+        return this->end_with_verdict(
             item,
             base::not_run(base::reason::limit_reached,
-                          std::clamp(held, hint_least, hint_most)));
+                          std::clamp(held, retry_after_min, retry_after_max)));
     }
-    if (item.refusals > 0)
-        return this->end_with(item,
-                              base::not_run(base::reason::upstream_failed,
-                                            this->hint_for(item.spec)));
-    this->give_up(item, base::reason::deadline);
+    if (item.connect_refusals > 0)
+        return this->end_with_verdict(
+            item,
+            base::not_run(base::reason::upstream_failed,
+                          this->retry_after_for(item.spec)));
+    this->add_shed_candidate(item, base::reason::deadline);
 }
 
 // Decided at the end of the step, for the same step may yet free a place, or
 // give one to lower work.
-void scheduler::give_up(const request& item, base::reason why)
+void scheduler::add_shed_candidate(const request& item, base::reason why)
 {
-    this->given_up.push_back({item.id, why});
+    this->shed_candidates.push_back({item.id, why});
 }
 
 // Nobody is shed until nobody more can be forced in: one that is forced in
 // may be the lower work before which a higher one must not be shed.
-void scheduler::settle_given_up()
+void scheduler::force_or_shed_candidates()
 {
-    bool moved = true;
-    while (moved) {
-        moved = false;
-        const auto round = std::exchange(this->given_up, {});
+    bool progressed = true;
+    while (progressed) {
+        progressed = false;
+        const auto round = std::exchange(this->shed_candidates, {});
         for (const auto& [id, why] : round) {
             const auto found = this->requests.find(id);
             if (found == this->requests.end() ||
                 found->second.phase != phase::queued)
                 continue;
             this->mark_distress(found->second.spec);
-            if (!this->grant_holds(found->second) ||
-                this->force(found->second)) {
+            if (!this->check_grant(found->second) ||
+                this->force_dispatch(found->second)) {
                 this->admission.remove(id);
-                moved = true;
+                progressed = true;
             } else {
-                this->given_up.emplace_back(id, why);
+                this->shed_candidates.emplace_back(id, why);
             }
         }
     }
-    for (const auto& [id, why] : std::exchange(this->given_up, {})) {
+    for (const auto& [id, why] : std::exchange(this->shed_candidates, {})) {
         // Twice here when its time was over and its place given up as well.
         const auto found = this->requests.find(id);
         if (found != this->requests.end())
@@ -304,56 +312,59 @@
     const bool any = this->planner.servable(item.spec);
     if (any)
         this->count.shed[base::index_of(item.spec.tier)] += 1;
-    this->end_with(item,
-                   base::not_run(any ? why : base::reason::no_upstream,
-                                 this->hint_for(item.spec)));
+    this->end_with_verdict(item,
+                           base::not_run(any ? why : base::reason::no_upstream,
+                                         this->retry_after_for(item.spec)));
 }
 
 // How long the line ahead takes to drain, by this instance's places but those
 // that lower work holds.
-base::duration scheduler::wait_for(const base::request_spec& item) const
+base::duration scheduler::expected_wait(const base::request_spec& item) const
 {
     // Nobody ahead is the usual case; counting what runs on every upstream
     // would cost more than all the rest of an arrival.
     const base::duration ahead = this->admission.ahead_of(item);
     if (ahead == base::duration{0})
         return ahead;
-    std::uint32_t places = 0;
+    std::uint32_t slots = 0;
     std::uint32_t lower = 0;
     for (const placement::room& room : this->planner.rooms(item)) {
-        places += room.allowance;
+        slots += room.allowance;
         lower += static_cast<std::uint32_t>(
-            this->run_set.lower_requests(room.upstream, item.tier).size());
+            this->running_requests.lower_requests(room.upstream, item.tier)
+                .size());
     }
-    const std::uint32_t own = places - std::min(places, lower);
-    return ahead / std::max<std::uint32_t>(1, own);
+    const std::uint32_t usable = slots - std::min(slots, lower);
+    return ahead / std::max<std::uint32_t>(1, usable);
 }
 
 // Never false while lower work runs or waits: that gives way first.
-bool scheduler::can_be_met(const request& item, base::duration expected)
+bool scheduler::can_meet_deadline(const request& item, base::duration expected)
 {
     const admission::options& own = this->options.admission;
-    const base::duration wait = this->wait_for(item.spec);
+    const base::duration wait = this->expected_wait(item.spec);
     if (wait == base::duration{0})
         return true;
     const base::duration left = item.spec.deadline - this->now;
-    if (part_of(wait + expected, own.risk) > left)
+    if (scaled(wait + expected, own.risk) > left)
         this->mark_distress(item.spec);
-    if (part_of(wait + expected, own.belief) <= left)
+    if (scaled(wait + expected, own.belief) <= left)
         return true;
     return this->admission.lower_waits(item.spec) ||
-           this->lower_runs(item.spec, this->planner.rooms(item.spec)) ||
+           this->lower_tier_runs_here(item.spec,
+                                      this->planner.rooms(item.spec)) ||
            this->lower_runs_at_peers(item.spec);
 }
 
 // When the line will have become so short that the same request would meet
 // its deadline.
-base::duration scheduler::hint_for(const base::request_spec& item) const
+base::duration scheduler::retry_after_for(const base::request_spec& item) const
 {
-    const base::duration wait = this->wait_for(item);
+    const base::duration wait = this->expected_wait(item);
     const base::duration needed = wait + this->estimator.expected(item);
-    const base::duration given = item.deadline - item.arrived;
-    return std::clamp(std::min(needed - given, wait), hint_least, hint_most);
+    const base::duration allowed = item.deadline - item.arrived;
+    return std::clamp(
+        std::min(needed - allowed, wait), retry_after_min, retry_after_max);
 }
 
 } // namespace greengagedrum::delivery
