--- a/src/greengagedrum/callers/test/session_test.cpp
+++ b/src/greengagedrum/callers/test/session_test.cpp
@@ -119,7 +119,7 @@
         const auto first = this->wait_for<delivery::stream_finished>();
         this->port->give(delivery::start_resume{id, dispatch, engine, 2, 0});
         this->wait_for<delivery::stream_finished>();
-        this->port->give(delivery::end_answered{id, first.whole});
+        this->port->give(delivery::end_answered{id, first.answer});
     });
     this->serve();
     core.join();
