--- a/src/greengagedrum/delivery/claims.cpp
+++ b/src/greengagedrum/delivery/claims.cpp
@@ -1,9 +1,8 @@
-// Tickets and callers' keys: whether a request may be dispatched here, and
-// what the holder of an answer is told.
+// Tickets and idempotency keys: whether a request may be dispatched here.
 //
-// The desk's outputs are collected and carried out between the other parts of
-// a step, never within them: a grant puts a request in line, and the line must
-// not change while it is being offered.
+// The outputs of the desk are collected and applied between the other parts of
+// a step, never within them: a grant adds a request to the queue, which must
+// not change while admission iterates over it.
 #include <greengagedrum/delivery/scheduler.hpp>
 
 #include <utility>
@@ -32,11 +31,11 @@
     this->desk.paused();
 }
 
-// A request without a ticket or key of its caller's gets a ticket of this
-// process, so that the caller can come back for its answer.
+// A request without a ticket or idempotency key gets a ticket of this process,
+// with which the caller can fetch the answer later.
 //
-// Idempotent requests claim nothing: a second run does no harm, and waiting
-// for a home that is away would make an urgent ping late.
+// Idempotent requests make no claim: a second run does no harm, and waiting for
+// an unreachable home would delay urgent requests.
 void scheduler::begin_claim(request& item)
 {
     if (!item.subject) {
@@ -72,8 +71,8 @@
         this->home_data_centres[workspace.id] = workspace.home;
 }
 
-// False when its grant has grown older than the lease while it stood in line:
-// it has to be asked for again before anything is handed over.
+// False when the lease of the grant expired while the request was queued. The
+// grant is then requested again before the request may be dispatched.
 bool scheduler::check_grant(request& item)
 {
     if (!item.holds_claim || item.may_have_run ||
@@ -94,8 +93,9 @@
     }
 }
 
-// Tells the desk how a request ended. What its caller may be told can only get
-// less certain by that: an answer may be in the making at another entry.
+// Reports the end of a request to the desk and returns the run state to report
+// to the caller. The desk can only change it from not_run to may_have_run,
+// because another entry may be running the request.
 base::run_state scheduler::close_claim(request& item, base::run_state run)
 {
     if (!item.holds_claim)
@@ -110,7 +110,7 @@
     return told == base::run_state::may_have_run ? told : run;
 }
 
-// True when something was carried out, which may have freed or filled places.
+// True when outputs were applied, which may have freed or taken slots.
 bool scheduler::apply_desk_outputs()
 {
     if (this->desk_outputs.empty() && this->expired_grants.empty())
--- a/src/greengagedrum/delivery/messages.hpp
+++ b/src/greengagedrum/delivery/messages.hpp
@@ -1,7 +1,8 @@
-// What goes into the decision core and what comes out of it.
+// Events and actions: the input and output of the scheduler.
 //
-// Events are facts told by the edges, stamped with the caller's `now`. Actions
-// are orders to the edges; they are carried out in the order given.
+// The I/O threads report events; scheduler::step() takes each one together with
+// the current time. Actions are instructions to the I/O threads, which carry
+// them out in the order given.
 #pragma once
 
 #include <greengagedrum/base/answer.hpp>
@@ -22,24 +23,23 @@
 namespace greengagedrum::delivery
 {
 
-// ---- Events -------------------------------------------------------------
+// Events.
 
-// A caller's request passed its edge's checks.
+// A caller's request passed the checks of the front end.
 struct request_arrived {
     base::request_id request;
-    base::request_spec
-        spec; // `arrived` and `deadline` are filled in by the core
+    base::request_spec spec; // the scheduler fills in `arrived` and `deadline`
     base::duration deadline_after{0};
     std::uint64_t body_digest = 0;
     std::optional<idempotency::claim_subject> subject; // ticket or key, if any
 };
 
-// A caller wants a ticket before it sends its request.
+// A caller asks for a ticket before it sends its request.
 struct ticket_wanted {
     base::request_id request;
 };
 
-// The caller's connection is gone.
+// The caller's connection was closed.
 struct caller_gone {
     base::request_id request;
 };
@@ -50,37 +50,38 @@
     std::uint32_t connection = 0;
 };
 
-// Tokens have come; `tokens` counts all since the start of the stream.
+// Tokens were received. `tokens` counts all since the start of the stream.
 struct stream_progressed {
     base::dispatch_id dispatch;
     std::uint32_t tokens = 0;
 };
 
-// The whole answer has come.
+// The complete answer was received.
 struct stream_finished {
     base::dispatch_id dispatch;
     base::answer_ptr answer;
-    std::uint32_t cached_tokens = 0; // prompt tokens found in its cache
+    std::uint32_t cached_tokens =
+        0; // prompt tokens found in the upstream's cache
 };
 
 enum class break_cause : std::uint8_t {
     connection_lost, // reset or closed before the end
-    stopped,         // by our own stop_stream
-    unknown_stream,  // the upstream has no such stream (on a resume)
-    refused,         // the upstream answered an error status
-    malformed,       // what it sent can't be read
-    no_connection,   // a resume's connect was refused
-    unreachable,     // a resume's connect was not answered in time
+    stopped,         // by the action stop_stream
+    unknown_stream,  // on a resume, the upstream does not know the stream
+    refused,         // the upstream answered with an error status
+    malformed,       // the upstream's response can't be parsed
+    no_connection,   // on a resume, the connect was refused
+    unreachable,     // on a resume, the connect timed out
 };
 
-// The stream ended before the whole answer.
+// The stream ended before the answer was complete.
 struct stream_broken {
     base::dispatch_id dispatch;
-    std::uint32_t connection = 0; // as named by the action that began it
+    std::uint32_t connection = 0; // number given by the action that opened it
     break_cause cause = break_cause::connection_lost;
 };
 
-// A message of a peer about a ticket or key.
+// A peer sent a message about a ticket or idempotency key.
 struct claim_message {
     base::slot_id sender;
     base::incarnation incarnation;
@@ -92,59 +93,67 @@
     config::snapshot_ptr snapshot;
 };
 
-// A newer reading of the instance list, from the platform or a peer.
+// A newer instance list, from the platform or a peer.
 struct instances_listed {
     membership::instance_list list;
 };
 
-// The platform's list, read by this process itself at `as_of` or later, names
-// this very process in its slot.
+// This process read the platform's instance list at `as_of` or later, and the
+// list names this process in its slot.
 struct own_listing_read {
     base::instant as_of;
 };
 
+// A peer's heartbeat was received.
 struct peer_heartbeat {
     membership::heartbeat beat;
-    // When, by the own clock, the own beat was sent that this one answers. A
-    // beat may have waited in a buffer for any time; its echo can't lie.
+    // When, by this process's clock, the heartbeat was sent that this one
+    // echoes. A received heartbeat may have waited in a buffer for any time;
+    // the time of the echoed one is a safe lower bound.
     std::optional<base::instant> as_of;
 };
 
-// This process stood still for longer than its lease.
+// This process did not run for longer than its lease.
 struct process_paused {
 };
 
+// A peer reported its load.
 struct peer_load {
     base::slot_id sender;
     base::incarnation incarnation;
     capacity::load_digest digest;
 };
 
+// A peer is considered gone.
 struct peer_lost {
     base::slot_id slot;
 };
 
+// An upstream reported its load.
 struct upstream_reported {
     placement::load_report report;
 };
 
+// An upstream's prefix cache changed.
 struct upstream_cache_changed {
     placement::cache_event change;
 };
 
-// The instance is to stop: take no new request, finish the rest.
+// Graceful stop: refuse new requests and finish the rest.
 struct stop_begun {
 };
 
-// The bound of a graceful stop has passed: end all with honest verdicts.
+// The time limit of the graceful stop has passed: end every request with a
+// verdict that says whether it may have run.
 struct stop_forced {
 };
 
-// The peers are to hear of this instance's load.
+// This instance's load is due to be sent to the peers.
 struct load_due {
 };
 
-// Time has passed; due timers fire on every event, this one carries no more.
+// Only time has passed. Due timers fire on every event; this one does nothing
+// else.
 struct tick {
 };
 
@@ -170,14 +179,14 @@
                            load_due,
                            tick>;
 
-// ---- Actions ------------------------------------------------------------
+// Actions.
 
-// Hand the request to the upstream, on a connection that is fresh or was just
-// used. From here on the request may have run, unless `connect_refused` says
-// that nothing was written.
+// Send the request to the upstream on a new or recently used connection. From
+// then on the request may have run, unless `connect_refused` reports that
+// nothing was written.
 //
-// `connection` numbers the connections of one request, so that the end of an
-// earlier one, told late, is not taken for the end of its successor.
+// `connection` numbers the connections of one request, so that a late report of
+// the end of an earlier connection is not taken for the end of the current one.
 struct start_dispatch {
     base::request_id request;
     base::dispatch_id dispatch;
@@ -185,7 +194,7 @@
     std::uint32_t connection = 0;
 };
 
-// Read the same stream on, from token `offset`, over a new connection.
+// Resume the stream from token `offset` over a new connection.
 struct start_resume {
     base::request_id request;
     base::dispatch_id dispatch;
@@ -194,8 +203,8 @@
     std::uint32_t offset = 0;
 };
 
-// Break this connection and all before it; `cancel` also tells the upstream
-// to end the stream.
+// Close this connection and all earlier ones of the request. `cancel` also
+// tells the upstream to end the stream.
 struct stop_stream {
     base::request_id request;
     base::dispatch_id dispatch;
@@ -204,31 +213,32 @@
     bool cancel = false;
 };
 
-// The request has its whole answer. `whole` is set when the caller has not
-// had it from the stream (an answer kept here or at a peer).
+// The request ends with its complete answer. `answer` is set when the caller
+// did not receive it from the stream (an answer kept here or at a peer).
 struct end_answered {
     base::request_id request;
     base::answer_ptr answer;
 };
 
-// The request ends without its answer.
+// The request ends without a complete answer.
 struct end_failed {
     base::request_id request;
     base::verdict verdict;
 };
 
-// The request's own ticket, for the first header of its response.
+// The ticket of the request, to be sent in the response headers.
 struct assign_ticket {
     base::request_id request;
     idempotency::ticket ticket;
 };
 
+// Send a message about a ticket or idempotency key to a peer.
 struct send_claim_message {
     base::slot_id to;
     idempotency::message body;
 };
 
-// The load to send to the peers with the next heartbeat.
+// Send this instance's load to the peers with the next heartbeat.
 struct send_load_digest {
     capacity::load_digest digest;
 };
--- a/src/greengagedrum/delivery/phase.cpp
+++ b/src/greengagedrum/delivery/phase.cpp
@@ -21,23 +21,24 @@
     return bits;
 }
 
-// Row: from; bits: where it may go.
+// Allowed transitions: the index is the phase left, the bits are the phases
+// that may follow. Each comment gives the events in the order of the bits.
 constexpr std::array<std::uint8_t, phase_count> transitions = {
-    // claiming: granted; held elsewhere; refused, gone or out of time
+    // claiming: granted; runs at another entry; refused, caller gone or timeout
     set_of({phase::queued, phase::attached, phase::ended}),
-    // attached: the holder never ran it; answered or failed there
+    // attached: the other entry never ran it; answered or failed there
     set_of({phase::claiming, phase::ended}),
-    // queued: chosen; its grant grew older than the lease; shed, out of time
-    // or its caller gone
+    // queued: slot found; the lease of its grant expired; shed, timeout or
+    // caller gone
     set_of({phase::dispatched, phase::claiming, phase::ended}),
-    // dispatched: refused connect (nothing written); lost its connection;
-    // failed and idempotent; whole, or given up
+    // dispatched: connect refused, nothing written; connection lost; failed
+    // and idempotent; answered or failed
     set_of({phase::queued, phase::resuming, phase::backing_off, phase::ended}),
-    // resuming: reading again; failed and idempotent; given up
+    // resuming: stream resumed; failed and idempotent; failed
     set_of({phase::dispatched, phase::backing_off, phase::ended}),
-    // waiting: next try; no budget or no time left
+    // backing_off: next dispatch; ended before that
     set_of({phase::queued, phase::ended}),
-    // ended: for good
+    // ended: final
     set_of({}),
 };
 
--- a/src/greengagedrum/delivery/phase.hpp
+++ b/src/greengagedrum/delivery/phase.hpp
@@ -1,15 +1,15 @@
-// The life of one request as a table of allowed transitions.
+// The phases of a request and the allowed transitions between them.
 //
 //   claiming --> queued --> dispatched --> ended
 //      |  \        ^  ^        |   ^
 //      |   \       |  |        v   |
 //      |    +--> attached    resuming
 //      |           |           |
-//      +--> ended <+--- waiting (backoff before an idempotent retry)
+//      +--> ended <+--- backing_off (before the next dispatch)
 //
-// `run_of` says what may be told to a caller in each phase. The step from
-// not_run to may_have_run is the one into `dispatched`, taken before the first
-// byte is written to an upstream.
+// request::run_state() gives the run state that a caller may be told. It
+// becomes may_have_run with the transition to `dispatched`, which is made
+// before the first byte is written to an upstream.
 #pragma once
 
 #include <cstdint>
@@ -19,21 +19,21 @@
 {
 
 enum class phase : std::uint8_t {
-    claiming,    // asked the home of its ticket or key
-    attached,    // another entry holds it: waits for that answer
-    queued,      // waits for an upstream
-    dispatched,  // handed to an upstream, its stream is being read
-    resuming,    // lost its connection, waits to read the stream on
-    backing_off, // idempotent, failed once, backs off before its next dispatch
-    ended        // answered, or told its verdict
+    claiming,    // asked the home of its ticket or key for a grant
+    attached,    // another entry runs it; waits for that answer
+    queued,      // waits for a slot of an upstream
+    dispatched,  // sent to an upstream, its stream is being read
+    resuming,    // lost its connection, waits to resume the stream
+    backing_off, // failed, waits for its next dispatch
+    ended        // answered, or ended with a verdict
 };
 
 inline constexpr int phase_count = 7;
 
-// True when the life may go from `from` to `to`.
+// True when a request may go from phase `from` to phase `to`.
 bool is_transition_allowed(phase from, phase to);
 
-// True while an upstream has the request.
+// True while the request is at an upstream.
 constexpr bool is_running(phase value)
 {
     return value == phase::dispatched || value == phase::resuming;
--- a/src/greengagedrum/delivery/preemption.cpp
+++ b/src/greengagedrum/delivery/preemption.cpp
@@ -1,8 +1,9 @@
-// Cancelling a lower request so that a higher one takes its place.
+// Preemption: cancels a request of a lower tier and dispatches one of a higher
+// tier in its slot.
 //
-// The last way to make room before a request has to be shed. Only work that
-// may be repeated is cancelled, so nothing is lost but the prefill: that of
-// the request with the least of it.
+// Used when an overdraft is not possible. Only preemptible idempotent requests
+// are cancelled, so only their prefill is lost; the request that loses the
+// fewest prefill tokens is selected.
 #include <greengagedrum/delivery/scheduler.hpp>
 
 #include <algorithm>
@@ -38,8 +39,8 @@
     return true;
 }
 
-// Not a request that would then miss its deadline; not one over and over, for
-// long work has to end some day.
+// A request is not preempted when it would then miss its deadline, nor more
+// than `preemptions_max` times, so that long requests finish eventually.
 bool scheduler::may_be_preempted(const request& item) const
 {
     const base::request_spec& work = item.spec;
@@ -50,8 +51,8 @@
            this->now + this->estimator.expected(work) <= work.deadline;
 }
 
-// Tokens of its prompt that would have to be read again: all of them once an
-// answer has begun, else in proportion to the time it has had.
+// Prompt tokens whose prefill would have to be repeated: all of them once the
+// first token was received, otherwise in proportion to the elapsed time.
 double scheduler::lost_prefill_tokens(const request& item) const
 {
     const double prompt = item.spec.prompt_tokens;
@@ -65,7 +66,7 @@
     return prompt * std::min(1.0, had / whole);
 }
 
-// Not counted against its tries: it did not fail.
+// The cancelled dispatch does not count as an attempt, as it did not fail.
 void scheduler::requeue_preempted(request& item)
 {
     this->break_stream(item, true);
--- a/src/greengagedrum/delivery/request.hpp
+++ b/src/greengagedrum/delivery/request.hpp
@@ -1,4 +1,4 @@
-// One request as the core remembers it, from arrival to its end.
+// The scheduler's record of one request, from its arrival to its end.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -18,29 +18,29 @@
     base::request_id id;
     base::request_spec spec;
     delivery::phase phase = delivery::phase::queued;
-    bool may_have_run = false; // some dispatch was not proved unwritten
+    bool may_have_run = false; // a dispatch may have written to an upstream
     bool caller_present = true;
-    bool holds_claim = false; // the desk holds it, until told of its end
+    bool holds_claim = false; // the desk has a claim open for it
     std::uint64_t body_digest = 0;
     std::optional<idempotency::claim_subject> subject;
 
-    // The dispatch under way, or the last one.
+    // The current dispatch, or the last one.
     base::dispatch_id dispatch;
     base::upstream_id upstream;
-    std::uint32_t connection = 0; // the newest one's number
+    std::uint32_t connection = 0; // number of the latest connection
     std::uint32_t tokens_received = 0;
     base::instant last_progress;
-    std::uint32_t resume_attempts = 0;  // tries since the last progress
-    std::uint32_t dispatches = 0;       // of this request, in all
-    std::uint32_t connect_refusals = 0; // connects refused before a byte left
-    std::uint32_t preemptions = 0;      // dispatches cancelled for others
+    std::uint32_t resume_attempts = 0; // since the last progress
+    std::uint32_t dispatches = 0; // connect refusals and preemptions excluded
+    std::uint32_t connect_refusals = 0; // nothing was written
+    std::uint32_t preemptions = 0;      // dispatches cancelled for higher tiers
     std::vector<base::upstream_id>
-        avoided_upstreams; // upstreams that failed it
+        avoided_upstreams; // failed this request before
 
-    // When the core looks at it next by itself, if at all.
+    // When its timer fires, if one is set.
     std::optional<base::instant> timer;
 
-    // What its caller may be told now if it has to end.
+    // The run state to report if the request ended now.
     base::run_state run_state() const
     {
         return this->may_have_run ? base::run_state::may_have_run
--- a/src/greengagedrum/delivery/scheduler.cpp
+++ b/src/greengagedrum/delivery/scheduler.cpp
@@ -102,8 +102,6 @@
     item.phase = to;
 }
 
-// ---- Arrival and waiting --------------------------------------------------
-
 void scheduler::on(const request_arrived& what)
 {
     this->count.arrived += 1;
@@ -119,7 +117,7 @@
                                       unclaimed_verdict(what,
                                                         base::reason::stopping,
                                                         stopping_retry_after));
-    // The answer to a repeat may be kept, whatever the upstreams do now.
+    // The answer to a repeat may have been kept, so no upstream is needed.
     if (!may_have_run_elsewhere(what) && !this->planner.servable(item.spec))
         return this->end_without_upstream(item);
     this->retries.deposit();
@@ -133,8 +131,6 @@
         base::not_run(base::reason::no_upstream, no_upstream_retry_after));
 }
 
-// ---- Timers ---------------------------------------------------------------
-
 void scheduler::fire_timers()
 {
     while (const auto due = this->timers.pop_due(this->now)) {
@@ -158,9 +154,9 @@
                                              std::nullopt});
         return;
     case phase::dispatched:
-        // The connection may have gone silent for good while the upstream
-        // works on (something between the two lost track of it). A fresh
-        // connection finds out.
+        // The connection may be dead while the upstream still runs the
+        // request, e.g. when a middlebox dropped its state. Resuming over a
+        // new connection shows which is the case.
         this->planner.silent(item.upstream, this->now);
         this->break_stream(item, false);
         if (item.spec.model.empty())
@@ -185,8 +181,6 @@
     static_cast<void>(what);
 }
 
-// ---- Ends -----------------------------------------------------------------
-
 void scheduler::end_with_answer(request& item, base::answer_ptr whole)
 {
     this->planner.ended(item.dispatch, this->now);
@@ -202,7 +196,7 @@
 
 void scheduler::end_with_verdict(request& item, base::verdict verdict)
 {
-    // A request that was handed over once can never be told not_run.
+    // A request that may have run must never be reported as not_run.
     if (item.may_have_run)
         verdict.run = base::run_state::may_have_run;
     verdict.run = this->close_claim(item, verdict.run);
@@ -223,8 +217,9 @@
     this->requests.erase(item.id);
 }
 
-// The caller's connection is gone. What was handed over once is read to its
-// end and kept for the caller's retry; an idempotent request is cancelled.
+// A running at-most-once request is read to its end, and its answer is kept for
+// the caller's retry. A running idempotent request is cancelled, and a request
+// that does not run ends.
 void scheduler::on(const caller_gone& what)
 {
     const auto found = this->requests.find(what.request);
@@ -247,14 +242,13 @@
     this->retry_or_end(item, base::reason::upstream_failed);
 }
 
-// ---- The world ------------------------------------------------------------
-
 void scheduler::on(const config_changed& what)
 {
     this->snapshot = what.snapshot;
     this->planner.set_fleet(what.snapshot->fleet);
     this->estimator.set_fleet(what.snapshot->fleet);
-    // The list may have come first, with names that only this fleet knows.
+    // An earlier instance list may name upstreams that only the new fleet
+    // document defines.
     this->planner.set_listed(this->instance_listing.instances);
     this->update_home_data_centres();
     this->set_entries();
@@ -293,8 +287,6 @@
             what.beat.slot, what.beat.life, *what.as_of, this->now);
 }
 
-// ---- Stopping -------------------------------------------------------------
-
 void scheduler::on(const stop_begun& what)
 {
     static_cast<void>(what);
--- a/src/greengagedrum/delivery/scheduler.hpp
+++ b/src/greengagedrum/delivery/scheduler.hpp
@@ -1,9 +1,4 @@
-// The decision core: one deterministic state machine for all requests that
-// this instance took.
-//
-// It does no I/O. Events come in with their time, actions go out; the edges
-// carry them out. It knows nothing of sockets, bodies or callers' tokens. The
-// order of everything depends on its events, their times and its seed alone.
+// The deterministic scheduler of an instance's requests.
 #pragma once
 
 #include <greengagedrum/admission/controller.hpp>
@@ -31,26 +26,28 @@
 namespace greengagedrum::delivery
 {
 
+// The identity of this instance and the settings of the scheduler.
 struct scheduler_options {
     base::slot_id slot;
     base::incarnation incarnation;
     base::data_centre_id data_centre;
     std::uint64_t seed = 1;
     admission::options admission;
-    idempotency::desk_options desk; // its slot and life come from above
-    placement::options placement;   // its slot and seed are those above
-    std::uint32_t resumes_max = 5;  // tries in a row without progress
-    // An upstream that can't be reached is asked for a stream dispatched at
-    // most once for this long after its last sign of life.
+    idempotency::desk_options
+        desk; // slot, data centre and incarnation are overwritten
+    placement::options placement;  // slot and seed are overwritten
+    std::uint32_t resumes_max = 5; // attempts in a row without progress
+    // For how long after its last progress the stream of an at-most-once
+    // request is resumed while its upstream can't be reached.
     base::duration unreachable_resume_window = std::chrono::seconds(60);
     backoff_range resume_backoff;
     backoff_range retry_backoff;
-    std::uint32_t dispatches_max = 3; // of one idempotent request
+    std::uint32_t dispatches_max = 3; // per idempotent request
     double retry_fraction = 0.1;
     double retry_bound = 50;
 };
 
-// Counted since the start, for metrics and reports.
+// Counts since the start of the process, for metrics and reports.
 struct scheduler_counters {
     std::uint64_t arrived = 0;
     std::uint64_t dispatched = 0;
@@ -60,25 +57,31 @@
     std::uint64_t not_run = 0;
     std::uint64_t may_have_run = 0;
     std::array<std::uint64_t, base::tier_count> shed{};
-    std::uint64_t prefill_wasted = 0; // tokens of prompts given up
-    std::uint64_t overdrafts = 0;     // dispatches beyond the allowance
-    std::uint64_t forced = 0;         // of these, beyond the overdraft too
-    std::uint64_t recalled = 0;       // answered from a kept answer
-    std::uint64_t preempted = 0;      // dispatches cancelled for others
+    std::uint64_t prefill_wasted = 0; // prompt tokens of abandoned dispatches
+    std::uint64_t overdrafts = 0; // dispatches beyond the upstream's allowance
+    std::uint64_t forced =
+        0; // dispatches beyond the overdraft, up to the hard bound
+    std::uint64_t recalled = 0;  // answered with a kept answer
+    std::uint64_t preempted = 0; // dispatches cancelled for higher tiers
     std::array<std::uint64_t, base::tier_count> retried_by_tier{};
     std::array<std::uint64_t, base::tier_count> resumed_by_tier{};
     std::array<std::uint64_t, base::tier_count> prefill_wasted_by_tier{};
 };
 
+// One deterministic state machine for all requests that this instance accepted.
+// It does no I/O: step() takes an event with its time and returns actions,
+// which the I/O threads carry out. It sees no sockets, request bodies or
+// credentials. Its actions and their order depend only on the events, their
+// times and the seed.
 class scheduler
 {
 public:
     explicit scheduler(const scheduler_options& options);
 
-    // Takes one event and appends what is to be done to `out`.
+    // Processes one event and appends the resulting actions to `out`.
     void step(const event& what, base::instant now, std::vector<action>& out);
 
-    // When step(tick) is due, if at all.
+    // When step(tick) has to be called at the latest, if at all.
     std::optional<base::instant> next_wake() const;
 
     std::size_t in_flight() const { return this->requests.size(); }
@@ -86,10 +89,10 @@
     bool stopping() const { return this->stop_requested; }
     const scheduler_counters& counters() const { return this->count; }
 
-    // Null once it has ended.
+    // Null when the request is unknown or has ended.
     const request* find(base::request_id id) const;
 
-    // What the promise about tiers is checked against, see
+    // The state against which the tier invariant is checked, see
     // admission/invariant.hpp.
     const admission::running_set& running() const
     {
@@ -149,7 +152,7 @@
     void count_wasted_prefill(const request& item);
     double random();
 
-    // delivery/claims.cpp: tickets and callers' keys.
+    // claims.cpp: tickets and idempotency keys.
     void begin_claim(request& item);
     base::data_centre_id home_of(base::workspace_id workspace) const;
     void update_home_data_centres();
@@ -163,7 +166,7 @@
     void apply(const idempotency::refused& what);
     void apply(const idempotency::send& what);
 
-    // delivery/waiting.cpp: the line, and who gives way in it.
+    // waiting.cpp: the queue, dispatch from it and shedding.
     using rooms_view = std::span<const placement::room>;
     bool try_dispatch(base::request_id id,
                       const base::request_spec& item,
@@ -186,13 +189,13 @@
     base::duration expected_wait(const base::request_spec& item) const;
     base::duration retry_after_for(const base::request_spec& item) const;
 
-    // delivery/preemption.cpp
+    // preemption.cpp: cancelling requests of lower tiers.
     bool preempt_lower_tier(request& item, rooms_view rooms);
     bool may_be_preempted(const request& item) const;
     double lost_prefill_tokens(const request& item) const;
     void requeue_preempted(request& item);
 
-    // delivery/sharing.cpp: this instance's part of upstreams and limits.
+    // sharing.cpp: this instance's shares of upstreams and limits.
     void set_entries();
     void update_shares();
     void set_own_limits();
@@ -223,7 +226,7 @@
     std::uint64_t next_dispatch = 1;
     bool stop_requested = false;
 
-    // Valid within step().
+    // Used within step() only.
     std::vector<idempotency::output> desk_outputs;
     std::vector<base::request_id> expired_grants;
     std::vector<std::pair<base::request_id, base::reason>> shed_candidates;
--- a/src/greengagedrum/delivery/sharing.cpp
+++ b/src/greengagedrum/delivery/sharing.cpp
@@ -1,5 +1,5 @@
-// What the entries of a data centre share: places at upstreams and limits of
-// workspaces.
+// This instance's shares of what the entries of a data centre share: the slots
+// of upstreams and the limits of workspaces.
 #include <greengagedrum/delivery/scheduler.hpp>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 namespace
 {
-// Shares follow the peers' digests, and these come about twice a second.
+// Shares follow the peers' digests, which arrive about twice a second.
 constexpr base::duration share_period = std::chrono::milliseconds(250);
 } // namespace
 
@@ -33,8 +33,8 @@
     this->update_shares();
 }
 
-// The list says who exists. Before it is known, whoever the fleet document
-// names may exist.
+// The entries are those that the instance list calls live. Before the first
+// list is known, every entry slot of the fleet document is assumed to be live.
 void scheduler::set_entries()
 {
     std::set<base::slot_id> live;
@@ -80,8 +80,8 @@
     this->set_own_limits();
 }
 
-// At least one request at once: a limit smaller than the number of entries
-// would else shut some of them out for good.
+// Every entry may run at least one request at a time. Otherwise a limit smaller
+// than the number of entries would permanently block some of them.
 void scheduler::set_own_limits()
 {
     std::map<admission::limit_key, admission::limit> bounds;
@@ -113,7 +113,7 @@
         send_load_digest{this->shares.compose(this->own_load(), this->now)});
 }
 
-// Empty until a configuration says which upstreams there are.
+// Empty until there is a configuration that names the upstreams.
 capacity::load_digest scheduler::own_load()
 {
     capacity::load_digest digest;
@@ -146,7 +146,7 @@
     return digest;
 }
 
-// Tokens a second are those let through since the last digest.
+// tokens_per_second is the rate admitted since the last digest.
 void scheduler::add_limit_usage(capacity::load_digest& digest)
 {
     const double elapsed_s =
--- a/src/greengagedrum/delivery/streams.cpp
+++ b/src/greengagedrum/delivery/streams.cpp
@@ -1,5 +1,5 @@
-// Dispatches and the streams of their answers: what is sent, what comes back,
-// and what is done when a stream ends before its answer is whole.
+// Dispatches, the streams of their answers, and the recovery of a stream that
+// ends before its answer is complete.
 #include <greengagedrum/delivery/scheduler.hpp>
 
 #include <algorithm>
@@ -7,8 +7,6 @@
 namespace greengagedrum::delivery
 {
 
-// ---- Dispatch and streams -------------------------------------------------
-
 void scheduler::dispatch(request& item, base::upstream_id upstream)
 {
     this->change_phase(item, phase::dispatched);
@@ -31,10 +29,11 @@
         start_dispatch{item.id, item.dispatch, upstream, item.connection});
 }
 
-// A plain service shows no progress before its answer and has no stream to
-// read on. The failure: its connection is broken while it works on a receipt,
-// and the clerk is told may_have_run of an answer that was about to come. A
-// call that can't be repeated is therefore waited for until its deadline.
+// An upstream without a model (a plain service) reports no progress before its
+// answer, and its stream can't be resumed. If the timer closed its connection
+// early, an at-most-once request would end as may_have_run although its answer
+// was about to arrive. Such a request is therefore waited for until its
+// deadline.
 void scheduler::set_progress_timer(request& item)
 {
     const base::instant silent =
@@ -46,9 +45,9 @@
                      only_try ? std::max(silent, item.spec.deadline) : silent);
 }
 
-// Nothing was written, so this dispatch never was: the request is queued
-// again after a backoff, whatever its kind, and stays not_run if no other
-// dispatch was made.
+// Nothing was written, so the dispatch does not count: every request is queued
+// again after a backoff, also an at-most-once one, and stays not_run unless
+// another dispatch was made.
 void scheduler::on(const connect_refused& what)
 {
     request* item = this->find_by_dispatch(what.dispatch);
@@ -66,8 +65,8 @@
     if (!item->caller_present)
         return this->end_with_verdict(*item,
                                       base::not_run(base::reason::stopping));
-    // Backs off: with every upstream down, an immediate second try would
-    // spin between them until the deadline.
+    // Without a backoff, a request would be tried at one upstream after the
+    // other in a busy loop until its deadline when all of them are down.
     this->change_phase(*item, phase::backing_off);
     const base::duration wait = backoff(
         this->options.retry_backoff, item->connect_refusals, this->random());
@@ -111,17 +110,16 @@
     this->handle_broken_stream(*item, what.cause);
 }
 
-// ---- Recovery -------------------------------------------------------------
-
-// A broken stream is read on where it stopped: the upstream usually still
-// has it, and its prefill is not paid twice. Only an upstream that does not
-// know the stream (it restarted, or never got it) or refuses to serve it
-// ends that.
+// A broken stream is resumed where it stopped: the upstream usually still has
+// it, and the prefill need not be repeated. It is not resumed when the upstream
+// does not know the stream (it restarted or never received the request),
+// refuses to serve it or sends malformed data.
 //
-// An upstream that refuses connections has lost its process, and with it the
-// stream: a few tries find out. One that can't be reached is more likely cut
-// off, and still at work; work dispatched at most once has no other answer to
-// hope for, so it is asked again for as long as a cut usually lasts.
+// An upstream that refuses connections has lost its process and the stream with
+// it; a few attempts confirm that. An unreachable upstream is more likely cut
+// off by a network partition and still runs the request. An at-most-once
+// request can't be run elsewhere, so its stream is retried for
+// `unreachable_resume_window`, the usual length of a partition.
 void scheduler::handle_broken_stream(request& item, break_cause cause)
 {
     const bool lost = cause == break_cause::unknown_stream ||
@@ -163,8 +161,9 @@
                                       .offset = item.tokens_received});
 }
 
-// The dispatch is given up. An idempotent request may be run anew, within its
-// deadline and the retry budget; any other has had its one dispatch.
+// Abandons the dispatch. An idempotent request is retried within its deadline,
+// its maximum number of dispatches and the retry budget; any other request
+// ends.
 void scheduler::retry_or_end(request& item, base::reason why)
 {
     this->planner.ended(item.dispatch, this->now);
--- a/src/greengagedrum/delivery/timer_queue.hpp
+++ b/src/greengagedrum/delivery/timer_queue.hpp
@@ -1,7 +1,4 @@
-// Which request the core has to look at next, and when.
-//
-// One timer a request at most; setting it again replaces it. It is an index
-// over the requests' own `timer` members, not a clock.
+// The timers of requests, ordered by time.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -16,15 +13,19 @@
 
 struct request;
 
+// An ordered index over the member `timer` of the requests. A request has at
+// most one timer; setting it again replaces it.
 class timer_queue
 {
 public:
     void set(request& item, base::instant at);
     void clear(request& item);
 
+    // When the first timer fires, if any is set.
     std::optional<base::instant> next() const;
 
-    // Takes out one request whose time has come; none when all lie ahead.
+    // Removes one due timer and returns its request; none when no timer is due.
+    // The member `timer` of the request is left for the caller to reset.
     std::optional<base::request_id> pop_due(base::instant now);
 
 private:
--- a/src/greengagedrum/delivery/unclaimed_verdict.hpp
+++ b/src/greengagedrum/delivery/unclaimed_verdict.hpp
@@ -1,4 +1,4 @@
-// The verdict of a request that ended before a claim was made for it.
+// The verdict of a request that ends before a claim was made for it.
 #pragma once
 
 #include <greengagedrum/delivery/messages.hpp>
@@ -14,9 +14,10 @@
            what.spec.repetition == base::repetition::at_most_once;
 }
 
-// The failure: a receipt runs, its answer is lost, and the repeat reaches an
-// entry that is stopping or full; told not_run, the clerk prints it again.
-// Without a claim nobody here can know that it did not run.
+// Reports may_have_run for a request that may be a repeat: without a claim this
+// entry can't know whether the first one ran. Reporting not_run would be wrong
+// when the first request ran, its answer was lost, and the repeat reaches an
+// entry that is stopping or full; the caller would then run it twice.
 inline base::verdict unclaimed_verdict(const request_arrived& what,
                                        base::reason why,
                                        base::duration retry_after)
--- a/src/greengagedrum/delivery/waiting.cpp
+++ b/src/greengagedrum/delivery/waiting.cpp
@@ -1,5 +1,5 @@
-// The line before the upstreams: who is placed, who overdraws, who is told
-// that its deadline can't be met.
+// Queued requests: dispatch to free slots, overdraft, and shedding of requests
+// whose deadline can't be met.
 #include <greengagedrum/admission/invariant.hpp>
 #include <greengagedrum/delivery/scheduler.hpp>
 
@@ -21,7 +21,9 @@
     return base::duration(static_cast<base::duration::rep>(ticks));
 }
 
-// Places up to which an instance fills an upstream when it overdraws.
+// The number of requests up to which this instance may fill an upstream with
+// an overdraft of `share` of its allowance; at least one more than the
+// allowance when `share` is positive.
 std::uint32_t overdraft_limit(const placement::room& room, double share)
 {
     if (share <= 0)
@@ -31,7 +33,7 @@
     return room.allowance + std::max<std::uint32_t>(1, extra);
 }
 
-// Less filled by this instance, for what the upstream can hold.
+// True when this instance uses a smaller fraction of the limit of `left`.
 bool less_loaded(const placement::room& left, const placement::room& right)
 {
     const std::uint64_t left_load = std::uint64_t{left.in_flight} * right.limit;
@@ -81,8 +83,6 @@
                           std::clamp(held, retry_after_min, retry_after_max)));
 }
 
-// ---- Placing --------------------------------------------------------------
-
 bool scheduler::try_dispatch(base::request_id id,
                              const base::request_spec& work,
                              admission::grant how)
@@ -97,7 +97,8 @@
     return work.tier == base::tier::urgent && this->make_room(item);
 }
 
-// To an upstream with a free place and no higher tier in distress.
+// Dispatches to an upstream that has a free slot and no higher tier in distress
+// there.
 bool scheduler::dispatch_to_free_slot(request& item)
 {
     std::vector<base::upstream_id> avoid = item.avoided_upstreams;
@@ -112,18 +113,18 @@
     return true;
 }
 
-// A line that was given nothing for long takes a place even when the higher
-// tiers use them all, up to its part of them.
+// A queue that got no slot for long gets one even when the higher tiers use
+// them all, up to `floor_share` of the slots.
 //
-// Failure guarded against: under a burst of urgent work that never ends, bulk
-// work stands in line until its deadline. Because the floor is counted in
-// places at once, it costs the higher tiers that part of the upstreams' speed
-// and no more, however long the work is.
+// This prevents starvation: under a continuous burst of urgent requests, bulk
+// requests would be queued until their deadline. As the floor counts concurrent
+// slots, it takes no more than that share of the upstreams' speed from the
+// higher tiers, however long the requests run.
 bool scheduler::dispatch_within_floor(request& item)
 {
     const auto rooms = this->planner.rooms(item.spec);
-    // Work of this tier and below together: three tiers that each held a
-    // floor of their own would fill a small engine's overdraft for good.
+    // The tiers up to this one share one floor. Three tiers with a floor each
+    // would permanently fill the overdraft of a small upstream.
     std::uint32_t held = 0;
     for (const base::tier tier : base::all_tiers)
         if (!base::more_urgent(tier, item.spec.tier))
@@ -145,10 +146,11 @@
         1, static_cast<std::uint32_t>(static_cast<double>(slots) * part));
 }
 
-// Urgent work does not wait behind lower work that runs: it overdraws, and with
-// its tier in distress it takes the place of a request that may be cancelled,
-// for its last chance would be too late for many. Among urgent work alone the
-// line holds, for nobody's place would be unfair.
+// An urgent request does not wait behind running requests of lower tiers: it
+// uses the overdraft. When its tier is in distress, it also preempts a lower
+// request; waiting for the last moment before its deadline would be too late
+// for many requests. When only urgent requests run, it stays queued, as they
+// are all equal.
 bool scheduler::make_room(request& item)
 {
     const auto rooms = this->planner.rooms(item.spec);
@@ -164,9 +166,10 @@
     return at_risk && this->preempt_lower_tier(item, rooms);
 }
 
-// Continuous batching admits it, at the price of some speed for all. Nothing
-// of a lower tier is placed there until the upstream is below its allowance
-// again, which pays it back.
+// Dispatches beyond an upstream's allowance. Continuous batching permits this
+// and slows down the other requests of the batch somewhat. Until the upstream
+// is below its allowance again, it gets no request of a lower tier, which
+// repays the overdraft.
 bool scheduler::overdraw(request& item, rooms_view rooms, double share)
 {
     const placement::room* best = nullptr;
@@ -205,20 +208,20 @@
         });
 }
 
-// The failure: pings are shed at one entry while dossiers that run at another
-// hold the engine, for no request here could give way. A peer's word is a few
-// heartbeats old at most (shares::fresh_view) and names the class only, so
-// this never cancels anything: it lets a request in up to the hard bound.
+// Without this check, urgent requests would be shed at one entry while requests
+// of lower tiers of another entry fill the upstream. A peer's report is at most
+// a few heartbeats old (shares::fresh_view) and names only the upstream class,
+// so nothing is cancelled because of it: it only admits a request up to the
+// hard bound.
 bool scheduler::lower_runs_at_peers(const base::request_spec& item) const
 {
     return this->shares.lower_runs_at_peers(
         item.upstream_class, item.tier, this->now);
 }
 
-// ---- Giving up ------------------------------------------------------------
-
-// The last way before a request is shed while lower work runs: it goes to the
-// upstream with the most room whatever its overdraft, up to the hard bound.
+// The last resort before a request is shed while lower tiers run: dispatches it
+// to the least loaded upstream regardless of the overdraft, up to the hard
+// bound.
 bool scheduler::force_dispatch(request& item)
 {
     const auto rooms = this->planner.rooms(item.spec);
@@ -244,7 +247,7 @@
     return true;
 }
 
-// The latest start that could still meet its deadline has passed.
+// The latest start with which the request could meet its deadline has passed.
 void scheduler::on_queue_timeout(request& item)
 {
     if (this->admission.held(item.id)) {
@@ -263,15 +266,16 @@
     this->add_shed_candidate(item, base::reason::deadline);
 }
 
-// Decided at the end of the step, for the same step may yet free a place, or
-// give one to lower work.
+// Whether the request is shed is decided at the end of the step, as the same
+// step may still free a slot or dispatch a request of a lower tier.
 void scheduler::add_shed_candidate(const request& item, base::reason why)
 {
     this->shed_candidates.push_back({item.id, why});
 }
 
-// Nobody is shed until nobody more can be forced in: one that is forced in
-// may be the lower work before which a higher one must not be shed.
+// Requests are shed only after no further one can be dispatched by force: a
+// request dispatched by force may itself be of a lower tier than another
+// candidate, which then must not be shed.
 void scheduler::force_or_shed_candidates()
 {
     bool progressed = true;
@@ -294,7 +298,8 @@
         }
     }
     for (const auto& [id, why] : std::exchange(this->shed_candidates, {})) {
-        // Twice here when its time was over and its place given up as well.
+        // A request is listed twice when it timed out and was evicted from the
+        // queue in the same step.
         const auto found = this->requests.find(id);
         if (found != this->requests.end())
             this->shed(found->second, why);
@@ -317,12 +322,12 @@
                                          this->retry_after_for(item.spec)));
 }
 
-// How long the line ahead takes to drain, by this instance's places but those
-// that lower work holds.
+// How long the requests ahead in the queue take, given this instance's slots
+// without those that lower tiers use.
 base::duration scheduler::expected_wait(const base::request_spec& item) const
 {
-    // Nobody ahead is the usual case; counting what runs on every upstream
-    // would cost more than all the rest of an arrival.
+    // Usually there is no request ahead. Counting the running requests of every
+    // upstream would cost more than the rest of an arrival.
     const base::duration ahead = this->admission.ahead_of(item);
     if (ahead == base::duration{0})
         return ahead;
@@ -338,7 +343,8 @@
     return ahead / std::max<std::uint32_t>(1, usable);
 }
 
-// Never false while lower work runs or waits: that gives way first.
+// Never false while a request of a lower tier runs or is queued: such requests
+// are preempted or shed first.
 bool scheduler::can_meet_deadline(const request& item, base::duration expected)
 {
     const admission::options& own = this->options.admission;
@@ -356,8 +362,8 @@
            this->lower_runs_at_peers(item.spec);
 }
 
-// When the line will have become so short that the same request would meet
-// its deadline.
+// The time after which the queue should be short enough for the same request to
+// meet its deadline, between `retry_after_min` and `retry_after_max`.
 base::duration scheduler::retry_after_for(const base::request_spec& item) const
 {
     const base::duration wait = this->expected_wait(item);
