--- a/src/greengagedrum/callers/session.cpp
+++ b/src/greengagedrum/callers/session.cpp
@@ -1,7 +1,7 @@
 #include <greengagedrum/callers/answer_writer.hpp>
 #include <greengagedrum/callers/context.hpp>
 #include <greengagedrum/callers/session.hpp>
-#include <greengagedrum/delivery/unclaimed.hpp>
+#include <greengagedrum/delivery/unclaimed_verdict.hpp>
 #include <greengagedrum/http/current_connection.hpp>
 
 #include <httplib.h>
@@ -41,9 +41,9 @@
     if (!this->submit()) {
         const telemetry::process_count full{telemetry::counter::ring_full};
         this->shared.telemetry.record(full);
-        return this->fail(delivery::unclaimed(this->request.arrival,
-                                              base::reason::internal,
-                                              full_ring_hint),
+        return this->fail(delivery::unclaimed_verdict(this->request.arrival,
+                                                      base::reason::internal,
+                                                      full_ring_hint),
                           response);
     }
     directive first = this->first_after_ticket(response);
@@ -123,7 +123,7 @@
         if (const auto* end = std::get_if<delivery::end_failed>(&current))
             return end->verdict;
         if (const auto* end = std::get_if<delivery::end_answered>(&current)) {
-            const base::answer_ptr whole = end->whole;
+            const base::answer_ptr whole = end->answer;
             // A stream read to its end has been passed on already, even if
             // the decision thread heard of that end twice.
             if (!this->made && writer != nullptr)
--- a/src/greengagedrum/delivery/preemption.cpp
+++ b/src/greengagedrum/delivery/preemption.cpp
@@ -1,8 +1,9 @@
-// Cancelling a lower request so that a higher one takes its place.
+// Preemption: cancels a request of a lower tier and dispatches one of a higher
+// tier in its slot.
 //
-// The last way to make room before a request has to be shed. Only work that
-// may be repeated is cancelled, so nothing is lost but the prefill: that of
-// the request with the least of it.
+// Used when an overdraft is not possible. Only preemptible idempotent requests
+// are cancelled, so only their prefill is lost; the request that loses the
+// fewest prefill tokens is selected.
 #include <greengagedrum/delivery/scheduler.hpp>
 
 #include <algorithm>
@@ -10,38 +11,39 @@
 namespace greengagedrum::delivery
 {
 
-bool scheduler::preempt_for(request& item, rooms_view rooms)
+bool scheduler::preempt_lower_tier(request& item, rooms_view rooms)
 {
     request* best = nullptr;
-    double least = 0;
+    double least_lost = 0;
     for (const placement::room& room : rooms) {
         for (const admission::running* lower :
-             this->run_set.lower_requests(room.upstream, item.work.tier)) {
+             this->running_requests.lower_requests(room.upstream,
+                                                   item.spec.tier)) {
             request& one = this->requests.at(lower->request);
             if (!this->may_be_preempted(one))
                 continue;
-            const double thrown = this->prefill_thrown(one);
-            if (best != nullptr && thrown >= least)
+            const double lost = this->lost_prefill_tokens(one);
+            if (best != nullptr && lost >= least_lost)
                 continue;
             best = &one;
-            least = thrown;
+            least_lost = lost;
         }
     }
     if (best == nullptr)
         return false;
     const base::upstream_id freed = best->upstream;
     this->count.preempted += 1;
-    this->count.prefill_wasted += static_cast<std::uint64_t>(least);
-    this->return_to_line(*best);
+    this->count.prefill_wasted += static_cast<std::uint64_t>(least_lost);
+    this->requeue_preempted(*best);
     this->dispatch(item, freed);
     return true;
 }
 
-// Not a request that would then miss its deadline; not one over and over, for
-// long work has to end some day.
+// A request is not preempted when it would then miss its deadline, nor more
+// than `preemptions_max` times, so that long requests finish eventually.
 bool scheduler::may_be_preempted(const request& item) const
 {
-    const base::request_spec& work = item.work;
+    const base::request_spec& work = item.spec;
     return work.preemptible &&
            work.repetition == base::repetition::idempotent &&
            item.caller_present && is_running(item.phase) &&
@@ -49,23 +51,23 @@
            this->now + this->estimator.expected(work) <= work.deadline;
 }
 
-// Tokens of its prompt that would have to be read again: all of them once an
-// answer has begun, else in proportion to the time it has had.
-double scheduler::prefill_thrown(const request& item) const
+// Prompt tokens whose prefill would have to be repeated: all of them once the
+// first token was received, otherwise in proportion to the elapsed time.
+double scheduler::lost_prefill_tokens(const request& item) const
 {
-    const double prompt = item.work.prompt_tokens;
-    const admission::running* run = this->run_set.find(item.id);
-    if (item.tokens_seen > 0 || run == nullptr)
+    const double prompt = item.spec.prompt_tokens;
+    const admission::running* run = this->running_requests.find(item.id);
+    if (item.tokens_received > 0 || run == nullptr)
         return prompt;
     const double had = static_cast<double>((this->now - run->since).count());
     const double whole = static_cast<double>(
-        std::max(this->estimator.prefill(item.work), base::duration{1})
+        std::max(this->estimator.prefill(item.spec), base::duration{1})
             .count());
     return prompt * std::min(1.0, had / whole);
 }
 
-// Not counted against its tries: it did not fail.
-void scheduler::return_to_line(request& item)
+// The cancelled dispatch does not count as an attempt, as it did not fail.
+void scheduler::requeue_preempted(request& item)
 {
     this->break_stream(item, true);
     this->planner.ended(item.dispatch, this->now);
@@ -73,8 +75,8 @@
     item.may_have_run = true;
     item.dispatches -= 1;
     item.preemptions += 1;
-    item.tokens_seen = 0;
-    this->change_phase(item, phase::waiting);
+    item.tokens_received = 0;
+    this->change_phase(item, phase::backing_off);
     this->change_phase(item, phase::queued);
     this->enqueue(item);
 }
--- a/src/greengagedrum/delivery/scheduler.hpp
+++ b/src/greengagedrum/delivery/scheduler.hpp
@@ -1,9 +1,4 @@
-// The decision core: one deterministic state machine for all requests that
-// this instance took.
-//
-// It does no I/O. Events come in with their time, actions go out; the edges
-// carry them out. It knows nothing of sockets, bodies or callers' tokens. The
-// order of everything depends on its events, their times and its seed alone.
+// The deterministic scheduler of an instance's requests.
 #pragma once
 
 #include <greengagedrum/admission/controller.hpp>
@@ -31,26 +26,28 @@
 namespace greengagedrum::delivery
 {
 
+// The identity of this instance and the settings of the scheduler.
 struct scheduler_options {
     base::slot_id slot;
-    base::incarnation life;
+    base::incarnation incarnation;
     base::data_centre_id data_centre;
     std::uint64_t seed = 1;
     admission::options admission;
-    idempotency::desk_options desk; // its slot and life come from above
-    placement::options placement;   // its slot and seed are those above
-    std::uint32_t resumes_max = 5;  // tries in a row without progress
-    // An upstream that can't be reached is asked for a stream dispatched at
-    // most once for this long after its last sign of life.
-    base::duration cut_patience = std::chrono::seconds(60);
+    idempotency::desk_options
+        desk; // slot, data centre and incarnation are overwritten
+    placement::options placement;  // slot and seed are overwritten
+    std::uint32_t resumes_max = 5; // attempts in a row without progress
+    // For how long after its last progress the stream of an at-most-once
+    // request is resumed while its upstream can't be reached.
+    base::duration unreachable_resume_window = std::chrono::seconds(60);
     backoff_range resume_backoff;
     backoff_range retry_backoff;
-    std::uint32_t dispatches_max = 3; // of one idempotent request
+    std::uint32_t dispatches_max = 3; // per idempotent request
     double retry_fraction = 0.1;
     double retry_bound = 50;
 };
 
-// Counted since the start, for metrics and reports.
+// Counts since the start of the process, for metrics and reports.
 struct scheduler_counters {
     std::uint64_t arrived = 0;
     std::uint64_t dispatched = 0;
@@ -60,38 +57,47 @@
     std::uint64_t not_run = 0;
     std::uint64_t may_have_run = 0;
     std::array<std::uint64_t, base::tier_count> shed{};
-    std::uint64_t prefill_wasted = 0; // tokens of prompts given up
-    std::uint64_t overdrafts = 0;     // dispatches beyond the allowance
-    std::uint64_t forced = 0;         // of these, beyond the overdraft too
-    std::uint64_t recalled = 0;       // answered from a kept answer
-    std::uint64_t preempted = 0;      // dispatches cancelled for others
+    std::uint64_t prefill_wasted = 0; // prompt tokens of abandoned dispatches
+    std::uint64_t overdrafts = 0; // dispatches beyond the upstream's allowance
+    std::uint64_t forced =
+        0; // dispatches beyond the overdraft, up to the hard bound
+    std::uint64_t recalled = 0;  // answered with a kept answer
+    std::uint64_t preempted = 0; // dispatches cancelled for higher tiers
     std::array<std::uint64_t, base::tier_count> retried_by_tier{};
     std::array<std::uint64_t, base::tier_count> resumed_by_tier{};
     std::array<std::uint64_t, base::tier_count> prefill_wasted_by_tier{};
 };
 
+// One deterministic state machine for all requests that this instance accepted.
+// It does no I/O: step() takes an event with its time and returns actions,
+// which the I/O threads carry out. It sees no sockets, request bodies or
+// credentials. Its actions and their order depend only on the events, their
+// times and the seed.
 class scheduler
 {
 public:
     explicit scheduler(const scheduler_options& options);
 
-    // Takes one event and appends what is to be done to `out`.
+    // Processes one event and appends the resulting actions to `out`.
     void step(const event& what, base::instant now, std::vector<action>& out);
 
-    // When step(tick) is due, if at all.
+    // When step(tick) has to be called at the latest, if at all.
     std::optional<base::instant> next_wake() const;
 
     std::size_t in_flight() const { return this->requests.size(); }
     std::size_t waiting() const { return this->admission.waiting(); }
-    bool stopping() const { return this->stop; }
+    bool stopping() const { return this->stop_requested; }
     const scheduler_counters& counters() const { return this->count; }
 
-    // Null once it has ended.
+    // Null when the request is unknown or has ended.
     const request* find(base::request_id id) const;
 
-    // What the promise about tiers is checked against, see
+    // The state against which the tier invariant is checked, see
     // admission/invariant.hpp.
-    const admission::running_set& running() const { return this->run_set; }
+    const admission::running_set& running() const
+    {
+        return this->running_requests;
+    }
     std::vector<placement::room> rooms(const base::request_spec& item) const
     {
         return this->planner.rooms(item);
@@ -128,100 +134,102 @@
 
     void fire_timers();
     void on_timer(request& item);
-    void give_out();
+    void dispatch_queued();
     void dispatch(request& item, base::upstream_id upstream);
     void enqueue(request& item);
-    void recover(request& item, break_cause cause);
-    void try_resume(request& item);
+    void handle_broken_stream(request& item, break_cause cause);
+    void schedule_resume(request& item);
     void resume(request& item);
     void break_stream(const request& item, bool cancel);
     void retry_or_end(request& item, base::reason why);
-    void end_answered_with(request& item, base::answer_ptr whole);
-    void end_with(request& item, base::verdict verdict);
-    void end_unservable(request& item);
-    void forget(request& item);
+    void end_with_answer(request& item, base::answer_ptr whole);
+    void end_with_verdict(request& item, base::verdict verdict);
+    void end_without_upstream(request& item);
+    void remove(request& item);
     void change_phase(request& item, phase to);
-    void watch_progress(request& item);
-    request* by_dispatch(base::dispatch_id dispatch);
-    void waste_prefill(const request& item);
+    void set_progress_timer(request& item);
+    request* find_by_dispatch(base::dispatch_id dispatch);
+    void count_wasted_prefill(const request& item);
     double random();
 
-    // delivery/claims.cpp: tickets and callers' keys.
+    // claims.cpp: tickets and idempotency keys.
     void begin_claim(request& item);
     base::data_centre_id home_of(base::workspace_id workspace) const;
-    void learn_homes();
-    bool grant_holds(request& item);
-    void renew_grants();
+    void update_home_data_centres();
+    bool check_grant(request& item);
+    void renew_expired_grants();
     base::run_state close_claim(request& item, base::run_state run);
-    bool settle_claims();
-    void settle(const idempotency::granted& what);
-    void settle(const idempotency::attached& what);
-    void settle(const idempotency::recalled& what);
-    void settle(const idempotency::refused& what);
-    void settle(const idempotency::send& what);
-
-    // delivery/waiting.cpp: the line, and who gives way in it.
+    bool apply_desk_outputs();
+    void apply(const idempotency::granted& what);
+    void apply(const idempotency::attached& what);
+    void apply(const idempotency::recalled& what);
+    void apply(const idempotency::refused& what);
+    void apply(const idempotency::send& what);
+
+    // waiting.cpp: the queue, dispatch from it and shedding.
     using rooms_view = std::span<const placement::room>;
-    bool place(base::request_id id,
-               const base::request_spec& item,
-               admission::grant);
-    bool place_free(request& item);
-    bool place_by_floor(request& item);
+    bool try_dispatch(base::request_id id,
+                      const base::request_spec& item,
+                      admission::grant);
+    bool dispatch_to_free_slot(request& item);
+    bool dispatch_within_floor(request& item);
     bool make_room(request& item);
     void mark_distress(const base::request_spec& item);
     bool overdraw(request& item, rooms_view rooms, double share);
-    bool force(request& item);
-    bool lower_runs(const base::request_spec& item, rooms_view rooms) const;
+    bool force_dispatch(request& item);
+    bool lower_tier_runs_here(const base::request_spec& item,
+                              rooms_view rooms) const;
     bool lower_runs_at_peers(const base::request_spec& item) const;
-    std::uint32_t floor_places(rooms_view rooms) const;
-    void time_in_line_over(request& item);
-    void give_up(const request& item, base::reason why);
-    void settle_given_up();
+    std::uint32_t floor_slots(rooms_view rooms) const;
+    void on_queue_timeout(request& item);
+    void add_shed_candidate(const request& item, base::reason why);
+    void force_or_shed_candidates();
     void shed(request& item, base::reason why);
-    bool can_be_met(const request& item, base::duration expected);
-    base::duration wait_for(const base::request_spec& item) const;
-    base::duration hint_for(const base::request_spec& item) const;
+    bool can_meet_deadline(const request& item, base::duration expected);
+    base::duration expected_wait(const base::request_spec& item) const;
+    base::duration retry_after_for(const base::request_spec& item) const;
 
-    // delivery/preemption.cpp
-    bool preempt_for(request& item, rooms_view rooms);
+    // preemption.cpp: cancelling requests of lower tiers.
+    bool preempt_lower_tier(request& item, rooms_view rooms);
     bool may_be_preempted(const request& item) const;
-    double prefill_thrown(const request& item) const;
-    void return_to_line(request& item);
+    double lost_prefill_tokens(const request& item) const;
+    void requeue_preempted(request& item);
 
-    // delivery/sharing.cpp: this instance's part of upstreams and limits.
+    // sharing.cpp: this instance's shares of upstreams and limits.
     void set_entries();
-    void refresh_shares();
-    void set_limit_shares();
-    capacity::load_digest own_use();
-    void note_limit_uses(capacity::load_digest& used);
+    void update_shares();
+    void set_own_limits();
+    capacity::load_digest own_load();
+    void add_limit_usage(capacity::load_digest& digest);
 
     scheduler_options options;
     std::mt19937_64 generator;
     admission::controller admission;
     placement::planner planner;
     idempotency::desk desk;
-    std::unordered_map<base::workspace_id, base::data_centre_id> homes;
-    admission::running_set run_set;
+    std::unordered_map<base::workspace_id, base::data_centre_id>
+        home_data_centres;
+    admission::running_set running_requests;
     admission::run_estimator estimator;
     admission::distress distress;
     capacity::shares shares;
-    base::instant shares_due;
-    base::instant load_told;
-    std::map<admission::limit_key, std::uint64_t> tokens_told;
+    base::instant next_share_refresh;
+    base::instant last_digest_at;
+    std::map<admission::limit_key, std::uint64_t> reported_tokens;
     retry_budget retries;
     timer_queue timers;
     std::unordered_map<base::request_id, request> requests;
     std::unordered_map<base::dispatch_id, base::request_id> dispatches;
     config::snapshot_ptr snapshot;
-    membership::instance_list listed;
+    membership::instance_list instance_listing;
     scheduler_counters count;
     std::uint64_t next_dispatch = 1;
-    bool stop = false;
+    bool stop_requested = false;
 
-    // Valid within step().
-    std::vector<idempotency::output> desk_out;
-    std::vector<base::request_id> grants_void;
-    std::vector<std::pair<base::request_id, base::reason>> given_up;
+    // Used within step() only.
+    std::vector<idempotency::output> desk_outputs;
+    std::vector<base::request_id> expired_grants;
+    std::vector<std::pair<base::request_id, base::reason>> shed_candidates;
     base::instant now;
     std::vector<action>* out = nullptr;
 };
--- a/src/greengagedrum/delivery/test/peer_tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/peer_tiers_test.cpp
@@ -46,7 +46,7 @@
     {
         scheduler_options out;
         out.slot = base::slot_id(name);
-        out.life = base::incarnation{7};
+        out.incarnation = base::incarnation{7};
         out.data_centre = base::data_centre_id("zona-4");
         return out;
     }
@@ -83,7 +83,7 @@
                 at.started.push_back(*start);
             if (const auto* end = std::get_if<end_failed>(&one))
                 at.failed.push_back(*end);
-            if (const auto* told = std::get_if<tell_load>(&one))
+            if (const auto* told = std::get_if<send_load_digest>(&one))
                 at.told = told->digest;
         }
     }
@@ -92,7 +92,7 @@
     {
         peer_load what;
         what.sender = base::slot_id(slot);
-        what.life = base::incarnation{7};
+        what.incarnation = base::incarnation{7};
         this->step(from, load_due{});
         what.digest = from.told;
         this->step(to, what);
@@ -122,14 +122,14 @@
     {
         request_arrived what;
         what.request = base::request_id{++this->last_request};
-        what.work.upstream_class = base::upstream_class_id("photo");
-        what.work.model = base::model_id("compliance");
-        what.work.tier = tier;
-        what.work.repetition = tier == base::tier::bulk
+        what.spec.upstream_class = base::upstream_class_id("photo");
+        what.spec.model = base::model_id("compliance");
+        what.spec.tier = tier;
+        what.spec.repetition = tier == base::tier::bulk
                                    ? base::repetition::at_most_once
                                    : base::repetition::idempotent;
-        what.work.prompt_tokens = 100;
-        what.work.output_tokens = 50;
+        what.spec.prompt_tokens = 100;
+        what.spec.output_tokens = 50;
         what.deadline_after = deadline_after;
         this->step(at, what);
     }
--- a/src/greengagedrum/delivery/test/policy_run.hpp
+++ b/src/greengagedrum/delivery/test/policy_run.hpp
@@ -156,7 +156,7 @@
         const load_kind& kind = kinds[tier];
         request_arrived what_came;
         what_came.request = base::request_id{++this->last_request};
-        base::request_spec& work = what_came.work;
+        base::request_spec& work = what_came.spec;
         work.workspace = base::workspace_id("kenitra");
         work.kind = base::kind_id("kind-" + std::to_string(tier));
         work.upstream_class = base::upstream_class_id("dossier");
@@ -263,7 +263,7 @@
     void on(const start_resume& done) { static_cast<void>(done); }
     void on(const send_claim_message& done) { static_cast<void>(done); }
 
-    void on(const tell_load& done) { static_cast<void>(done); }
+    void on(const send_load_digest& done) { static_cast<void>(done); }
 
     struct question {
         std::size_t tier = 0;
--- a/src/greengagedrum/delivery/test/random_run.hpp
+++ b/src/greengagedrum/delivery/test/random_run.hpp
@@ -26,7 +26,7 @@
     {
         scheduler_options out;
         out.slot = base::slot_id("zona-4-a");
-        out.life = base::incarnation{7};
+        out.incarnation = base::incarnation{7};
         out.data_centre = base::data_centre_id("zona-4");
         out.seed = seed;
         out.admission.waiting_max = seed % 2 == 0 ? 20 : 200;
@@ -94,7 +94,7 @@
     {
         request_arrived what;
         what.request = base::request_id{++this->last_request};
-        base::request_spec& work = what.work;
+        base::request_spec& work = what.spec;
         work.workspace =
             base::workspace_id(this->chance(0.2) ? "mall" : "yard");
         work.kind = base::kind_id(this->chance(0.5) ? "caption" : "review");
@@ -148,7 +148,7 @@
     {
         peer_load what;
         what.sender = base::slot_id("zona-4-b");
-        what.life = base::incarnation{9};
+        what.incarnation = base::incarnation{9};
         what.digest.sequence = ++this->peer_sequence;
         capacity::class_demand demand;
         demand.upstream_class = base::upstream_class_id("photo");
@@ -267,7 +267,7 @@
 
     void check(const send_claim_message& done) { static_cast<void>(done); }
 
-    void check(const tell_load& done) { static_cast<void>(done); }
+    void check(const send_load_digest& done) { static_cast<void>(done); }
 
     void end(base::request_id id)
     {
@@ -283,10 +283,10 @@
         if (from == to)
             return;
         // One step may take a request through two transitions.
-        bool legal = may_follow(from, to);
+        bool legal = is_transition_allowed(from, to);
         for (int middle = 0; middle < phase_count && !legal; ++middle)
-            legal = may_follow(from, static_cast<phase>(middle)) &&
-                    may_follow(static_cast<phase>(middle), to);
+            legal = is_transition_allowed(from, static_cast<phase>(middle)) &&
+                    is_transition_allowed(static_cast<phase>(middle), to);
         CHECK_MESSAGE(legal, this->where());
     }
 
--- a/src/greengagedrum/trace/ledger.cpp
+++ b/src/greengagedrum/trace/ledger.cpp
@@ -16,7 +16,7 @@
 void ledger::note(const delivery::event& what)
 {
     if (const auto* arrived = std::get_if<delivery::request_arrived>(&what))
-        this->records[arrived->request].repetition = arrived->work.repetition;
+        this->records[arrived->request].repetition = arrived->spec.repetition;
     const auto* refused = std::get_if<delivery::connect_refused>(&what);
     if (refused == nullptr)
         return;
@@ -108,8 +108,8 @@
 ledger::finding ledger::take(const delivery::end_answered& what,
                              base::instant now)
 {
-    if (what.whole != nullptr)
-        this->records[what.request].answer_length = what.whole->body.size();
+    if (what.answer != nullptr)
+        this->records[what.request].answer_length = what.answer->body.size();
     return this->end(what.request, now);
 }
 
@@ -132,7 +132,8 @@
     return std::nullopt;
 }
 
-ledger::finding ledger::take(const delivery::tell_load& what, base::instant now)
+ledger::finding ledger::take(const delivery::send_load_digest& what,
+                             base::instant now)
 {
     static_cast<void>(what);
     static_cast<void>(now);
--- a/src/greengagedrum/trace/message_fields.hpp
+++ b/src/greengagedrum/trace/message_fields.hpp
@@ -9,7 +9,7 @@
 template <>
 inline constexpr auto fields_of<delivery::request_arrived> = std::tuple{
     named("request", &delivery::request_arrived::request),
-    named("work", &delivery::request_arrived::work),
+    named("work", &delivery::request_arrived::spec),
     named("deadline_after_us", &delivery::request_arrived::deadline_after),
     named("body_digest", &delivery::request_arrived::body_digest),
     named("subject", &delivery::request_arrived::subject)};
@@ -43,7 +43,7 @@
 template <>
 inline constexpr auto fields_of<delivery::stream_finished> = std::tuple{
     named("dispatch", &delivery::stream_finished::dispatch),
-    named("whole", &delivery::stream_finished::whole),
+    named("whole", &delivery::stream_finished::answer),
     named("cached_tokens", &delivery::stream_finished::cached_tokens)};
 
 template <>
@@ -55,7 +55,7 @@
 template <>
 inline constexpr auto fields_of<delivery::claim_message> =
     std::tuple{named("sender", &delivery::claim_message::sender),
-               named("life", &delivery::claim_message::life),
+               named("life", &delivery::claim_message::incarnation),
                named("body", &delivery::claim_message::body)};
 
 template <>
@@ -78,7 +78,7 @@
 template <>
 inline constexpr auto fields_of<delivery::peer_load> =
     std::tuple{named("sender", &delivery::peer_load::sender),
-               named("life", &delivery::peer_load::life),
+               named("life", &delivery::peer_load::incarnation),
                named("digest", &delivery::peer_load::digest)};
 
 template <>
@@ -119,7 +119,7 @@
 template <>
 inline constexpr auto fields_of<delivery::end_answered> =
     std::tuple{named("request", &delivery::end_answered::request),
-               named("whole", &delivery::end_answered::whole)};
+               named("whole", &delivery::end_answered::answer)};
 
 template <>
 inline constexpr auto fields_of<delivery::end_failed> =
@@ -132,7 +132,7 @@
                named("body", &delivery::send_claim_message::body)};
 
 template <>
-inline constexpr auto fields_of<delivery::tell_load> =
-    std::tuple{named("digest", &delivery::tell_load::digest)};
+inline constexpr auto fields_of<delivery::send_load_digest> =
+    std::tuple{named("digest", &delivery::send_load_digest::digest)};
 
 } // namespace greengagedrum::trace
