--- a/src/greengagedrum/capacity/messages.hpp
+++ b/src/greengagedrum/capacity/messages.hpp
@@ -10,7 +10,7 @@
 {
 
 // One entry's own use of one upstream, and what waits at that entry for it.
-struct upstream_use {
+struct upstream_usage {
     base::upstream_id upstream;
     std::uint32_t in_flight = 0;
     std::uint32_t tokens_in_flight = 0; // prompt and expected output
@@ -25,7 +25,7 @@
 };
 
 // One entry's use of a workspace's limit.
-struct limit_use {
+struct limit_usage {
     base::workspace_id workspace;
     base::kind_id kind;
     std::uint32_t in_flight = 0;
@@ -36,9 +36,9 @@
 struct load_digest {
     std::uint64_t sequence = 0;
     bool complete = false; // true: replaces all that was told before
-    std::vector<upstream_use> uses;
+    std::vector<upstream_usage> uses;
     std::vector<class_demand> demands;
-    std::vector<limit_use> limits;
+    std::vector<limit_usage> limits;
 };
 
 } // namespace greengagedrum::capacity
--- a/src/greengagedrum/capacity/shares.cpp
+++ b/src/greengagedrum/capacity/shares.cpp
@@ -20,7 +20,7 @@
 // Parts into which a workspace's limit is split.
 constexpr std::uint32_t limit_parts = 64;
 
-bool same(const upstream_use& left, const upstream_use& right)
+bool same(const upstream_usage& left, const upstream_usage& right)
 {
     return left.in_flight == right.in_flight &&
            left.tokens_in_flight == right.tokens_in_flight &&
@@ -37,12 +37,12 @@
                       std::begin(right.running));
 }
 
-bool idle(const limit_use& use)
+bool idle(const limit_usage& use)
 {
     return use.in_flight == 0 && use.tokens_per_second == 0;
 }
 
-bool same(const limit_use& left, const limit_use& right)
+bool same(const limit_usage& left, const limit_usage& right)
 {
     return left.in_flight == right.in_flight &&
            left.tokens_per_second == right.tokens_per_second;
@@ -68,11 +68,11 @@
     return static_cast<std::uint32_t>((value + by - 1) / by);
 }
 
-constexpr auto use_key = [](const upstream_use& use) { return use.upstream; };
+constexpr auto use_key = [](const upstream_usage& use) { return use.upstream; };
 constexpr auto demand_key = [](const class_demand& demand) {
     return demand.upstream_class;
 };
-constexpr auto limit_key = [](const limit_use& use) {
+constexpr auto limit_key = [](const limit_usage& use) {
     return std::pair(use.workspace, use.kind);
 };
 
@@ -119,11 +119,11 @@
         known.demands.clear();
         known.limits.clear();
     }
-    for (const upstream_use& use : digest.uses)
+    for (const upstream_usage& use : digest.uses)
         known.uses.insert_or_assign(use_key(use), use);
     for (const class_demand& demand : digest.demands)
         known.demands.insert_or_assign(demand_key(demand), demand);
-    for (const limit_use& use : digest.limits) {
+    for (const limit_usage& use : digest.limits) {
         if (idle(use))
             known.limits.erase(limit_key(use));
         else
@@ -164,7 +164,7 @@
         out.uses = changed(held.uses, this->told.uses, use_key);
         out.demands = changed(held.demands, this->told.demands, demand_key);
         out.limits = changed(held.limits, this->told.limits, limit_key);
-        std::erase_if(out.limits, [this](const limit_use& use) {
+        std::erase_if(out.limits, [this](const limit_usage& use) {
             return idle(use) && !this->told.limits.contains(limit_key(use));
         });
     }
--- a/src/greengagedrum/capacity/shares.hpp
+++ b/src/greengagedrum/capacity/shares.hpp
@@ -80,9 +80,9 @@
         base::incarnation life;
         std::uint64_t sequence = 0;
         base::instant at;
-        std::map<base::upstream_id, upstream_use> uses;
+        std::map<base::upstream_id, upstream_usage> uses;
         std::map<base::upstream_class_id, class_demand> demands;
-        std::map<limit_id, limit_use> limits;
+        std::map<limit_id, limit_usage> limits;
     };
     struct peak {
         std::uint32_t value = 0;
--- a/src/greengagedrum/delivery/sharing.cpp
+++ b/src/greengagedrum/delivery/sharing.cpp
@@ -122,7 +122,7 @@
         if (entry.data_centre != this->options.data_centre)
             continue;
         classes.insert(entry.upstream_class);
-        capacity::upstream_use use;
+        capacity::upstream_usage use;
         use.upstream = entry.id;
         use.in_flight = this->run_set.in_flight(entry.id);
         use.tokens_in_flight = this->run_set.tokens(entry.id);
@@ -155,7 +155,7 @@
             if (kind.max_in_flight == 0 && kind.tokens_per_second == 0)
                 continue;
             const admission::limit_key key{workspace.id, kind.id};
-            capacity::limit_use use;
+            capacity::limit_usage use;
             use.workspace = workspace.id;
             use.kind = kind.id;
             use.in_flight = this->admission.limits_in_use().in_flight(key) +
--- a/src/greengagedrum/peers/encode.cpp
+++ b/src/greengagedrum/peers/encode.cpp
@@ -102,7 +102,7 @@
     auto operator()(const capacity::load_digest& digest) const
     {
         std::vector<wire::upstream_use> uses;
-        for (const capacity::upstream_use& use : digest.uses)
+        for (const capacity::upstream_usage& use : digest.uses)
             uses.emplace_back(use.upstream.value,
                               use.in_flight,
                               use.tokens_in_flight,
@@ -114,7 +114,7 @@
                 flatbuffers::span<const std::uint32_t, 4>(demand.waiting),
                 flatbuffers::span<const std::uint32_t, 4>(demand.running));
         std::vector<wire::limit_use> limits;
-        for (const capacity::limit_use& limit : digest.limits)
+        for (const capacity::limit_usage& limit : digest.limits)
             limits.emplace_back(limit.workspace.value,
                                 limit.kind.value,
                                 limit.in_flight,
--- a/src/greengagedrum/peers/load_delta.cpp
+++ b/src/greengagedrum/peers/load_delta.cpp
@@ -11,10 +11,10 @@
 {
 
 using capacity::class_demand;
-using capacity::limit_use;
-using capacity::upstream_use;
+using capacity::limit_usage;
+using capacity::upstream_usage;
 
-auto key_of(const upstream_use& line)
+auto key_of(const upstream_usage& line)
 {
     return line.upstream;
 }
@@ -24,14 +24,14 @@
     return line.upstream_class;
 }
 
-auto key_of(const limit_use& line)
+auto key_of(const limit_usage& line)
 {
     return std::pair(line.workspace, line.kind);
 }
 
-bool same(const upstream_use& left, const upstream_use& right)
+bool same(const upstream_usage& left, const upstream_usage& right)
 {
-    const auto fields = [](const upstream_use& line) {
+    const auto fields = [](const upstream_usage& line) {
         return std::tie(line.in_flight, line.tokens_in_flight, line.overdraft);
     };
     return fields(left) == fields(right);
@@ -43,15 +43,15 @@
            std::ranges::equal(left.running, right.running);
 }
 
-bool same(const limit_use& left, const limit_use& right)
+bool same(const limit_usage& left, const limit_usage& right)
 {
     return left.in_flight == right.in_flight &&
            left.tokens_per_second == right.tokens_per_second;
 }
 
-upstream_use emptied(const upstream_use& line)
+upstream_usage emptied(const upstream_usage& line)
 {
-    upstream_use out;
+    upstream_usage out;
     out.upstream = line.upstream;
     return out;
 }
@@ -63,9 +63,9 @@
     return out;
 }
 
-limit_use emptied(const limit_use& line)
+limit_usage emptied(const limit_usage& line)
 {
-    limit_use out;
+    limit_usage out;
     out.workspace = line.workspace;
     out.kind = line.kind;
     return out;
--- a/src/greengagedrum/placement/planner.cpp
+++ b/src/greengagedrum/placement/planner.cpp
@@ -140,11 +140,11 @@
 }
 
 void planner::peer_use(base::slot_id peer,
-                       std::span<const capacity::upstream_use> uses,
+                       std::span<const capacity::upstream_usage> uses,
                        base::instant now)
 {
     this->peer_heard(peer, now);
-    for (const capacity::upstream_use& use : uses) {
+    for (const capacity::upstream_usage& use : uses) {
         if (upstream_state* state = this->state_of(use.upstream))
             state->foreign.told(peer, use.in_flight, use.tokens_in_flight, now);
     }
--- a/src/greengagedrum/placement/planner.hpp
+++ b/src/greengagedrum/placement/planner.hpp
@@ -58,7 +58,7 @@
     // What a peer has on each upstream; replaces what it told of these. It
     // counts until the peer is lost or not heard for 10 s.
     void peer_use(base::slot_id peer,
-                  std::span<const capacity::upstream_use> uses,
+                  std::span<const capacity::upstream_usage> uses,
                   base::instant now);
     void peer_heard(base::slot_id peer, base::instant now);
     void peer_lost(base::slot_id peer);
--- a/src/greengagedrum/placement/test/choice_test.cpp
+++ b/src/greengagedrum/placement/test/choice_test.cpp
@@ -24,7 +24,7 @@
     return out;
 }
 
-capacity::upstream_use
+capacity::upstream_usage
 use(int number, std::uint32_t requests, std::uint32_t tokens)
 {
     return {fleet_fixture::name(number), requests, tokens, false};
--- a/src/greengagedrum/trace/part_fields.hpp
+++ b/src/greengagedrum/trace/part_fields.hpp
@@ -129,11 +129,11 @@
 static_assert(has_whole_table<membership::heartbeat>);
 
 template <>
-inline constexpr auto fields_of<capacity::upstream_use> = std::tuple{
-    named("upstream", &capacity::upstream_use::upstream),
-    named("in_flight", &capacity::upstream_use::in_flight),
-    named("tokens_in_flight", &capacity::upstream_use::tokens_in_flight),
-    named("overdraft", &capacity::upstream_use::overdraft)};
+inline constexpr auto fields_of<capacity::upstream_usage> = std::tuple{
+    named("upstream", &capacity::upstream_usage::upstream),
+    named("in_flight", &capacity::upstream_usage::in_flight),
+    named("tokens_in_flight", &capacity::upstream_usage::tokens_in_flight),
+    named("overdraft", &capacity::upstream_usage::overdraft)};
 
 template <>
 inline constexpr auto fields_of<capacity::class_demand> =
@@ -142,11 +142,11 @@
                named("running", &capacity::class_demand::running)};
 
 template <>
-inline constexpr auto fields_of<capacity::limit_use> = std::tuple{
-    named("workspace", &capacity::limit_use::workspace),
-    named("kind", &capacity::limit_use::kind),
-    named("in_flight", &capacity::limit_use::in_flight),
-    named("tokens_per_second", &capacity::limit_use::tokens_per_second)};
+inline constexpr auto fields_of<capacity::limit_usage> = std::tuple{
+    named("workspace", &capacity::limit_usage::workspace),
+    named("kind", &capacity::limit_usage::kind),
+    named("in_flight", &capacity::limit_usage::in_flight),
+    named("tokens_per_second", &capacity::limit_usage::tokens_per_second)};
 
 template <>
 inline constexpr auto fields_of<capacity::load_digest> =
--- a/src/programs/ggd_bench_core.cpp
+++ b/src/programs/ggd_bench_core.cpp
@@ -136,7 +136,7 @@
     {
         constexpr int peers = 8;
         for (int peer = 0; peer < peers; ++peer) {
-            std::vector<capacity::upstream_use> uses;
+            std::vector<capacity::upstream_usage> uses;
             for (const config::upstream_entry& entry : this->fleet.upstreams)
                 uses.push_back({entry.id,
                                 1U + static_cast<unsigned>(peer % 2),
