--- a/src/greengagedrum/capacity/shares.cpp
+++ b/src/greengagedrum/capacity/shares.cpp
@@ -194,7 +194,7 @@
         });
 }
 
-std::uint32_t shares::of_upstream(base::upstream_id upstream,
+std::uint32_t shares::upstream_share(base::upstream_id upstream,
                                   base::upstream_class_id upstream_class,
                                   std::uint32_t limit,
                                   std::uint32_t class_total,
@@ -227,7 +227,7 @@
     return split(limit, wants, upstream.value)[own_place];
 }
 
-double shares::of_limit(base::workspace_id workspace,
+double shares::limit_share(base::workspace_id workspace,
                         base::kind_id kind,
                         base::instant now) const
 {
@@ -235,7 +235,7 @@
     return this->limit_part(limit, workspace.value ^ kind.value, now);
 }
 
-double shares::of_idle_limit(base::instant now) const
+double shares::idle_limit_share(base::instant now) const
 {
     return this->limit_part({}, 0, now);
 }
--- a/src/greengagedrum/capacity/shares.hpp
+++ b/src/greengagedrum/capacity/shares.hpp
@@ -52,21 +52,21 @@
 
     // This instance's places of an upstream with `limit` places in a class
     // with `class_total`.
-    std::uint32_t of_upstream(base::upstream_id upstream,
+    std::uint32_t upstream_share(base::upstream_id upstream,
                               base::upstream_class_id upstream_class,
                               std::uint32_t limit,
                               std::uint32_t class_total,
                               base::instant now) const;
 
     // This instance's part of a workspace's limit, from 0 to 1.
-    double of_limit(base::workspace_id workspace,
+    double limit_share(base::workspace_id workspace,
                     base::kind_id kind,
                     base::instant now) const;
 
     // The part of every limit that no entry is known to use, and the limits
     // that some entry uses. Most limits of a deployment are idle at any time:
-    // asking of_limit for each would cost 4.5 us times their number.
-    double of_idle_limit(base::instant now) const;
+    // asking limit_share for each would cost 4.5 us times their number.
+    double idle_limit_share(base::instant now) const;
     std::set<limit_id> used_limits(base::instant now) const;
 
     // True when a peer told lately of running work of a lower tier in that
--- a/src/greengagedrum/capacity/test/shares_test.cpp
+++ b/src/greengagedrum/capacity/test/shares_test.cpp
@@ -60,7 +60,7 @@
     {
         std::vector<std::uint32_t> out;
         for (const shares& entry : this->entries)
-            out.push_back(entry.of_upstream(base::upstream_id("photo-1"),
+            out.push_back(entry.upstream_share(base::upstream_id("photo-1"),
                                             base::upstream_class_id("photo"),
                                             limit,
                                             limit,
--- a/src/greengagedrum/delivery/sharing.cpp
+++ b/src/greengagedrum/delivery/sharing.cpp
@@ -68,7 +68,7 @@
         if (entry.data_centre != this->options.data_centre)
             continue;
         const std::uint32_t share =
-            this->shares.of_upstream(entry.id,
+            this->shares.upstream_share(entry.id,
                                      entry.upstream_class,
                                      entry.max_in_flight,
                                      totals[entry.upstream_class],
@@ -83,7 +83,7 @@
 void scheduler::set_limit_shares()
 {
     std::map<admission::limit_key, admission::limit> bounds;
-    const double idle = this->shares.of_idle_limit(this->now);
+    const double idle = this->shares.idle_limit_share(this->now);
     const auto used = this->shares.used_limits(this->now);
     for (const auto& [name, workspace] : this->snapshot->workspaces) {
         for (const config::kind_rules& kind : workspace.kinds) {
@@ -91,7 +91,7 @@
                 continue;
             const double part =
                 used.contains({workspace.id, kind.id})
-                    ? this->shares.of_limit(workspace.id, kind.id, this->now)
+                    ? this->shares.limit_share(workspace.id, kind.id, this->now)
                     : idle;
             admission::limit bound;
             if (kind.max_in_flight > 0)
--- a/src/programs/bench_state/sections.hpp
+++ b/src/programs/bench_state/sections.hpp
@@ -258,7 +258,7 @@
             const double asked = processor_now();
             std::uint64_t sum = 0;
             for (int at = 0; at < asks; ++at)
-                sum += tested.of_upstream(base::upstream_id("engine-7"),
+                sum += tested.upstream_share(base::upstream_id("engine-7"),
                                           base::upstream_class_id("photo"),
                                           8,
                                           8 * upstreams,
