--- a/src/greengagedrum/capacity/shares.cpp
+++ b/src/greengagedrum/capacity/shares.cpp
@@ -86,7 +86,7 @@
 
 // ---- What peers tell ------------------------------------------------------
 
-void shares::heard(base::slot_id peer,
+void shares::on_load_digest(base::slot_id peer,
                    base::incarnation life,
                    const load_digest& digest,
                    base::instant now)
@@ -106,7 +106,7 @@
     apply(known, digest);
 }
 
-void shares::lost(base::slot_id peer)
+void shares::remove_peer(base::slot_id peer)
 {
     this->peers.erase(peer);
 }
@@ -290,7 +290,7 @@
     return static_cast<double>(parts[own_place]) / limit_parts;
 }
 
-bool shares::lower_runs_at_peers(base::upstream_class_id upstream_class,
+bool shares::peers_run_lower_tier(base::upstream_class_id upstream_class,
                                  base::tier tier,
                                  base::instant now) const
 {
--- a/src/greengagedrum/capacity/shares.hpp
+++ b/src/greengagedrum/capacity/shares.hpp
@@ -38,11 +38,11 @@
     void set_entries(std::set<base::slot_id> live);
     std::size_t entry_count() const { return this->entries.size(); }
 
-    void heard(base::slot_id peer,
+    void on_load_digest(base::slot_id peer,
                base::incarnation life,
                const load_digest& digest,
                base::instant now);
-    void lost(base::slot_id peer);
+    void remove_peer(base::slot_id peer);
 
     // The digest to send: what changed since the last one, and everything now
     // and then, for a digest may have been lost. A demand rises at once and
@@ -71,7 +71,7 @@
 
     // True when a peer told lately of running work of a lower tier in that
     // class.
-    bool lower_runs_at_peers(base::upstream_class_id upstream_class,
+    bool peers_run_lower_tier(base::upstream_class_id upstream_class,
                              base::tier tier,
                              base::instant now) const;
 
--- a/src/greengagedrum/capacity/test/shares_test.cpp
+++ b/src/greengagedrum/capacity/test/shares_test.cpp
@@ -51,7 +51,7 @@
                 this->entries[i].compose(demands[i], this->now);
             for (std::size_t j = 0; j < this->entries.size(); ++j)
                 if (j != i)
-                    this->entries[j].heard(
+                    this->entries[j].on_load_digest(
                         this->slots[i], base::incarnation{1}, told, this->now);
         }
     }
@@ -128,11 +128,11 @@
     load_digest told = demand_of(0, 0);
     told.sequence = 1;
     entry.compose(demand_of(0, 9), this->now);
-    entry.heard(this->slots[1], base::incarnation{2}, told, this->now);
-    entry.heard(this->slots[2], base::incarnation{2}, told, this->now);
+    entry.on_load_digest(this->slots[1], base::incarnation{2}, told, this->now);
+    entry.on_load_digest(this->slots[2], base::incarnation{2}, told, this->now);
     told = demand_of(50, 0);
     told.sequence = 70;
-    entry.heard(this->slots[1], base::incarnation{1}, told, this->now);
+    entry.on_load_digest(this->slots[1], base::incarnation{1}, told, this->now);
     CHECK(this->split_now(9).front() == 7);
 }
 
--- a/src/greengagedrum/delivery/sharing.cpp
+++ b/src/greengagedrum/delivery/sharing.cpp
@@ -21,7 +21,7 @@
     if (what.digest.complete)
         this->planner.peer_lost(what.sender);
     this->planner.peer_use(what.sender, what.digest.uses, this->now);
-    this->shares.heard(what.sender, what.life, what.digest, this->now);
+    this->shares.on_load_digest(what.sender, what.life, what.digest, this->now);
     this->refresh_shares();
 }
 
@@ -29,7 +29,7 @@
 {
     this->planner.peer_lost(what.slot);
     this->desk.lost(what.slot);
-    this->shares.lost(what.slot);
+    this->shares.remove_peer(what.slot);
     this->refresh_shares();
 }
 
--- a/src/greengagedrum/delivery/waiting.cpp
+++ b/src/greengagedrum/delivery/waiting.cpp
@@ -206,7 +206,7 @@
 // this never cancels anything: it lets a request in up to the hard bound.
 bool scheduler::lower_runs_at_peers(const base::request_spec& item) const
 {
-    return this->shares.lower_runs_at_peers(
+    return this->shares.peers_run_lower_tier(
         item.upstream_class, item.tier, this->now);
 }
 
--- a/src/programs/bench_state/sections.hpp
+++ b/src/programs/bench_state/sections.hpp
@@ -248,7 +248,7 @@
                     digest.demands.push_back({base::upstream_class_id("photo"),
                                               {1, 2, 3, 4},
                                               {4, 3, 2, 1}});
-                    tested.heard(peer, base::incarnation{1}, digest, now);
+                    tested.on_load_digest(peer, base::incarnation{1}, digest, now);
                     ++number;
                 }
             }
