--- a/src/greengagedrum/admission/controller.cpp
+++ b/src/greengagedrum/admission/controller.cpp
@@ -224,7 +224,7 @@
 
 // ---- What waits -----------------------------------------------------------
 
-base::duration controller::ahead_of(const base::request_spec& item) const
+base::duration controller::run_time_ahead_of(const base::request_spec& item) const
 {
     base::duration out{0};
     const lines* lane = this->lane_of(item);
@@ -235,7 +235,7 @@
     return out;
 }
 
-bool controller::lower_waits(const base::request_spec& item) const
+bool controller::has_lower_tier_waiting(const base::request_spec& item) const
 {
     const lines* lane = this->lane_of(item);
     if (lane == nullptr)
@@ -253,7 +253,7 @@
     return found != this->entries.end() && found->second.held;
 }
 
-base::duration controller::held_for(const base::request_spec& item,
+base::duration controller::limit_hold_time(const base::request_spec& item,
                                     base::duration expected,
                                     base::instant now) const
 {
@@ -271,7 +271,7 @@
     return out;
 }
 
-std::uint32_t controller::held_of(const limit_key& key) const
+std::uint32_t controller::held_count(const limit_key& key) const
 {
     const auto found = this->holds.find(key);
     if (found == this->holds.end())
@@ -280,7 +280,7 @@
 }
 
 std::array<std::uint32_t, base::tier_count>
-controller::waiting_of(base::upstream_class_id upstream_class) const
+controller::waiting_by_tier(base::upstream_class_id upstream_class) const
 {
     std::array<std::uint32_t, base::tier_count> out{};
     const auto found = this->classes.find(upstream_class);
--- a/src/greengagedrum/admission/controller.hpp
+++ b/src/greengagedrum/admission/controller.hpp
@@ -107,24 +107,24 @@
     std::optional<base::instant> next_wake() const { return this->wake; }
 
     // How long all that goes before this work would run, one after another.
-    base::duration ahead_of(const base::request_spec& item) const;
+    base::duration run_time_ahead_of(const base::request_spec& item) const;
 
     // True when work of a lower tier waits in the same lane.
-    bool lower_waits(const base::request_spec& item) const;
+    bool has_lower_tier_waiting(const base::request_spec& item) const;
 
     // True when a limit of its workspace holds the request back.
     bool held(base::request_id request) const;
 
     // Until its limit may let it through, by what is held before it.
-    base::duration held_for(const base::request_spec& item,
+    base::duration limit_hold_time(const base::request_spec& item,
                             base::duration expected,
                             base::instant now) const;
 
-    std::uint32_t held_of(const limit_key& key) const;
+    std::uint32_t held_count(const limit_key& key) const;
 
     std::size_t waiting() const { return this->entries.size(); }
     std::array<std::uint32_t, base::tier_count>
-    waiting_of(base::upstream_class_id upstream_class) const;
+    waiting_by_tier(base::upstream_class_id upstream_class) const;
 
     const admission::limiter& limits_in_use() const { return this->limiter; }
 
--- a/src/greengagedrum/admission/running_set.cpp
+++ b/src/greengagedrum/admission/running_set.cpp
@@ -65,7 +65,7 @@
         out, std::numeric_limits<std::uint32_t>::max()));
 }
 
-bool running_set::lower_on(base::upstream_id upstream, base::tier tier) const
+bool running_set::has_lower_tier_on(base::upstream_id upstream, base::tier tier) const
 {
     const auto found = this->upstreams.find(upstream);
     if (found == this->upstreams.end())
@@ -77,7 +77,7 @@
 }
 
 std::vector<const running*>
-running_set::lower_requests(base::upstream_id upstream, base::tier tier) const
+running_set::lower_tier_requests(base::upstream_id upstream, base::tier tier) const
 {
     std::vector<const running*> out;
     const auto found = this->upstreams.find(upstream);
--- a/src/greengagedrum/admission/running_set.hpp
+++ b/src/greengagedrum/admission/running_set.hpp
@@ -44,10 +44,10 @@
     std::uint32_t tokens(base::upstream_id upstream) const;
 
     // True when work of a lower tier than `tier` runs there.
-    bool lower_on(base::upstream_id upstream, base::tier tier) const;
+    bool has_lower_tier_on(base::upstream_id upstream, base::tier tier) const;
 
     // The requests of lower tiers there, the lowest tier first.
-    std::vector<const running*> lower_requests(base::upstream_id upstream,
+    std::vector<const running*> lower_tier_requests(base::upstream_id upstream,
                                                base::tier tier) const;
 
     std::size_t size() const { return this->all.size(); }
--- a/src/greengagedrum/delivery/preemption.cpp
+++ b/src/greengagedrum/delivery/preemption.cpp
@@ -16,7 +16,7 @@
     double least = 0;
     for (const placement::room& room : rooms) {
         for (const admission::running* lower :
-             this->run_set.lower_requests(room.upstream, item.work.tier)) {
+             this->run_set.lower_tier_requests(room.upstream, item.work.tier)) {
             request& one = this->requests.at(lower->request);
             if (!this->may_be_preempted(one))
                 continue;
--- a/src/greengagedrum/delivery/sharing.cpp
+++ b/src/greengagedrum/delivery/sharing.cpp
@@ -132,7 +132,7 @@
     for (const base::upstream_class_id id : classes) {
         capacity::class_demand demand;
         demand.upstream_class = id;
-        const auto waiting = this->admission.waiting_of(id);
+        const auto waiting = this->admission.waiting_by_tier(id);
         for (const base::tier tier : base::all_tiers) {
             const std::size_t index = base::index_of(tier);
             demand.waiting[index] = waiting[index];
@@ -159,7 +159,7 @@
             use.workspace = workspace.id;
             use.kind = kind.id;
             use.in_flight = this->admission.limits_in_use().in_flight(key) +
-                            this->admission.held_of(key);
+                            this->admission.held_count(key);
             const std::uint64_t spent =
                 this->admission.limits_in_use().spent(key);
             const std::uint64_t fresh =
--- a/src/greengagedrum/delivery/test/random_run.hpp
+++ b/src/greengagedrum/delivery/test/random_run.hpp
@@ -295,7 +295,7 @@
         for (const base::request_spec& work : this->shed) {
             this->sheds += 1;
             const auto broken =
-                admission::broken_by(work,
+                admission::find_invariant_violation(work,
                                      this->core.running(),
                                      this->core.rooms(work),
                                      admission::options{}.hard_factor);
--- a/src/greengagedrum/delivery/waiting.cpp
+++ b/src/greengagedrum/delivery/waiting.cpp
@@ -70,7 +70,7 @@
     if (itself || !fresh || !this->admission.held(item.id))
         return;
     const base::duration held =
-        this->admission.held_for(item.work, expected, this->now);
+        this->admission.limit_hold_time(item.work, expected, this->now);
     const base::duration needed =
         part_of(held + expected, this->options.admission.belief);
     if (this->now + needed > item.work.deadline)
@@ -195,8 +195,8 @@
     const std::uint32_t factor = this->options.admission.hard_factor;
     return std::any_of(
         rooms.begin(), rooms.end(), [&](const placement::room& room) {
-            return room.in_flight < admission::hard_bound(room, factor) &&
-                   this->run_set.lower_on(room.upstream, item.tier);
+            return room.in_flight < admission::in_flight_ceiling(room, factor) &&
+                   this->run_set.has_lower_tier_on(room.upstream, item.tier);
         });
 }
 
@@ -226,7 +226,7 @@
     const placement::room* best = nullptr;
     for (const placement::room& room : rooms) {
         const std::uint32_t bound =
-            admission::hard_bound(room, this->options.admission.hard_factor);
+            admission::in_flight_ceiling(room, this->options.admission.hard_factor);
         if (room.in_flight < bound && (best == nullptr || roomier(room, *best)))
             best = &room;
     }
@@ -241,7 +241,7 @@
 void scheduler::time_in_line_over(request& item)
 {
     if (this->admission.held(item.id)) {
-        const base::duration held = this->admission.held_for(
+        const base::duration held = this->admission.limit_hold_time(
             item.work, this->estimator.expected(item.work), this->now);
         return this->end_with(
             item,
@@ -315,7 +315,7 @@
 {
     // Nobody ahead is the usual case; counting what runs on every upstream
     // would cost more than all the rest of an arrival.
-    const base::duration ahead = this->admission.ahead_of(item);
+    const base::duration ahead = this->admission.run_time_ahead_of(item);
     if (ahead == base::duration{0})
         return ahead;
     std::uint32_t places = 0;
@@ -323,7 +323,7 @@
     for (const placement::room& room : this->planner.rooms(item)) {
         places += room.allowance;
         lower += static_cast<std::uint32_t>(
-            this->run_set.lower_requests(room.upstream, item.tier).size());
+            this->run_set.lower_tier_requests(room.upstream, item.tier).size());
     }
     const std::uint32_t own = places - std::min(places, lower);
     return ahead / std::max<std::uint32_t>(1, own);
@@ -341,7 +341,7 @@
         this->mark_distress(item.work);
     if (part_of(wait + expected, own.belief) <= left)
         return true;
-    return this->admission.lower_waits(item.work) ||
+    return this->admission.has_lower_tier_waiting(item.work) ||
            this->lower_runs(item.work, this->planner.rooms(item.work)) ||
            this->lower_runs_at_peers(item.work);
 }
