--- a/src/greengagedrum/admission/controller.cpp
+++ b/src/greengagedrum/admission/controller.cpp
@@ -224,7 +224,8 @@
 
 // ---- What waits -----------------------------------------------------------
 
-base::duration controller::run_time_ahead_of(const base::request_spec& item) const
+base::duration
+controller::run_time_ahead_of(const base::request_spec& item) const
 {
     base::duration out{0};
     const lines* lane = this->lane_of(item);
@@ -247,15 +248,15 @@
         [](const line& own) { return !own.order.empty(); });
 }
 
-bool controller::held(base::request_id request) const
+bool controller::is_held(base::request_id request) const
 {
     const auto found = this->entries.find(request);
     return found != this->entries.end() && found->second.held;
 }
 
 base::duration controller::limit_hold_time(const base::request_spec& item,
-                                    base::duration expected,
-                                    base::instant now) const
+                                           base::duration expected,
+                                           base::instant now) const
 {
     const limit_key key = limit_key_of(item);
     const auto found = this->holds.find(key);
--- a/src/greengagedrum/admission/controller.hpp
+++ b/src/greengagedrum/admission/controller.hpp
@@ -55,11 +55,11 @@
 
     // A request is given up on when this many times its estimate is more than
     // the time left: one that starts later ends late as a rule.
-    double belief = 1.25;
+    double shed_estimate_factor = 1.25;
 
     // A tier is in distress when this many times the estimate is more than
     // the time left: early enough for what runs to drain away.
-    double risk = 1.25;
+    double distress_estimate_factor = 1.25;
 
     // How long one sign of a tier's distress keeps lower tiers from starting.
     base::duration distress_hold = std::chrono::seconds(10);
@@ -113,12 +113,12 @@
     bool has_lower_tier_waiting(const base::request_spec& item) const;
 
     // True when a limit of its workspace holds the request back.
-    bool held(base::request_id request) const;
+    bool is_held(base::request_id request) const;
 
     // Until its limit may let it through, by what is held before it.
     base::duration limit_hold_time(const base::request_spec& item,
-                            base::duration expected,
-                            base::instant now) const;
+                                   base::duration expected,
+                                   base::instant now) const;
 
     std::uint32_t held_count(const limit_key& key) const;
 
--- a/src/greengagedrum/admission/distress.cpp
+++ b/src/greengagedrum/admission/distress.cpp
@@ -15,18 +15,18 @@
     own->second[base::index_of(tier)] = now + this->hold;
 }
 
-bool distress::of(base::upstream_id upstream,
-                  base::tier tier,
-                  base::instant now) const
+bool distress::is_marked(base::upstream_id upstream,
+                         base::tier tier,
+                         base::instant now) const
 {
     const auto found = this->upstreams.find(upstream);
     return found != this->upstreams.end() &&
            found->second[base::index_of(tier)] > now;
 }
 
-bool distress::above(base::upstream_id upstream,
-                     base::tier tier,
-                     base::instant now) const
+bool distress::is_higher_tier_marked(base::upstream_id upstream,
+                                     base::tier tier,
+                                     base::instant now) const
 {
     const auto found = this->upstreams.find(upstream);
     if (found == this->upstreams.end())
--- a/src/greengagedrum/admission/distress.hpp
+++ b/src/greengagedrum/admission/distress.hpp
@@ -27,12 +27,14 @@
     void mark(base::upstream_id upstream, base::tier tier, base::instant now);
 
     // True when this very tier is in distress there.
-    bool
-    of(base::upstream_id upstream, base::tier tier, base::instant now) const;
+    bool is_marked(base::upstream_id upstream,
+                   base::tier tier,
+                   base::instant now) const;
 
     // True when a tier above `tier` is in distress there.
-    bool
-    above(base::upstream_id upstream, base::tier tier, base::instant now) const;
+    bool is_higher_tier_marked(base::upstream_id upstream,
+                               base::tier tier,
+                               base::instant now) const;
 
     // When the next of them ends.
     std::optional<base::instant> next_end(base::instant now) const;
--- a/src/greengagedrum/admission/invariant.cpp
+++ b/src/greengagedrum/admission/invariant.cpp
@@ -7,7 +7,8 @@
 
 // An entry without a share of its own still counts as having one, else its
 // urgent work could be shed while its floor's work runs.
-std::uint32_t in_flight_ceiling(const placement::room& room, std::uint32_t factor)
+std::uint32_t in_flight_ceiling(const placement::room& room,
+                                std::uint32_t factor)
 {
     return std::max<std::uint32_t>(room.allowance, 1) * factor;
 }
@@ -21,14 +22,15 @@
 
 std::optional<base::request_id>
 find_invariant_violation(const base::request_spec& shed,
-          const running_set& running,
-          std::span<const placement::room> rooms,
-          std::uint32_t hard_factor)
+                         const running_set& running,
+                         std::span<const placement::room> rooms,
+                         std::uint32_t hard_factor)
 {
     for (const placement::room& room : rooms) {
         if (room.in_flight >= in_flight_ceiling(room, hard_factor))
             continue;
-        const auto lower = running.lower_tier_requests(room.upstream, shed.tier);
+        const auto lower =
+            running.lower_tier_requests(room.upstream, shed.tier);
         if (!lower.empty())
             return lower.front()->request;
     }
--- a/src/greengagedrum/admission/invariant.hpp
+++ b/src/greengagedrum/admission/invariant.hpp
@@ -25,7 +25,8 @@
 {
 
 // Places on one upstream beyond which this instance sends nothing.
-std::uint32_t in_flight_ceiling(const placement::room& room, std::uint32_t factor);
+std::uint32_t in_flight_ceiling(const placement::room& room,
+                                std::uint32_t factor);
 
 bool counts_as_shed(const base::verdict& verdict);
 
@@ -33,8 +34,8 @@
 // are the upstreams that take the shed request's work.
 std::optional<base::request_id>
 find_invariant_violation(const base::request_spec& shed,
-          const running_set& running,
-          std::span<const placement::room> rooms,
-          std::uint32_t hard_factor);
+                         const running_set& running,
+                         std::span<const placement::room> rooms,
+                         std::uint32_t hard_factor);
 
 } // namespace greengagedrum::admission
--- a/src/greengagedrum/admission/run_estimator.cpp
+++ b/src/greengagedrum/admission/run_estimator.cpp
@@ -51,7 +51,8 @@
                         item.output_tokens / own.decode);
 }
 
-base::duration run_estimator::expected(const base::request_spec& item) const
+base::duration
+run_estimator::expected_run_time(const base::request_spec& item) const
 {
     const speed& own = this->of(item.upstream_class);
     const double seconds = own.factor * nominal(own, item);
@@ -59,11 +60,12 @@
         seconds * base::microseconds_per_second));
 }
 
-base::duration run_estimator::prefill(const base::request_spec& item) const
+base::duration
+run_estimator::expected_prefill_time(const base::request_spec& item) const
 {
     base::request_spec prompt = item;
     prompt.output_tokens = 0;
-    return this->expected(prompt);
+    return this->expected_run_time(prompt);
 }
 
 void run_estimator::observe(const base::request_spec& item,
--- a/src/greengagedrum/admission/run_estimator.hpp
+++ b/src/greengagedrum/admission/run_estimator.hpp
@@ -20,10 +20,10 @@
     // Keeps the factors learnt of classes that stay.
     void set_fleet(const config::fleet& fleet);
 
-    base::duration expected(const base::request_spec& item) const;
+    base::duration expected_run_time(const base::request_spec& item) const;
 
     // Of its prompt alone.
-    base::duration prefill(const base::request_spec& item) const;
+    base::duration expected_prefill_time(const base::request_spec& item) const;
 
     // A request took `actual` from its dispatch to its whole answer.
     void observe(const base::request_spec& item, base::duration actual);
--- a/src/greengagedrum/admission/running_set.cpp
+++ b/src/greengagedrum/admission/running_set.cpp
@@ -6,7 +6,7 @@
 namespace greengagedrum::admission
 {
 
-void running_set::add(const running& item)
+void running_set::add(const running_request& item)
 {
     const std::size_t tier = base::index_of(item.work.tier);
     this->all.emplace(item.request, item);
@@ -19,14 +19,14 @@
     const auto found = this->all.find(request);
     if (found == this->all.end())
         return;
-    const running& item = found->second;
+    const running_request& item = found->second;
     const std::size_t tier = base::index_of(item.work.tier);
     this->upstreams[item.upstream][tier].erase(request);
     this->classes[item.work.upstream_class][tier] -= 1;
     this->all.erase(found);
 }
 
-const running* running_set::find(base::request_id request) const
+const running_request* running_set::find(base::request_id request) const
 {
     const auto found = this->all.find(request);
     return found == this->all.end() ? nullptr : &found->second;
@@ -65,7 +65,8 @@
         out, std::numeric_limits<std::uint32_t>::max()));
 }
 
-bool running_set::has_lower_tier_on(base::upstream_id upstream, base::tier tier) const
+bool running_set::has_lower_tier_on(base::upstream_id upstream,
+                                    base::tier tier) const
 {
     const auto found = this->upstreams.find(upstream);
     if (found == this->upstreams.end())
@@ -76,10 +77,11 @@
                        [](const auto& own) { return !own.empty(); });
 }
 
-std::vector<const running*>
-running_set::lower_tier_requests(base::upstream_id upstream, base::tier tier) const
+std::vector<const running_request*>
+running_set::lower_tier_requests(base::upstream_id upstream,
+                                 base::tier tier) const
 {
-    std::vector<const running*> out;
+    std::vector<const running_request*> out;
     const auto found = this->upstreams.find(upstream);
     if (found == this->upstreams.end())
         return out;
--- a/src/greengagedrum/admission/running_set.hpp
+++ b/src/greengagedrum/admission/running_set.hpp
@@ -18,7 +18,7 @@
 namespace greengagedrum::admission
 {
 
-struct running {
+struct running_request {
     base::request_id request;
     base::request_spec work;
     base::upstream_id upstream;
@@ -28,11 +28,11 @@
 class running_set
 {
 public:
-    void add(const running& item);
+    void add(const running_request& item);
     void remove(base::request_id request); // nothing when it does not run
 
     // Null when it does not run.
-    const running* find(base::request_id request) const;
+    const running_request* find(base::request_id request) const;
 
     // Requests of this tier on upstreams of this class.
     std::uint32_t count(base::upstream_class_id upstream_class,
@@ -47,8 +47,8 @@
     bool has_lower_tier_on(base::upstream_id upstream, base::tier tier) const;
 
     // The requests of lower tiers there, the lowest tier first.
-    std::vector<const running*> lower_tier_requests(base::upstream_id upstream,
-                                               base::tier tier) const;
+    std::vector<const running_request*>
+    lower_tier_requests(base::upstream_id upstream, base::tier tier) const;
 
     std::size_t size() const { return this->all.size(); }
 
@@ -56,7 +56,7 @@
     using by_tier = std::array<std::set<base::request_id>, base::tier_count>;
     using counts = std::array<std::uint32_t, base::tier_count>;
 
-    std::unordered_map<base::request_id, running> all;
+    std::unordered_map<base::request_id, running_request> all;
     std::map<base::upstream_id, by_tier> upstreams;
     std::map<base::upstream_class_id, counts> classes;
 };
--- a/src/greengagedrum/admission/test/controller_test.cpp
+++ b/src/greengagedrum/admission/test/controller_test.cpp
@@ -119,7 +119,7 @@
     this->enqueue(base::tier::standard, "crop");
     this->enqueue(base::tier::standard, "crop");
     this->enqueue(base::tier::standard, "compliance");
-    CHECK(this->line.held(base::request_id{2}));
+    CHECK(this->line.is_held(base::request_id{2}));
     CHECK(this->offer(ordinary_only) == std::vector<std::uint64_t>{3, 1});
     this->line.forget(base::request_id{1});
     CHECK(this->offer(ordinary_only) == std::vector<std::uint64_t>{2});
--- a/src/greengagedrum/capacity/shares.cpp
+++ b/src/greengagedrum/capacity/shares.cpp
@@ -87,9 +87,9 @@
 // ---- What peers tell ------------------------------------------------------
 
 void shares::on_load_digest(base::slot_id peer,
-                   base::incarnation life,
-                   const load_digest& digest,
-                   base::instant now)
+                            base::incarnation life,
+                            const load_digest& digest,
+                            base::instant now)
 {
     if (peer == this->own)
         return;
@@ -195,10 +195,10 @@
 }
 
 std::uint32_t shares::upstream_share(base::upstream_id upstream,
-                                  base::upstream_class_id upstream_class,
-                                  std::uint32_t limit,
-                                  std::uint32_t class_total,
-                                  base::instant now) const
+                                     base::upstream_class_id upstream_class,
+                                     std::uint32_t limit,
+                                     std::uint32_t class_total,
+                                     base::instant now) const
 {
     const bool connected = this->anything_heard(now);
     const std::uint32_t equal = rounded_up(limit, this->entries.size());
@@ -228,8 +228,8 @@
 }
 
 double shares::limit_share(base::workspace_id workspace,
-                        base::kind_id kind,
-                        base::instant now) const
+                           base::kind_id kind,
+                           base::instant now) const
 {
     const limit_id limit{workspace, kind};
     return this->limit_part(limit, workspace.value ^ kind.value, now);
@@ -291,8 +291,8 @@
 }
 
 bool shares::peers_run_lower_tier(base::upstream_class_id upstream_class,
-                                 base::tier tier,
-                                 base::instant now) const
+                                  base::tier tier,
+                                  base::instant now) const
 {
     for (const base::slot_id slot : this->entries) {
         const view* known =
--- a/src/greengagedrum/capacity/shares.hpp
+++ b/src/greengagedrum/capacity/shares.hpp
@@ -39,9 +39,9 @@
     std::size_t entry_count() const { return this->entries.size(); }
 
     void on_load_digest(base::slot_id peer,
-               base::incarnation life,
-               const load_digest& digest,
-               base::instant now);
+                        base::incarnation life,
+                        const load_digest& digest,
+                        base::instant now);
     void remove_peer(base::slot_id peer);
 
     // The digest to send: what changed since the last one, and everything now
@@ -53,15 +53,15 @@
     // This instance's places of an upstream with `limit` places in a class
     // with `class_total`.
     std::uint32_t upstream_share(base::upstream_id upstream,
-                              base::upstream_class_id upstream_class,
-                              std::uint32_t limit,
-                              std::uint32_t class_total,
-                              base::instant now) const;
+                                 base::upstream_class_id upstream_class,
+                                 std::uint32_t limit,
+                                 std::uint32_t class_total,
+                                 base::instant now) const;
 
     // This instance's part of a workspace's limit, from 0 to 1.
     double limit_share(base::workspace_id workspace,
-                    base::kind_id kind,
-                    base::instant now) const;
+                       base::kind_id kind,
+                       base::instant now) const;
 
     // The part of every limit that no entry is known to use, and the limits
     // that some entry uses. Most limits of a deployment are idle at any time:
@@ -72,8 +72,8 @@
     // True when a peer told lately of running work of a lower tier in that
     // class.
     bool peers_run_lower_tier(base::upstream_class_id upstream_class,
-                             base::tier tier,
-                             base::instant now) const;
+                              base::tier tier,
+                              base::instant now) const;
 
 private:
     struct view {
--- a/src/greengagedrum/capacity/test/shares_test.cpp
+++ b/src/greengagedrum/capacity/test/shares_test.cpp
@@ -61,10 +61,10 @@
         std::vector<std::uint32_t> out;
         for (const shares& entry : this->entries)
             out.push_back(entry.upstream_share(base::upstream_id("photo-1"),
-                                            base::upstream_class_id("photo"),
-                                            limit,
-                                            limit,
-                                            this->now));
+                                               base::upstream_class_id("photo"),
+                                               limit,
+                                               limit,
+                                               this->now));
         return out;
     }
 };
--- a/src/greengagedrum/delivery/preemption.cpp
+++ b/src/greengagedrum/delivery/preemption.cpp
@@ -15,7 +15,7 @@
     request* best = nullptr;
     double least = 0;
     for (const placement::room& room : rooms) {
-        for (const admission::running* lower :
+        for (const admission::running_request* lower :
              this->run_set.lower_tier_requests(room.upstream, item.work.tier)) {
             request& one = this->requests.at(lower->request);
             if (!this->may_be_preempted(one))
@@ -46,7 +46,7 @@
            work.repetition == base::repetition::idempotent &&
            item.caller_present && is_running(item.phase) &&
            item.preemptions < this->options.admission.preemptions_max &&
-           this->now + this->estimator.expected(work) <= work.deadline;
+           this->now + this->estimator.expected_run_time(work) <= work.deadline;
 }
 
 // Tokens of its prompt that would have to be read again: all of them once an
@@ -54,12 +54,13 @@
 double scheduler::prefill_thrown(const request& item) const
 {
     const double prompt = item.work.prompt_tokens;
-    const admission::running* run = this->run_set.find(item.id);
+    const admission::running_request* run = this->run_set.find(item.id);
     if (item.tokens_seen > 0 || run == nullptr)
         return prompt;
     const double had = static_cast<double>((this->now - run->since).count());
     const double whole = static_cast<double>(
-        std::max(this->estimator.prefill(item.work), base::duration{1})
+        std::max(this->estimator.expected_prefill_time(item.work),
+                 base::duration{1})
             .count());
     return prompt * std::min(1.0, had / whole);
 }
--- a/src/greengagedrum/delivery/sharing.cpp
+++ b/src/greengagedrum/delivery/sharing.cpp
@@ -69,10 +69,10 @@
             continue;
         const std::uint32_t share =
             this->shares.upstream_share(entry.id,
-                                     entry.upstream_class,
-                                     entry.max_in_flight,
-                                     totals[entry.upstream_class],
-                                     this->now);
+                                        entry.upstream_class,
+                                        entry.max_in_flight,
+                                        totals[entry.upstream_class],
+                                        this->now);
         this->planner.set_allowance(entry.id, share);
     }
     this->set_limit_shares();
--- a/src/greengagedrum/delivery/test/policy_run.hpp
+++ b/src/greengagedrum/delivery/test/policy_run.hpp
@@ -101,9 +101,9 @@
         scheduler_options out;
         out.data_centre = base::data_centre_id("rabat");
         if (which == policy::patient)
-            out.admission.belief = 0;
+            out.admission.shed_estimate_factor = 0;
         if (which == policy::first_come || which == policy::strict) {
-            out.admission.belief = 0;
+            out.admission.shed_estimate_factor = 0;
             out.admission.floor_age.fill(10h);
             out.admission.overdraft_share = 0;
             out.admission.hard_factor = 1;
--- a/src/greengagedrum/delivery/test/random_run.hpp
+++ b/src/greengagedrum/delivery/test/random_run.hpp
@@ -294,11 +294,11 @@
     {
         for (const base::request_spec& work : this->shed) {
             this->sheds += 1;
-            const auto broken =
-                admission::find_invariant_violation(work,
-                                     this->core.running(),
-                                     this->core.rooms(work),
-                                     admission::options{}.hard_factor);
+            const auto broken = admission::find_invariant_violation(
+                work,
+                this->core.running(),
+                this->core.rooms(work),
+                admission::options{}.hard_factor);
             CHECK_MESSAGE(!broken.has_value(), this->where());
         }
         this->shed.clear();
--- a/src/greengagedrum/delivery/waiting.cpp
+++ b/src/greengagedrum/delivery/waiting.cpp
@@ -54,9 +54,10 @@
 void scheduler::enqueue(request& item)
 {
     item.phase = phase::queued;
-    const base::duration expected = this->estimator.expected(item.work);
+    const base::duration expected =
+        this->estimator.expected_run_time(item.work);
     const base::duration run =
-        part_of(expected, this->options.admission.belief);
+        part_of(expected, this->options.admission.shed_estimate_factor);
     this->timers.set(item, std::max(this->now, item.work.deadline - run));
     const bool fresh = item.dispatches == 0 && item.refusals == 0 &&
                        item.preemptions == 0 && !item.may_have_run;
@@ -67,12 +68,12 @@
     const bool itself = victim && *victim == item.id;
     if (victim)
         this->give_up(this->requests.at(*victim), base::reason::overloaded);
-    if (itself || !fresh || !this->admission.held(item.id))
+    if (itself || !fresh || !this->admission.is_held(item.id))
         return;
     const base::duration held =
         this->admission.limit_hold_time(item.work, expected, this->now);
     const base::duration needed =
-        part_of(held + expected, this->options.admission.belief);
+        part_of(held + expected, this->options.admission.shed_estimate_factor);
     if (this->now + needed > item.work.deadline)
         this->end_with(item,
                        base::not_run(base::reason::limit_reached,
@@ -100,11 +101,12 @@
 {
     std::vector<base::upstream_id> avoid = item.avoid;
     for (const placement::room& room : this->planner.rooms(item.work))
-        if (this->distress.above(room.upstream, item.work.tier, this->now))
+        if (this->distress.is_higher_tier_marked(
+                room.upstream, item.work.tier, this->now))
             avoid.push_back(room.upstream);
     const auto choice = this->planner.choose(item.work, avoid, this->now);
-    if (!choice ||
-        this->distress.above(choice->upstream, item.work.tier, this->now))
+    if (!choice || this->distress.is_higher_tier_marked(
+                       choice->upstream, item.work.tier, this->now))
         return false;
     this->dispatch(item, choice->upstream);
     return true;
@@ -156,7 +158,8 @@
         return true;
     const bool at_risk = std::any_of(
         rooms.begin(), rooms.end(), [&](const placement::room& room) {
-            return this->distress.of(room.upstream, item.work.tier, this->now);
+            return this->distress.is_marked(
+                room.upstream, item.work.tier, this->now);
         });
     return at_risk && this->preempt_for(item, rooms);
 }
@@ -170,7 +173,8 @@
     bool best_avoided = true;
     for (const placement::room& room : rooms) {
         if (room.in_flight >= overdraft_bound(room, share) ||
-            this->distress.above(room.upstream, item.work.tier, this->now))
+            this->distress.is_higher_tier_marked(
+                room.upstream, item.work.tier, this->now))
             continue;
         const bool avoided =
             std::find(item.avoid.begin(), item.avoid.end(), room.upstream) !=
@@ -195,7 +199,8 @@
     const std::uint32_t factor = this->options.admission.hard_factor;
     return std::any_of(
         rooms.begin(), rooms.end(), [&](const placement::room& room) {
-            return room.in_flight < admission::in_flight_ceiling(room, factor) &&
+            return room.in_flight <
+                       admission::in_flight_ceiling(room, factor) &&
                    this->run_set.has_lower_tier_on(room.upstream, item.tier);
         });
 }
@@ -225,8 +230,8 @@
         return true;
     const placement::room* best = nullptr;
     for (const placement::room& room : rooms) {
-        const std::uint32_t bound =
-            admission::in_flight_ceiling(room, this->options.admission.hard_factor);
+        const std::uint32_t bound = admission::in_flight_ceiling(
+            room, this->options.admission.hard_factor);
         if (room.in_flight < bound && (best == nullptr || roomier(room, *best)))
             best = &room;
     }
@@ -240,9 +245,9 @@
 // The latest start that could still meet its deadline has passed.
 void scheduler::time_in_line_over(request& item)
 {
-    if (this->admission.held(item.id)) {
+    if (this->admission.is_held(item.id)) {
         const base::duration held = this->admission.limit_hold_time(
-            item.work, this->estimator.expected(item.work), this->now);
+            item.work, this->estimator.expected_run_time(item.work), this->now);
         return this->end_with(
             item,
             base::not_run(base::reason::limit_reached,
@@ -337,9 +342,9 @@
     if (wait == base::duration{0})
         return true;
     const base::duration left = item.work.deadline - this->now;
-    if (part_of(wait + expected, own.risk) > left)
+    if (part_of(wait + expected, own.distress_estimate_factor) > left)
         this->mark_distress(item.work);
-    if (part_of(wait + expected, own.belief) <= left)
+    if (part_of(wait + expected, own.shed_estimate_factor) <= left)
         return true;
     return this->admission.has_lower_tier_waiting(item.work) ||
            this->lower_runs(item.work, this->planner.rooms(item.work)) ||
@@ -351,7 +356,8 @@
 base::duration scheduler::hint_for(const base::request_spec& item) const
 {
     const base::duration wait = this->wait_for(item);
-    const base::duration needed = wait + this->estimator.expected(item);
+    const base::duration needed =
+        wait + this->estimator.expected_run_time(item);
     const base::duration given = item.deadline - item.arrived;
     return std::clamp(std::min(needed - given, wait), hint_least, hint_most);
 }
--- a/src/greengagedrum/trace/option_fields.hpp
+++ b/src/greengagedrum/trace/option_fields.hpp
@@ -20,8 +20,8 @@
                named("overdraft_share", &admission::options::overdraft_share),
                named("hard_factor", &admission::options::hard_factor),
                named("preemptions_max", &admission::options::preemptions_max),
-               named("belief", &admission::options::belief),
-               named("risk", &admission::options::risk),
+               named("belief", &admission::options::shed_estimate_factor),
+               named("risk", &admission::options::distress_estimate_factor),
                named("distress_hold_us", &admission::options::distress_hold)};
 
 template <>
--- a/src/greengagedrum/trace/test/recorder_test.cpp
+++ b/src/greengagedrum/trace/test/recorder_test.cpp
@@ -167,7 +167,7 @@
 TEST_CASE("options_other_than_the_defaults_read_back_alike")
 {
     delivery::scheduler_options options = random_run::made(5);
-    options.admission.belief = 0.25;
+    options.admission.shed_estimate_factor = 0.25;
     options.admission.distress_hold = base::duration(37);
     options.desk.homes_lag = base::duration(41);
     options.admission.floor_age[1] = base::duration(17);
@@ -183,7 +183,7 @@
     const auto back = options_from(written);
     REQUIRE(back);
     CHECK(to_json(*back) == written);
-    CHECK(back->admission.belief == 0.25);
+    CHECK(back->admission.shed_estimate_factor == 0.25);
     CHECK(back->admission.distress_hold == base::duration(37));
     CHECK(back->desk.homes_lag == base::duration(41));
     CHECK(back->admission.floor_age[1] == base::duration(17));
