--- a/src/greengagedrum/admission/controller.cpp
+++ b/src/greengagedrum/admission/controller.cpp
@@ -11,50 +11,50 @@
 controller::enqueue(base::request_id request,
                     const base::request_spec& item,
                     base::duration expected,
-                    bool returning,
+                    bool dispatched_before,
                     base::instant now)
 {
-    entry fresh;
-    fresh.work = item;
-    fresh.expected = expected;
-    fresh.returning = returning;
-    fresh.place = position{item.deadline - expected, request};
+    entry added;
+    added.work = item;
+    added.expected = expected;
+    added.dispatched_before = dispatched_before;
+    added.position = queue_position{item.deadline - expected, request};
     // Others of its kind that are held came first; one that was let through
     // before is back for a retry and goes past them.
-    const bool others_held = this->holds.contains(limit_key_of(item)) &&
-                             !this->limiter.counts(request);
-    fresh.held = others_held || !this->limiter.take(request, item, now);
-    this->join(fresh, now);
-    this->entries.insert_or_assign(request, fresh);
+    const bool others_held = this->held_queues.contains(limit_key_of(item)) &&
+                             !this->limiter.is_counted(request);
+    added.held = others_held || !this->limiter.try_acquire(request, item, now);
+    this->insert(added, now);
+    this->entries.insert_or_assign(request, added);
     if (this->entries.size() <= this->limits.waiting_max)
         return std::nullopt;
-    return this->give_up_lowest();
+    return this->evict_lowest();
 }
 
-void controller::join(const entry& item, base::instant now)
+void controller::insert(const entry& item, base::instant now)
 {
-    line& own = item.held ? this->holds[limit_key_of(item.work)]
-                          : this->line_of(item.work);
+    queue& own = item.held ? this->held_queues[limit_key_of(item.work)]
+                           : this->queue_of(item.work);
     if (own.order.empty())
         own.stalled_since = now;
-    own.order.insert(item.place);
+    own.order.insert(item.position);
     own.expected += item.expected;
 }
 
-controller::line& controller::line_of(const base::request_spec& item)
+controller::queue& controller::queue_of(const base::request_spec& item)
 {
     return this
         ->classes[item.upstream_class][item.model][base::index_of(item.tier)];
 }
 
-const controller::lines*
-controller::lane_of(const base::request_spec& item) const
+const controller::tier_queues*
+controller::tier_queues_of(const base::request_spec& item) const
 {
-    const auto lanes = this->classes.find(item.upstream_class);
-    if (lanes == this->classes.end())
+    const auto model_queues = this->classes.find(item.upstream_class);
+    if (model_queues == this->classes.end())
         return nullptr;
-    const auto lane = lanes->second.find(item.model);
-    return lane == lanes->second.end() ? nullptr : &lane->second;
+    const auto queues = model_queues->second.find(item.model);
+    return queues == model_queues->second.end() ? nullptr : &queues->second;
 }
 
 void controller::remove(base::request_id request)
@@ -64,11 +64,11 @@
         return;
     const entry& item = found->second;
     const limit_key key = limit_key_of(item.work);
-    line& own = item.held ? this->holds[key] : this->line_of(item.work);
-    own.order.erase(item.place);
+    queue& own = item.held ? this->held_queues[key] : this->queue_of(item.work);
+    own.order.erase(item.position);
     own.expected -= item.expected;
     if (item.held && own.order.empty())
-        this->holds.erase(key);
+        this->held_queues.erase(key);
     this->entries.erase(found);
 }
 
@@ -78,86 +78,92 @@
     this->limiter.release(request);
 }
 
-std::optional<base::request_id> controller::give_up_lowest()
+std::optional<base::request_id> controller::evict_lowest()
 {
     for (std::size_t tier = base::tier_count; tier-- > 0;) {
-        std::optional<position> victim;
-        const auto weigh = [&](const line& own) {
-            const auto last = this->most_slack(own);
-            if (last && (!victim || *victim < *last))
-                victim = last;
+        std::optional<queue_position> evicted;
+        const auto consider = [&](const queue& own) {
+            const auto last = this->evictable_entry(own);
+            if (last && (!evicted || *evicted < *last))
+                evicted = last;
         };
-        for (const auto& [id, lanes] : this->classes)
-            for (const auto& [model, lane] : lanes)
-                weigh(lane[tier]);
-        for (const auto& [key, own] : this->holds) {
+        for (const auto& [id, model_queues] : this->classes)
+            for (const auto& [model, queues] : model_queues)
+                consider(queues[tier]);
+        for (const auto& [key, own] : this->held_queues) {
             const base::request_id first = own.order.begin()->request;
             if (base::index_of(this->entries.at(first).work.tier) == tier)
-                weigh(own);
+                consider(own);
         }
-        if (!victim)
+        if (!evicted)
             continue;
-        this->remove(victim->request);
-        return victim->request;
+        this->remove(evicted->request);
+        return evicted->request;
     }
     return std::nullopt;
 }
 
-std::optional<controller::position>
-controller::most_slack(const line& own) const
+std::optional<controller::queue_position>
+controller::evictable_entry(const queue& own) const
 {
     const auto last = std::find_if(
-        own.order.rbegin(), own.order.rend(), [this](const position& one) {
-            return !this->entries.at(one.request).returning;
+        own.order.rbegin(),
+        own.order.rend(),
+        [this](const queue_position& one) {
+            return !this->entries.at(one.request).dispatched_before;
         });
     return last == own.order.rend() ? std::nullopt : std::optional(*last);
 }
 
 // ---- Giving out -----------------------------------------------------------
 
-void controller::offer(base::instant now, const placer& place)
+void controller::offer(base::instant now, const dispatch_callback& try_dispatch)
 {
-    this->wake.reset();
-    this->release_held(now);
-    for (auto& [id, lanes] : this->classes) {
-        this->offer_floor(lanes, now, place);
-        this->offer_ordinary(lanes, now, place);
+    this->wake_at.reset();
+    this->release_held_queues(now);
+    for (auto& [id, model_queues] : this->classes) {
+        this->offer_floor(model_queues, now, try_dispatch);
+        this->offer_ordinary(model_queues, now, try_dispatch);
     }
-    this->note_floors(now);
+    this->schedule_floor_wakes(now);
 }
 
-void controller::release_held(base::instant now)
+void controller::release_held_queues(base::instant now)
 {
-    for (auto own = this->holds.begin(); own != this->holds.end();) {
-        line& held = own->second;
+    for (auto own = this->held_queues.begin();
+         own != this->held_queues.end();) {
+        queue& held = own->second;
         while (!held.order.empty()) {
             const base::request_id first = held.order.begin()->request;
             entry& item = this->entries.at(first);
-            if (!this->limiter.take(first, item.work, now))
+            if (!this->limiter.try_acquire(first, item.work, now))
                 break;
             held.order.erase(held.order.begin());
             held.expected -= item.expected;
             item.held = false;
-            this->join(item, now);
+            this->insert(item, now);
         }
         if (const auto refill = this->limiter.refill(own->first, now);
             refill && !held.order.empty())
-            this->note_wake(now, now + *refill);
-        own = held.order.empty() ? this->holds.erase(own) : std::next(own);
+            this->schedule_wake(now, now + *refill);
+        own =
+            held.order.empty() ? this->held_queues.erase(own) : std::next(own);
     }
 }
 
 // Whoever has been due for longest goes first, else the line of a higher tier
 // would take the floor of a lower one time after time.
-void controller::offer_floor(lanes& own, base::instant now, const placer& place)
+void controller::offer_floor(model_queues& own,
+                             base::instant now,
+                             const dispatch_callback& try_dispatch)
 {
-    std::vector<std::pair<base::instant, line*>> due;
-    for (auto& [model, lane] : own) {
+    std::vector<std::pair<base::instant, queue*>> due;
+    for (auto& [model, queues] : own) {
         for (std::size_t tier = 0; tier < base::tier_count; ++tier) {
             const base::instant since =
-                lane[tier].stalled_since + this->limits.floor_age[tier];
-            if (!lane[tier].order.empty() && since <= now)
-                due.emplace_back(since, &lane[tier]);
+                queues[tier].stalled_since + this->limits.floor_age[tier];
+            if (!queues[tier].order.empty() && since <= now)
+                due.emplace_back(since, &queues[tier]);
         }
     }
     std::stable_sort(
@@ -165,23 +171,24 @@
             return left.first < right.first;
         });
     for (const auto& [since, each] : due)
-        this->offer_first(*each, now, place, grant::floor);
+        this->offer_first(*each, now, try_dispatch, grant::floor);
 }
 
 // Tier by tier over all lanes of the class, for lanes of different models may
 // share upstreams. A lane whose higher tier found no room gives its lower
 // tiers none.
-void controller::offer_ordinary(lanes& own,
+void controller::offer_ordinary(model_queues& own,
                                 base::instant now,
-                                const placer& place)
+                                const dispatch_callback& try_dispatch)
 {
     std::set<base::model_id> blocked;
     for (std::size_t tier = 0; tier < base::tier_count; ++tier) {
-        for (auto& [model, lane] : own) {
+        for (auto& [model, queues] : own) {
             if (blocked.contains(model))
                 continue;
-            while (!lane[tier].order.empty()) {
-                if (this->offer_first(lane[tier], now, place, grant::ordinary))
+            while (!queues[tier].order.empty()) {
+                if (this->offer_first(
+                        queues[tier], now, try_dispatch, grant::ordinary))
                     continue;
                 blocked.insert(model);
                 break;
@@ -190,36 +197,36 @@
     }
 }
 
-bool controller::offer_first(line& own,
+bool controller::offer_first(queue& own,
                              base::instant now,
-                             const placer& place,
+                             const dispatch_callback& try_dispatch,
                              grant how)
 {
     const base::request_id first = own.order.begin()->request;
     // `place` may put other requests in line, so nothing is held across it.
     const base::request_spec item = this->entries.at(first).work;
-    if (!place(first, item, how))
+    if (!try_dispatch(first, item, how))
         return false;
     this->remove(first);
     own.stalled_since = now;
     return true;
 }
 
-void controller::note_wake(base::instant now, base::instant at)
+void controller::schedule_wake(base::instant now, base::instant at)
 {
     if (at > now)
-        this->wake = this->wake ? std::min(*this->wake, at) : at;
+        this->wake_at = this->wake_at ? std::min(*this->wake_at, at) : at;
 }
 
-void controller::note_floors(base::instant now)
+void controller::schedule_floor_wakes(base::instant now)
 {
-    for (const auto& [id, lanes] : this->classes)
-        for (const auto& [model, lane] : lanes)
+    for (const auto& [id, model_queues] : this->classes)
+        for (const auto& [model, queues] : model_queues)
             for (std::size_t tier = 0; tier < base::tier_count; ++tier)
-                if (!lane[tier].order.empty())
-                    this->note_wake(now,
-                                    lane[tier].stalled_since +
-                                        this->limits.floor_age[tier]);
+                if (!queues[tier].order.empty())
+                    this->schedule_wake(now,
+                                        queues[tier].stalled_since +
+                                            this->limits.floor_age[tier]);
 }
 
 // ---- What waits -----------------------------------------------------------
@@ -228,24 +235,24 @@
 controller::run_time_ahead_of(const base::request_spec& item) const
 {
     base::duration out{0};
-    const lines* lane = this->lane_of(item);
-    if (lane == nullptr)
+    const tier_queues* queues = this->tier_queues_of(item);
+    if (queues == nullptr)
         return out;
     for (std::size_t tier = 0; tier <= base::index_of(item.tier); ++tier)
-        out += (*lane)[tier].expected;
+        out += (*queues)[tier].expected;
     return out;
 }
 
 bool controller::has_lower_tier_waiting(const base::request_spec& item) const
 {
-    const lines* lane = this->lane_of(item);
-    if (lane == nullptr)
+    const tier_queues* queues = this->tier_queues_of(item);
+    if (queues == nullptr)
         return false;
     return std::any_of(
-        lane->begin() + 1 +
+        queues->begin() + 1 +
             static_cast<std::ptrdiff_t>(base::index_of(item.tier)),
-        lane->end(),
-        [](const line& own) { return !own.order.empty(); });
+        queues->end(),
+        [](const queue& own) { return !own.order.empty(); });
 }
 
 bool controller::is_held(base::request_id request) const
@@ -259,12 +266,12 @@
                                            base::instant now) const
 {
     const limit_key key = limit_key_of(item);
-    const auto found = this->holds.find(key);
+    const auto found = this->held_queues.find(key);
     const limit* bound = this->limiter.find(key);
     if (bound == nullptr)
         return base::duration{0};
     const base::duration before =
-        found == this->holds.end() ? expected : found->second.expected;
+        found == this->held_queues.end() ? expected : found->second.expected;
     base::duration out =
         this->limiter.refill(key, now).value_or(base::duration{0});
     if (bound->max_in_flight > 0)
@@ -274,8 +281,8 @@
 
 std::uint32_t controller::held_count(const limit_key& key) const
 {
-    const auto found = this->holds.find(key);
-    if (found == this->holds.end())
+    const auto found = this->held_queues.find(key);
+    if (found == this->held_queues.end())
         return 0;
     return static_cast<std::uint32_t>(found->second.order.size());
 }
@@ -287,9 +294,9 @@
     const auto found = this->classes.find(upstream_class);
     if (found == this->classes.end())
         return out;
-    for (const auto& [model, lane] : found->second)
+    for (const auto& [model, queues] : found->second)
         for (std::size_t tier = 0; tier < base::tier_count; ++tier)
-            out[tier] += static_cast<std::uint32_t>(lane[tier].order.size());
+            out[tier] += static_cast<std::uint32_t>(queues[tier].order.size());
     return out;
 }
 
--- a/src/greengagedrum/admission/controller.hpp
+++ b/src/greengagedrum/admission/controller.hpp
@@ -1,10 +1,10 @@
 // Orders the requests that wait for an upstream, and says which of them gives
 // up its place when the line is full.
 //
-// One lane for each class and model, for those share their candidates; a line
-// for each tier in a lane. Within a line the least slack goes first: the
-// latest start that still meets the deadline. Across lines the higher tier
-// goes first, but for the floor: a line that was given nothing for its
+// One queues for each class and model, for those share their candidates; a line
+// for each tier in a queues. Within a line the least slack goes first: the
+// latest start that still meets the deadline. Across tier_queues the higher
+// tier goes first, but for the floor: a line that was given nothing for its
 // `floor_age` is offered ahead of all, so that long work advances under a
 // burst that never ends. Whether the floor is due beyond that, and whether an
 // upstream has room, is the caller's to say.
@@ -68,7 +68,7 @@
 enum class grant : std::uint8_t { ordinary, floor };
 
 // Takes one waiting request to an upstream; false when there is no room.
-using placer =
+using dispatch_callback =
     std::function<bool(base::request_id, const base::request_spec&, grant)>;
 
 class controller
@@ -81,16 +81,16 @@
         this->limiter.set_limits(bounds);
     }
 
-    // Puts a request in line; `expected` is how long it will run, `returning`
-    // that it was with an upstream before. Returns the request that gives up
-    // its place when the line is full: the one with the most slack of the
-    // lowest tier, which may be this one. It is no longer in line. One that
-    // returns never gives up its place: it would end `may_have_run`, and
-    // there are no more of them than were in flight.
+    // Puts a request in line; `expected` is how long it will run,
+    // `dispatched_before` that it was with an upstream before. Returns the
+    // request that gives up its place when the line is full: the one with the
+    // most slack of the lowest tier, which may be this one. It is no longer in
+    // line. One that returns never gives up its place: it would end
+    // `may_have_run`, and there are no more of them than were in flight.
     std::optional<base::request_id> enqueue(base::request_id request,
                                             const base::request_spec& item,
                                             base::duration expected,
-                                            bool returning,
+                                            bool dispatched_before,
                                             base::instant now);
 
     // Takes it out of line and stops counting it against its limits.
@@ -100,19 +100,19 @@
     void remove(base::request_id request);
 
     // Offers waiting requests in order until `place` has refused one of each
-    // lane. Those that `place` took are no longer in line.
-    void offer(base::instant now, const placer& place);
+    // queues. Those that `place` took are no longer in line.
+    void offer(base::instant now, const dispatch_callback& try_dispatch);
 
     // When offer() may have more to give without any other event.
-    std::optional<base::instant> next_wake() const { return this->wake; }
+    std::optional<base::instant> next_wake() const { return this->wake_at; }
 
     // How long all that goes before this work would run, one after another.
     base::duration run_time_ahead_of(const base::request_spec& item) const;
 
-    // True when work of a lower tier waits in the same lane.
+    // True when work of a lower tier waits in the same queues.
     bool has_lower_tier_waiting(const base::request_spec& item) const;
 
-    // True when a limit of its workspace holds the request back.
+    // True when a limit of its workspace held_queues the request back.
     bool is_held(base::request_id request) const;
 
     // Until its limit may let it through, by what is held before it.
@@ -129,44 +129,51 @@
     const admission::limiter& limits_in_use() const { return this->limiter; }
 
 private:
-    struct position {
+    struct queue_position {
         base::instant latest_start;
         base::request_id request;
-        auto operator<=>(const position&) const = default;
+        auto operator<=>(const queue_position&) const = default;
     };
-    struct line {
-        std::set<position> order;
+    struct queue {
+        std::set<queue_position> order;
         base::duration expected{0};  // of all in it
         base::instant stalled_since; // last grant, or when it was last empty
     };
-    using lines = std::array<line, base::tier_count>;
-    using lanes = std::map<base::model_id, lines>;
+    using tier_queues = std::array<queue, base::tier_count>;
+    using model_queues = std::map<base::model_id, tier_queues>;
     struct entry {
         base::request_spec work;
         base::duration expected{0};
-        position place;
+        queue_position position;
         bool held = false;
-        bool returning = false;
+        bool dispatched_before = false;
     };
 
-    line& line_of(const base::request_spec& item);
-    const lines* lane_of(const base::request_spec& item) const;
-    void join(const entry& item, base::instant now);
-    void release_held(base::instant now);
-    void offer_floor(lanes& own, base::instant now, const placer& place);
-    void offer_ordinary(lanes& own, base::instant now, const placer& place);
-    bool offer_first(line& own, base::instant now, const placer&, grant how);
-    std::optional<base::request_id> give_up_lowest();
-    std::optional<position> most_slack(const line& own) const;
-    void note_wake(base::instant now, base::instant at);
-    void note_floors(base::instant now);
+    queue& queue_of(const base::request_spec& item);
+    const tier_queues* tier_queues_of(const base::request_spec& item) const;
+    void insert(const entry& item, base::instant now);
+    void release_held_queues(base::instant now);
+    void offer_floor(model_queues& own,
+                     base::instant now,
+                     const dispatch_callback& try_dispatch);
+    void offer_ordinary(model_queues& own,
+                        base::instant now,
+                        const dispatch_callback& try_dispatch);
+    bool offer_first(queue& own,
+                     base::instant now,
+                     const dispatch_callback& try_dispatch,
+                     grant how);
+    std::optional<base::request_id> evict_lowest();
+    std::optional<queue_position> evictable_entry(const queue& own) const;
+    void schedule_wake(base::instant now, base::instant at);
+    void schedule_floor_wakes(base::instant now);
 
     options limits;
     admission::limiter limiter;
     std::unordered_map<base::request_id, entry> entries;
-    std::map<base::upstream_class_id, lanes> classes;
-    std::map<limit_key, line> holds;
-    std::optional<base::instant> wake;
+    std::map<base::upstream_class_id, model_queues> classes;
+    std::map<limit_key, queue> held_queues;
+    std::optional<base::instant> wake_at;
 };
 
 } // namespace greengagedrum::admission
--- a/src/greengagedrum/admission/distress.cpp
+++ b/src/greengagedrum/admission/distress.cpp
@@ -9,10 +9,10 @@
                     base::tier tier,
                     base::instant now)
 {
-    const auto [own, fresh] = this->upstreams.try_emplace(upstream);
-    if (fresh)
-        own->second.fill(now);
-    own->second[base::index_of(tier)] = now + this->hold;
+    const auto [marks, inserted] = this->upstreams.try_emplace(upstream);
+    if (inserted)
+        marks->second.fill(now);
+    marks->second[base::index_of(tier)] = now + this->mark_lifetime;
 }
 
 bool distress::is_marked(base::upstream_id upstream,
@@ -31,20 +31,20 @@
     const auto found = this->upstreams.find(upstream);
     if (found == this->upstreams.end())
         return false;
-    const ends& own = found->second;
-    return std::any_of(own.begin(),
-                       own.begin() +
+    const mark_expiries& marks = found->second;
+    return std::any_of(marks.begin(),
+                       marks.begin() +
                            static_cast<std::ptrdiff_t>(base::index_of(tier)),
-                       [now](base::instant end) { return end > now; });
+                       [now](base::instant expiry) { return expiry > now; });
 }
 
-std::optional<base::instant> distress::next_end(base::instant now) const
+std::optional<base::instant> distress::next_expiry(base::instant now) const
 {
     std::optional<base::instant> out;
-    for (const auto& [upstream, own] : this->upstreams)
-        for (const base::instant end : own)
-            if (end > now && (!out || end < *out))
-                out = end;
+    for (const auto& [upstream, marks] : this->upstreams)
+        for (const base::instant expiry : marks)
+            if (expiry > now && (!out || expiry < *out))
+                out = expiry;
     return out;
 }
 
--- a/src/greengagedrum/admission/distress.hpp
+++ b/src/greengagedrum/admission/distress.hpp
@@ -22,7 +22,10 @@
 {
 public:
     // `hold`: how long one sign of it counts.
-    explicit distress(base::duration hold) : hold(hold) {}
+    explicit distress(base::duration mark_lifetime)
+        : mark_lifetime(mark_lifetime)
+    {
+    }
 
     void mark(base::upstream_id upstream, base::tier tier, base::instant now);
 
@@ -37,13 +40,13 @@
                                base::instant now) const;
 
     // When the next of them ends.
-    std::optional<base::instant> next_end(base::instant now) const;
+    std::optional<base::instant> next_expiry(base::instant now) const;
 
 private:
-    using ends = std::array<base::instant, base::tier_count>;
+    using mark_expiries = std::array<base::instant, base::tier_count>;
 
-    base::duration hold;
-    std::map<base::upstream_id, ends> upstreams;
+    base::duration mark_lifetime;
+    std::map<base::upstream_id, mark_expiries> upstreams;
 };
 
 } // namespace greengagedrum::admission
--- a/src/greengagedrum/admission/limiter.hpp
+++ b/src/greengagedrum/admission/limiter.hpp
@@ -43,9 +43,9 @@
 
     // True when it may go on; it then counts until `release`. True for good
     // for one that was let through before.
-    bool take(base::request_id request,
-              const base::request_spec& item,
-              base::instant now);
+    bool try_acquire(base::request_id request,
+                     const base::request_spec& item,
+                     base::instant now);
 
     void release(base::request_id request);
 
@@ -55,9 +55,9 @@
                                          base::instant now) const;
 
     // True when it was let through and has not ended.
-    bool counts(base::request_id request) const
+    bool is_counted(base::request_id request) const
     {
-        return this->taken.contains(request);
+        return this->acquired.contains(request);
     }
 
     // Tokens of all that was let through, since the start.
@@ -68,17 +68,17 @@
 
 private:
     struct bucket {
-        limit bound;
+        limit configured;
         double level = 0; // tokens; below zero: owed
-        base::instant filled;
+        base::instant refilled_at;
     };
 
-    static double level_at(const bucket& own, base::instant now);
+    static double level_at(const bucket& state, base::instant now);
 
     std::map<limit_key, bucket> buckets;
-    std::map<limit_key, std::uint32_t> in_use;
-    std::map<limit_key, std::uint64_t> tokens;
-    std::unordered_map<base::request_id, limit_key> taken;
+    std::map<limit_key, std::uint32_t> in_flight_by_key;
+    std::map<limit_key, std::uint64_t> spent_tokens;
+    std::unordered_map<base::request_id, limit_key> acquired;
 };
 
 } // namespace greengagedrum::admission
--- a/src/greengagedrum/admission/run_estimator.cpp
+++ b/src/greengagedrum/admission/run_estimator.cpp
@@ -8,54 +8,58 @@
 namespace
 {
 constexpr double learning_rate = 0.1; // weight of the newest request
-constexpr double factor_least = 0.01;
-constexpr double factor_most = 100.0;
-constexpr double nominal_least = 1e-3; // seconds; a plain service's floor
+constexpr double min_factor = 0.01;
+constexpr double max_factor = 100.0;
+constexpr double min_nominal_seconds = 1e-3; // seconds; a plain service's floor
 } // namespace
 
 void run_estimator::set_fleet(const config::fleet& fleet)
 {
-    std::map<base::upstream_class_id, speed> kept;
+    std::map<base::upstream_class_id, class_estimate> updated;
     for (const config::upstream_entry& entry : fleet.upstreams) {
         const auto known = this->classes.find(entry.upstream_class);
-        const auto [place, fresh] =
-            kept.try_emplace(entry.upstream_class, speed{});
-        speed& own = place->second;
-        if (fresh && known != this->classes.end())
-            own.factor = known->second.factor;
+        const auto [position, inserted] =
+            updated.try_emplace(entry.upstream_class, class_estimate{});
+        class_estimate& estimate = position->second;
+        if (inserted && known != this->classes.end())
+            estimate.factor = known->second.factor;
         // The slowest of the class, so that the first guess errs alike for
         // all; the factor corrects it.
         if (entry.prefill_tokens_per_second > 0)
-            own.prefill =
-                fresh ? entry.prefill_tokens_per_second
-                      : std::min(own.prefill, entry.prefill_tokens_per_second);
+            estimate.prefill = inserted
+                                   ? entry.prefill_tokens_per_second
+                                   : std::min(estimate.prefill,
+                                              entry.prefill_tokens_per_second);
         if (entry.decode_tokens_per_second > 0)
-            own.decode =
-                fresh ? entry.decode_tokens_per_second
-                      : std::min(own.decode, entry.decode_tokens_per_second);
+            estimate.decode =
+                inserted
+                    ? entry.decode_tokens_per_second
+                    : std::min(estimate.decode, entry.decode_tokens_per_second);
     }
-    this->classes = std::move(kept);
+    this->classes = std::move(updated);
 }
 
-const run_estimator::speed&
-run_estimator::of(base::upstream_class_id upstream_class) const
+const run_estimator::class_estimate&
+run_estimator::estimate_of(base::upstream_class_id upstream_class) const
 {
     const auto found = this->classes.find(upstream_class);
-    return found == this->classes.end() ? this->unknown : found->second;
+    return found == this->classes.end() ? this->default_estimate
+                                        : found->second;
 }
 
-double run_estimator::nominal(const speed& own, const base::request_spec& item)
+double run_estimator::nominal_seconds(const class_estimate& estimate,
+                                      const base::request_spec& item)
 {
-    return std::max(nominal_least,
-                    item.prompt_tokens / own.prefill +
-                        item.output_tokens / own.decode);
+    return std::max(min_nominal_seconds,
+                    item.prompt_tokens / estimate.prefill +
+                        item.output_tokens / estimate.decode);
 }
 
 base::duration
 run_estimator::expected_run_time(const base::request_spec& item) const
 {
-    const speed& own = this->of(item.upstream_class);
-    const double seconds = own.factor * nominal(own, item);
+    const class_estimate& estimate = this->estimate_of(item.upstream_class);
+    const double seconds = estimate.factor * nominal_seconds(estimate, item);
     return base::duration(static_cast<base::duration::rep>(
         seconds * base::microseconds_per_second));
 }
@@ -74,12 +78,12 @@
     const auto found = this->classes.find(item.upstream_class);
     if (found == this->classes.end())
         return;
-    speed& own = found->second;
+    class_estimate& estimate = found->second;
     const double seconds =
         static_cast<double>(actual.count()) / base::microseconds_per_second;
-    const double ratio =
-        std::clamp(seconds / nominal(own, item), factor_least, factor_most);
-    own.factor += learning_rate * (ratio - own.factor);
+    const double ratio = std::clamp(
+        seconds / nominal_seconds(estimate, item), min_factor, max_factor);
+    estimate.factor += learning_rate * (ratio - estimate.factor);
 }
 
 } // namespace greengagedrum::admission
--- a/src/greengagedrum/admission/run_estimator.hpp
+++ b/src/greengagedrum/admission/run_estimator.hpp
@@ -29,17 +29,19 @@
     void observe(const base::request_spec& item, base::duration actual);
 
 private:
-    struct speed {
+    struct class_estimate {
         double prefill = 4000.0; // tokens a second
         double decode = 40.0;    // tokens a second, one stream
         double factor = 0.25;    // actual over nominal
     };
 
-    static double nominal(const speed& own, const base::request_spec& item);
-    const speed& of(base::upstream_class_id upstream_class) const;
+    static double nominal_seconds(const class_estimate& estimate,
+                                  const base::request_spec& item);
+    const class_estimate&
+    estimate_of(base::upstream_class_id upstream_class) const;
 
-    std::map<base::upstream_class_id, speed> classes;
-    speed unknown;
+    std::map<base::upstream_class_id, class_estimate> classes;
+    class_estimate default_estimate;
 };
 
 } // namespace greengagedrum::admission
--- a/src/greengagedrum/admission/running_set.hpp
+++ b/src/greengagedrum/admission/running_set.hpp
@@ -22,7 +22,7 @@
     base::request_id request;
     base::request_spec work;
     base::upstream_id upstream;
-    base::instant since; // of its dispatch
+    base::instant dispatched_at; // of its dispatch
 };
 
 class running_set
@@ -41,7 +41,7 @@
     std::uint32_t in_flight(base::upstream_id upstream) const;
 
     // Prompt and most output of all that runs there, in tokens.
-    std::uint32_t tokens(base::upstream_id upstream) const;
+    std::uint32_t tokens_in_flight(base::upstream_id upstream) const;
 
     // True when work of a lower tier than `tier` runs there.
     bool has_lower_tier_on(base::upstream_id upstream, base::tier tier) const;
@@ -50,15 +50,16 @@
     std::vector<const running_request*>
     lower_tier_requests(base::upstream_id upstream, base::tier tier) const;
 
-    std::size_t size() const { return this->all.size(); }
+    std::size_t size() const { return this->requests.size(); }
 
 private:
-    using by_tier = std::array<std::set<base::request_id>, base::tier_count>;
-    using counts = std::array<std::uint32_t, base::tier_count>;
+    using requests_by_tier =
+        std::array<std::set<base::request_id>, base::tier_count>;
+    using tier_counts = std::array<std::uint32_t, base::tier_count>;
 
-    std::unordered_map<base::request_id, running_request> all;
-    std::map<base::upstream_id, by_tier> upstreams;
-    std::map<base::upstream_class_id, counts> classes;
+    std::unordered_map<base::request_id, running_request> requests;
+    std::map<base::upstream_id, requests_by_tier> by_upstream;
+    std::map<base::upstream_class_id, tier_counts> class_counts;
 };
 
 } // namespace greengagedrum::admission
--- a/src/greengagedrum/admission/test/controller_test.cpp
+++ b/src/greengagedrum/admission/test/controller_test.cpp
@@ -12,9 +12,9 @@
 {
 
 struct controller_fixture {
-    controller line{options{.waiting_max = 3}};
+    controller tested{options{.waiting_max = 3}};
     base::instant now;
-    std::uint64_t last = 0;
+    std::uint64_t last_id = 0;
 
     std::optional<base::request_id>
     enqueue(base::tier tier,
@@ -29,27 +29,27 @@
         item.tier = tier;
         item.prompt_tokens = 100;
         item.deadline = this->now + deadline;
-        return this->line.enqueue(base::request_id{++this->last},
-                                  item,
-                                  std::chrono::seconds(1),
-                                  false,
-                                  this->now);
+        return this->tested.enqueue(base::request_id{++this->last_id},
+                                    item,
+                                    std::chrono::seconds(1),
+                                    false,
+                                    this->now);
     }
 
     // Ids given out, of those that `takes` says yes to.
-    template <class Takes>
-    std::vector<std::uint64_t> offer(const Takes& takes)
+    template <class Accepts>
+    std::vector<std::uint64_t> offer(const Accepts& accepts)
     {
         std::vector<std::uint64_t> out;
-        this->line.offer(this->now,
-                         [&](base::request_id id,
-                             const base::request_spec& item,
-                             grant how) {
-                             if (!takes(item, how))
-                                 return false;
-                             out.push_back(id.value);
-                             return true;
-                         });
+        this->tested.offer(this->now,
+                           [&](base::request_id id,
+                               const base::request_spec& item,
+                               grant how) {
+                               if (!accepts(item, how))
+                                   return false;
+                               out.push_back(id.value);
+                               return true;
+                           });
         return out;
     }
 };
@@ -64,18 +64,19 @@
 
 // Booths ask for reviews while the review model's servers are full. Crop
 // checks, which other servers of the class could run, waited behind them.
-TEST_CASE_FIXTURE(controller_fixture, "model_refused_other_model_given_out")
+TEST_CASE_FIXTURE(controller_fixture, "model_refused_other_model_dispatched")
 {
     this->enqueue(base::tier::urgent, "compliance");
     this->enqueue(base::tier::bulk, "crop");
-    const auto given = this->offer([](const base::request_spec& item,
-                                      grant how) {
+    const auto dispatched = this->offer([](const base::request_spec& item,
+                                           grant how) {
         return how == grant::ordinary && item.model == base::model_id("crop");
     });
-    CHECK(given == std::vector<std::uint64_t>{2});
+    CHECK(dispatched == std::vector<std::uint64_t>{2});
 }
 
-TEST_CASE_FIXTURE(controller_fixture, "tiers_then_slack_order")
+TEST_CASE_FIXTURE(controller_fixture,
+                  "several_tiers_highest_then_least_slack_first")
 {
     this->enqueue(base::tier::standard);
     this->enqueue(base::tier::urgent, "compliance", std::chrono::seconds(9));
@@ -85,60 +86,62 @@
 
 // The line is full of lower work when a ping comes. The ping was refused; the
 // bulk request with the most time left gives up its place.
-TEST_CASE_FIXTURE(controller_fixture, "line_full_lowest_tier_gives_up")
+TEST_CASE_FIXTURE(controller_fixture, "queue_full_lowest_tier_evicted")
 {
     this->enqueue(base::tier::bulk, "compliance", std::chrono::seconds(50));
     this->enqueue(base::tier::bulk, "compliance", std::chrono::seconds(90));
     this->enqueue(base::tier::standard, "compliance", std::chrono::hours(1));
-    const auto victim = this->enqueue(base::tier::urgent);
-    REQUIRE(victim);
-    CHECK(victim->value == 2);
-    CHECK(this->line.waiting() == 3);
+    const auto evicted = this->enqueue(base::tier::urgent);
+    REQUIRE(evicted);
+    CHECK(evicted->value == 2);
+    CHECK(this->tested.waiting() == 3);
 }
 
 // Weekend summaries stand in line behind pings that never end. After its
 // floor's age the line is offered ahead of them.
-TEST_CASE_FIXTURE(controller_fixture, "bulk_stalled_floor_offered")
+TEST_CASE_FIXTURE(controller_fixture, "bulk_past_floor_age_offered_as_floor")
 {
     this->enqueue(base::tier::bulk);
     const auto floor_of_bulk = [](const base::request_spec& item, grant how) {
         return how == grant::floor && item.tier == base::tier::bulk;
     };
     CHECK(this->offer(floor_of_bulk).empty());
-    REQUIRE(this->line.next_wake());
-    this->now = *this->line.next_wake();
+    REQUIRE(this->tested.next_wake());
+    this->now = *this->tested.next_wake();
     CHECK(this->offer(floor_of_bulk) == std::vector<std::uint64_t>{1});
 }
 
 // One workspace reaches its limit. Its requests wait apart: a request of the
 // same tier from another workspace goes past them, and an end lets one in.
-TEST_CASE_FIXTURE(controller_fixture, "limit_reached_held_blocks_nobody")
+TEST_CASE_FIXTURE(controller_fixture,
+                  "limit_reached_held_requests_block_no_others")
 {
     const limit_key key{base::workspace_id("mall"), base::kind_id("crop")};
-    this->line.set_limits({{key, limit{.max_in_flight = 1}}});
+    this->tested.set_limits({{key, limit{.max_in_flight = 1}}});
     this->enqueue(base::tier::standard, "crop");
     this->enqueue(base::tier::standard, "crop");
     this->enqueue(base::tier::standard, "compliance");
-    CHECK(this->line.is_held(base::request_id{2}));
+    CHECK(this->tested.is_held(base::request_id{2}));
     CHECK(this->offer(ordinary_only) == std::vector<std::uint64_t>{3, 1});
-    this->line.forget(base::request_id{1});
+    this->tested.forget(base::request_id{1});
     CHECK(this->offer(ordinary_only) == std::vector<std::uint64_t>{2});
 }
 
 // A workspace spends its tokens of two seconds at once, and more; it goes on
 // when the debt is paid back, at the time that the line announces.
-TEST_CASE_FIXTURE(controller_fixture, "tokens_spent_refilled_goes_on")
+TEST_CASE_FIXTURE(controller_fixture,
+                  "token_bucket_empty_dispatched_after_refill")
 {
     const limit_key key{base::workspace_id("mall"), base::kind_id("crop")};
-    this->line.set_limits({{key, limit{.tokens_per_second = 30}}});
+    this->tested.set_limits({{key, limit{.tokens_per_second = 30}}});
     this->enqueue(base::tier::standard, "crop"); // 100 of 60 saved
     this->enqueue(base::tier::standard, "crop");
     CHECK(this->offer(ordinary_only) == std::vector<std::uint64_t>{1});
-    REQUIRE(this->line.next_wake());
-    const base::duration wait = *this->line.next_wake() - this->now;
+    REQUIRE(this->tested.next_wake());
+    const base::duration wait = *this->tested.next_wake() - this->now;
     CHECK(wait > std::chrono::milliseconds(1333)); // 40 owed at 30 a second
     CHECK(wait < std::chrono::milliseconds(1335));
-    this->now = *this->line.next_wake();
+    this->now = *this->tested.next_wake();
     CHECK(this->offer(ordinary_only) == std::vector<std::uint64_t>{2});
 }
 
--- a/src/greengagedrum/capacity/shares.hpp
+++ b/src/greengagedrum/capacity/shares.hpp
@@ -32,14 +32,17 @@
 public:
     using limit_id = std::pair<base::workspace_id, base::kind_id>;
 
-    explicit shares(base::slot_id own) : own(own) { this->entries = {own}; }
+    explicit shares(base::slot_id own_slot) : own_slot(own_slot)
+    {
+        this->entries = {own_slot};
+    }
 
     // The live entries of the data centre; this one is added.
     void set_entries(std::set<base::slot_id> live);
     std::size_t entry_count() const { return this->entries.size(); }
 
     void on_load_digest(base::slot_id peer,
-                        base::incarnation life,
+                        base::incarnation incarnation,
                         const load_digest& digest,
                         base::instant now);
     void remove_peer(base::slot_id peer);
@@ -48,7 +51,7 @@
     // and then, for a digest may have been lost. A demand rises at once and
     // falls after it has been lower for a while, so that shares don't flap
     // with every request that ends.
-    load_digest compose(const load_digest& now_used, base::instant now);
+    load_digest compose(const load_digest& current, base::instant now);
 
     // This instance's places of an upstream with `limit` places in a class
     // with `class_total`.
@@ -76,8 +79,8 @@
                               base::instant now) const;
 
 private:
-    struct view {
-        base::incarnation life;
+    struct load_view {
+        base::incarnation incarnation;
         std::uint64_t sequence = 0;
         base::instant at;
         std::map<base::upstream_id, upstream_usage> uses;
@@ -89,18 +92,18 @@
         base::instant since;
     };
 
-    const view* fresh_view(base::slot_id slot, base::instant now) const;
-    double limit_part(const limit_id& limit,
-                      std::uint64_t salt,
-                      base::instant now) const;
-    bool anything_heard(base::instant now) const;
-    class_demand hold_peaks(class_demand demand, base::instant now);
-    static void apply(view& known, const load_digest& digest);
+    const load_view* recent_view(base::slot_id slot, base::instant now) const;
+    double limit_fraction(const limit_id& limit,
+                          std::uint64_t salt,
+                          base::instant now) const;
+    bool has_recent_peer(base::instant now) const;
+    class_demand with_held_peaks(class_demand demand, base::instant now);
+    static void apply(load_view& known, const load_digest& digest);
 
-    base::slot_id own;
+    base::slot_id own_slot;
     std::set<base::slot_id> entries;
-    std::map<base::slot_id, view> peers;
-    view told; // of this instance, as last composed
+    std::map<base::slot_id, load_view> peers;
+    load_view last_sent; // of this instance, as last composed
     std::map<base::upstream_class_id, std::array<peak, base::tier_count>> peaks;
 };
 
--- a/src/greengagedrum/capacity/split.cpp
+++ b/src/greengagedrum/capacity/split.cpp
@@ -14,9 +14,9 @@
 // Of those that `eligible` names, the one with the least share; ties by
 // `rank`. The count of entries when there is none.
 template <class Eligible>
-std::size_t least(std::span<const std::uint32_t> shares,
-                  std::span<const std::uint64_t> ranks,
-                  const Eligible& eligible)
+std::size_t find_least(std::span<const std::uint32_t> shares,
+                       std::span<const std::uint64_t> ranks,
+                       const Eligible& eligible)
 {
     std::size_t best = shares.size();
     for (std::size_t i = 0; i < shares.size(); ++i) {
@@ -31,44 +31,46 @@
     return best;
 }
 
-std::vector<std::uint64_t> ranks_of(std::span<const wanted> entries,
+std::vector<std::uint64_t> ranks_of(std::span<const entry_demand> entries,
                                     std::uint64_t salt)
 {
     std::vector<std::uint64_t> out;
-    for (const wanted& entry : entries)
+    for (const entry_demand& entry : entries)
         out.push_back(XXH64(&entry.slot.value, sizeof(entry.slot.value), salt));
     return out;
 }
 
 } // namespace
 
-std::vector<std::uint32_t>
-split(std::uint32_t limit, std::span<const wanted> entries, std::uint64_t salt)
+std::vector<std::uint32_t> split(std::uint32_t limit,
+                                 std::span<const entry_demand> entries,
+                                 std::uint64_t salt)
 {
     std::vector<std::uint32_t> shares(entries.size(), 0);
     if (entries.empty())
         return shares;
     const std::vector<std::uint64_t> ranks = ranks_of(entries, salt);
-    std::uint32_t left = limit;
+    std::uint32_t remaining = limit;
     if (limit >= entries.size()) {
         std::fill(shares.begin(), shares.end(), 1);
-        left -= static_cast<std::uint32_t>(entries.size());
+        remaining -= static_cast<std::uint32_t>(entries.size());
     }
     for (std::size_t tier = 0; tier < base::tier_count; ++tier) {
-        const auto hungry = [&](std::size_t i) {
-            return shares[i] < entries[i].up_to[tier];
+        const auto wants_more = [&](std::size_t i) {
+            return shares[i] < entries[i].cumulative[tier];
         };
-        while (left > 0) {
-            const std::size_t next = least(shares, ranks, hungry);
+        while (remaining > 0) {
+            const std::size_t next = find_least(shares, ranks, wants_more);
             if (next == entries.size())
                 break;
             shares[next] += 1;
-            left -= 1;
+            remaining -= 1;
         }
     }
-    while (left > 0) {
-        shares[least(shares, ranks, [](std::size_t) { return true; })] += 1;
-        left -= 1;
+    while (remaining > 0) {
+        shares[find_least(shares, ranks, [](std::size_t) { return true; })] +=
+            1;
+        remaining -= 1;
     }
     return shares;
 }
--- a/src/greengagedrum/capacity/split.hpp
+++ b/src/greengagedrum/capacity/split.hpp
@@ -13,9 +13,9 @@
 {
 
 // What one entry wants, by tier; each figure includes the tiers above it.
-struct wanted {
+struct entry_demand {
     base::slot_id slot;
-    std::array<std::uint32_t, base::tier_count> up_to{};
+    std::array<std::uint32_t, base::tier_count> cumulative{};
 };
 
 // The shares, in the order of `entries`. They sum to `limit`, and depend on
@@ -26,7 +26,8 @@
 // whoever has least and wants more; what nobody wants is dealt out evenly.
 // Ties fall by rendezvous hash of the slot and `salt`, so that the entry
 // without a place differs from upstream to upstream.
-std::vector<std::uint32_t>
-split(std::uint32_t limit, std::span<const wanted> entries, std::uint64_t salt);
+std::vector<std::uint32_t> split(std::uint32_t limit,
+                                 std::span<const entry_demand> entries,
+                                 std::uint64_t salt);
 
 } // namespace greengagedrum::capacity
--- a/src/greengagedrum/capacity/test/shares_test.cpp
+++ b/src/greengagedrum/capacity/test/shares_test.cpp
@@ -44,15 +44,17 @@
     }
 
     // Every entry tells every other its demand.
-    void tell(const std::vector<load_digest>& demands)
+    void exchange(const std::vector<load_digest>& demands)
     {
         for (std::size_t i = 0; i < this->entries.size(); ++i) {
-            const load_digest told =
+            const load_digest digest =
                 this->entries[i].compose(demands[i], this->now);
             for (std::size_t j = 0; j < this->entries.size(); ++j)
                 if (j != i)
-                    this->entries[j].on_load_digest(
-                        this->slots[i], base::incarnation{1}, told, this->now);
+                    this->entries[j].on_load_digest(this->slots[i],
+                                                    base::incarnation{1},
+                                                    digest,
+                                                    this->now);
         }
     }
 
@@ -76,7 +78,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(shares_fixture, "nothing_heard_equal_split")
+TEST_CASE_FIXTURE(shares_fixture, "no_digest_received_split_equal")
 {
     CHECK(this->split_now(9) == std::vector<std::uint32_t>{3, 3, 3});
     CHECK(sum(this->split_now(8)) == 8);
@@ -84,74 +86,77 @@
 
 // All callers of the morning stand at one entry. With equal thirds it would
 // leave two thirds of the engine idle while they wait.
-TEST_CASE_FIXTURE(shares_fixture, "demand_at_one_entry_lent_to_it")
+TEST_CASE_FIXTURE(shares_fixture, "demand_at_one_entry_only_gets_unused_slots")
 {
-    this->tell({demand_of(0, 100), demand_of(0, 0), demand_of(0, 0)});
+    this->exchange({demand_of(0, 100), demand_of(0, 0), demand_of(0, 0)});
     CHECK(this->split_now(9) == std::vector<std::uint32_t>{7, 1, 1});
 }
 
 // One entry has a hundred summaries, another four pings: the pings' places
 // are given first, whatever the other's demand.
-TEST_CASE_FIXTURE(shares_fixture, "urgent_demand_served_before_bulk")
+TEST_CASE_FIXTURE(shares_fixture, "urgent_and_bulk_demand_urgent_first")
 {
-    this->tell({demand_of(0, 100), demand_of(6, 0), demand_of(0, 0)});
+    this->exchange({demand_of(0, 100), demand_of(6, 0), demand_of(0, 0)});
     CHECK(this->split_now(9) == std::vector<std::uint32_t>{2, 6, 1});
 }
 
 // A link falls silent. The peers' last figures would let an entry hold what
 // they need now; past their lifetime the split is equal again.
-TEST_CASE_FIXTURE(shares_fixture, "cut_off_equal_split")
+TEST_CASE_FIXTURE(shares_fixture, "peers_silent_past_view_lifetime_split_equal")
 {
-    this->tell({demand_of(0, 100), demand_of(0, 0), demand_of(0, 0)});
+    this->exchange({demand_of(0, 100), demand_of(0, 0), demand_of(0, 0)});
     this->now += std::chrono::seconds(6);
     CHECK(this->split_now(9) == std::vector<std::uint32_t>{3, 3, 3});
 }
 
 // A burst's last request ends and the next comes 100 ms later: the share is
 // not given away and fetched back in between.
-TEST_CASE_FIXTURE(shares_fixture, "demand_dips_share_held")
+TEST_CASE_FIXTURE(shares_fixture, "demand_drops_briefly_share_kept")
 {
-    this->tell({demand_of(0, 100), demand_of(0, 0), demand_of(0, 0)});
+    this->exchange({demand_of(0, 100), demand_of(0, 0), demand_of(0, 0)});
     this->now += std::chrono::milliseconds(500);
-    this->tell({demand_of(0, 0), demand_of(0, 0), demand_of(0, 0)});
+    this->exchange({demand_of(0, 0), demand_of(0, 0), demand_of(0, 0)});
     CHECK(this->split_now(9).front() == 7);
     this->now += std::chrono::seconds(2);
-    this->tell({demand_of(0, 0), demand_of(0, 0), demand_of(0, 0)});
+    this->exchange({demand_of(0, 0), demand_of(0, 0), demand_of(0, 0)});
     CHECK(this->split_now(9) == std::vector<std::uint32_t>{3, 3, 3});
 }
 
 // Digests of a process that was replaced come late: its demand would hold
 // places for nobody.
-TEST_CASE_FIXTURE(shares_fixture, "digest_of_old_life_ignored")
+TEST_CASE_FIXTURE(shares_fixture, "digest_of_earlier_incarnation_ignored")
 {
     shares& entry = this->entries[0];
-    load_digest told = demand_of(0, 0);
-    told.sequence = 1;
+    load_digest digest = demand_of(0, 0);
+    digest.sequence = 1;
     entry.compose(demand_of(0, 9), this->now);
-    entry.on_load_digest(this->slots[1], base::incarnation{2}, told, this->now);
-    entry.on_load_digest(this->slots[2], base::incarnation{2}, told, this->now);
-    told = demand_of(50, 0);
-    told.sequence = 70;
-    entry.on_load_digest(this->slots[1], base::incarnation{1}, told, this->now);
+    entry.on_load_digest(
+        this->slots[1], base::incarnation{2}, digest, this->now);
+    entry.on_load_digest(
+        this->slots[2], base::incarnation{2}, digest, this->now);
+    digest = demand_of(50, 0);
+    digest.sequence = 70;
+    entry.on_load_digest(
+        this->slots[1], base::incarnation{1}, digest, this->now);
     CHECK(this->split_now(9).front() == 7);
 }
 
 // Whatever the demands and however many places: entries that heard each other
 // hand out every place exactly once, and shut nobody out when there are
 // enough.
-TEST_CASE("random_views_agree_shares_sum_to_limit")
+TEST_CASE("random_demands_exchanged_shares_sum_to_limit")
 {
     std::mt19937_64 generator(20261202);
     for (int round = 0; round < 500; ++round) {
         shares_fixture fleet;
         const auto limit = static_cast<std::uint32_t>(generator() % 20);
-        for (int beat = 0; beat < 3; ++beat) {
+        for (int heartbeat = 0; heartbeat < 3; ++heartbeat) {
             std::vector<load_digest> demands;
             for (std::uint32_t i = 0; i < entry_total; ++i)
                 demands.push_back(shares_fixture::demand_of(
                     static_cast<std::uint32_t>(generator() % 12),
                     static_cast<std::uint32_t>(generator() % 40)));
-            fleet.tell(demands);
+            fleet.exchange(demands);
             fleet.now += std::chrono::milliseconds(500);
         }
         const auto split = fleet.split_now(limit);
@@ -164,24 +169,26 @@
 
 // Nine entries and eight places: one has none at this engine, and which one
 // differs from engine to engine.
-TEST_CASE("more_entries_than_places_left_out_differs")
+TEST_CASE("more_entries_than_slots_entry_without_slot_varies")
 {
-    std::vector<wanted> entries;
+    std::vector<entry_demand> entries;
     for (int i = 0; i < 9; ++i) {
-        wanted one;
-        one.slot = base::slot_id("rabat-" + std::to_string(i));
-        one.up_to.fill(5);
-        entries.push_back(one);
+        entry_demand demand;
+        demand.slot = base::slot_id("rabat-" + std::to_string(i));
+        demand.cumulative.fill(5);
+        entries.push_back(demand);
     }
-    std::vector<int> left_out(9, 0);
+    std::vector<int> times_without_slot(9, 0);
     for (std::uint64_t salt = 0; salt < 90; ++salt) {
         const auto split = capacity::split(8, entries, salt);
         CHECK(sum(split) == 8);
         for (std::size_t i = 0; i < split.size(); ++i)
-            left_out[i] += split[i] == 0 ? 1 : 0;
+            times_without_slot[i] += split[i] == 0 ? 1 : 0;
     }
-    CHECK(*std::max_element(left_out.begin(), left_out.end()) < 30);
-    CHECK(*std::min_element(left_out.begin(), left_out.end()) > 0);
+    CHECK(*std::max_element(times_without_slot.begin(),
+                            times_without_slot.end()) < 30);
+    CHECK(*std::min_element(times_without_slot.begin(),
+                            times_without_slot.end()) > 0);
 }
 
 } // namespace greengagedrum::capacity
--- a/src/greengagedrum/delivery/preemption.cpp
+++ b/src/greengagedrum/delivery/preemption.cpp
@@ -57,7 +57,8 @@
     const admission::running_request* run = this->run_set.find(item.id);
     if (item.tokens_seen > 0 || run == nullptr)
         return prompt;
-    const double had = static_cast<double>((this->now - run->since).count());
+    const double had =
+        static_cast<double>((this->now - run->dispatched_at).count());
     const double whole = static_cast<double>(
         std::max(this->estimator.expected_prefill_time(item.work),
                  base::duration{1})
--- a/src/greengagedrum/delivery/scheduler.cpp
+++ b/src/greengagedrum/delivery/scheduler.cpp
@@ -62,7 +62,7 @@
 {
     const auto recovery = this->admission.waiting() == 0
                               ? std::nullopt
-                              : this->distress.next_end(this->now);
+                              : this->distress.next_expiry(this->now);
     std::optional<base::instant> first;
     for (const auto& one : {this->timers.next(),
                             this->admission.next_wake(),
@@ -188,7 +188,7 @@
 {
     this->planner.ended(item.dispatch, this->now);
     if (const auto* ran = this->run_set.find(item.id))
-        this->estimator.observe(item.work, this->now - ran->since);
+        this->estimator.observe(item.work, this->now - ran->dispatched_at);
     if (item.claimed)
         this->desk.answered(item.id, whole, this->now, this->desk_out);
     item.claimed = false;
--- a/src/greengagedrum/delivery/sharing.cpp
+++ b/src/greengagedrum/delivery/sharing.cpp
@@ -125,7 +125,7 @@
         capacity::upstream_usage use;
         use.upstream = entry.id;
         use.in_flight = this->run_set.in_flight(entry.id);
-        use.tokens_in_flight = this->run_set.tokens(entry.id);
+        use.tokens_in_flight = this->run_set.tokens_in_flight(entry.id);
         use.overdraft = use.in_flight > this->planner.allowance(entry.id);
         used.uses.push_back(use);
     }
