--- a/src/greengagedrum/admission/controller.cpp
+++ b/src/greengagedrum/admission/controller.cpp
@@ -19,8 +19,8 @@
     added.expected = expected;
     added.dispatched_before = dispatched_before;
     added.position = queue_position{item.deadline - expected, request};
-    // Others of its kind that are held came first; one that was let through
-    // before is back for a retry and goes past them.
+    // Requests of the same limit that are already held go first. A request that
+    // was admitted by the limiter before returns for a retry and passes them.
     const bool others_held = this->held_queues.contains(limit_key_of(item)) &&
                              !this->limiter.is_counted(request);
     added.held = others_held || !this->limiter.try_acquire(request, item, now);
@@ -115,8 +115,6 @@
     return last == own.order.rend() ? std::nullopt : std::optional(*last);
 }
 
-// ---- Giving out -----------------------------------------------------------
-
 void controller::offer(base::instant now, const dispatch_callback& try_dispatch)
 {
     this->wake_at.reset();
@@ -151,8 +149,8 @@
     }
 }
 
-// Whoever has been due for longest goes first, else the line of a higher tier
-// would take the floor of a lower one time after time.
+// The queue that has been due for longest goes first; otherwise the queue of a
+// higher tier would repeatedly take the floor grant of a lower one.
 void controller::offer_floor(model_queues& own,
                              base::instant now,
                              const dispatch_callback& try_dispatch)
@@ -174,9 +172,9 @@
         this->offer_first(*each, now, try_dispatch, grant::floor);
 }
 
-// Tier by tier over all lanes of the class, for lanes of different models may
-// share upstreams. A lane whose higher tier found no room gives its lower
-// tiers none.
+// Goes tier by tier over all models of the class, because different models may
+// share upstreams. When a tier of a model finds no free slot, the lower tiers
+// of that model are not offered.
 void controller::offer_ordinary(model_queues& own,
                                 base::instant now,
                                 const dispatch_callback& try_dispatch)
@@ -203,7 +201,8 @@
                              grant how)
 {
     const base::request_id first = own.order.begin()->request;
-    // `place` may put other requests in line, so nothing is held across it.
+    // `try_dispatch` may queue other requests, so no reference into the entries
+    // is kept across the call.
     const base::request_spec item = this->entries.at(first).work;
     if (!try_dispatch(first, item, how))
         return false;
@@ -229,8 +228,6 @@
                                             this->limits.floor_age[tier]);
 }
 
-// ---- What waits -----------------------------------------------------------
-
 base::duration
 controller::run_time_ahead_of(const base::request_spec& item) const
 {
--- a/src/greengagedrum/admission/controller.hpp
+++ b/src/greengagedrum/admission/controller.hpp
@@ -1,16 +1,17 @@
-// Orders the requests that wait for an upstream, and says which of them gives
-// up its place when the line is full.
+// Orders the requests that wait for an upstream and selects the request to
+// evict when the queues are full.
 //
-// One queues for each class and model, for those share their candidates; a line
-// for each tier in a queues. Within a line the least slack goes first: the
-// latest start that still meets the deadline. Across tier_queues the higher
-// tier goes first, but for the floor: a line that was given nothing for its
-// `floor_age` is offered ahead of all, so that long work advances under a
-// burst that never ends. Whether the floor is due beyond that, and whether an
-// upstream has room, is the caller's to say.
+// There is one queue per upstream class, model and tier, for requests of the
+// same class and model share their candidate upstreams. Within a queue the
+// request with the least slack goes first: the one with the earliest latest
+// start that still meets its deadline. Across tiers the higher tier goes first,
+// except for the floor: a queue without a grant for its `floor_age` is offered
+// ahead of all others, so that long-running work advances during an endless
+// burst of higher tiers. The caller decides on any further conditions for a
+// floor grant and on whether an upstream has a free slot.
 //
-// A request held back by a limit of its workspace waits apart and blocks
-// nobody.
+// A request held back by a limit of its workspace waits in a separate queue per
+// limit and does not block requests under other limits.
 #pragma once
 
 #include <greengagedrum/admission/limiter.hpp>
@@ -30,44 +31,50 @@
 {
 
 struct options {
-    std::size_t waiting_max = 20'000; // requests, over all tiers
+    std::size_t waiting_max = 20'000; // requests, all tiers together
 
-    // How long a line may go without a grant before the floor is due.
+    // Time without a grant after which a queue is offered ahead of all others,
+    // by tier.
     std::array<base::duration, base::tier_count> floor_age = {
         std::chrono::milliseconds(0),
         std::chrono::milliseconds(250),
         std::chrono::milliseconds(500),
         std::chrono::milliseconds(1000)};
 
-    // Part of a class's places that each tier may hold by the floor, and at
-    // least one place.
+    // Fraction of a class's slots that each tier may hold through floor grants;
+    // at least one slot.
     double floor_share = 0.125;
 
-    // Places beyond the allowance that higher tiers may take, as a part of
-    // it, and at least one; none when zero.
+    // Slots beyond the allowance that higher tiers may use, as a fraction of
+    // the allowance; at least one slot, or none when zero.
     double overdraft_share = 0.5;
 
-    // In flight over allowance beyond which nothing is sent, whoever waits.
+    // Ratio of requests in flight to allowance above which nothing is
+    // dispatched, whatever the tier.
     std::uint32_t hard_factor = 4;
 
-    // How often one request may be cancelled for a higher tier.
+    // Maximum number of times one request is cancelled for a higher tier.
     std::uint32_t preemptions_max = 2;
 
-    // A request is given up on when this many times its estimate is more than
-    // the time left: one that starts later ends late as a rule.
+    // A waiting request is shed when its run time estimate times this factor
+    // exceeds the time left: a request that starts later usually ends after its
+    // deadline.
     double shed_estimate_factor = 1.25;
 
-    // A tier is in distress when this many times the estimate is more than
-    // the time left: early enough for what runs to drain away.
+    // A tier is in distress when the estimate times this factor exceeds the
+    // time left. That is early enough for running requests of lower tiers to
+    // finish.
     double distress_estimate_factor = 1.25;
 
-    // How long one sign of a tier's distress keeps lower tiers from starting.
+    // Time for which one sign of a tier's distress keeps lower tiers from
+    // starting.
     base::duration distress_hold = std::chrono::seconds(10);
 };
 
 enum class grant : std::uint8_t { ordinary, floor };
 
-// Takes one waiting request to an upstream; false when there is no room.
+// Dispatches one waiting request to an upstream. Returns false when no upstream
+// has a free slot.
 using dispatch_callback =
     std::function<bool(base::request_id, const base::request_spec&, grant)>;
 
@@ -81,41 +88,44 @@
         this->limiter.set_limits(bounds);
     }
 
-    // Puts a request in line; `expected` is how long it will run,
-    // `dispatched_before` that it was with an upstream before. Returns the
-    // request that gives up its place when the line is full: the one with the
-    // most slack of the lowest tier, which may be this one. It is no longer in
-    // line. One that returns never gives up its place: it would end
-    // `may_have_run`, and there are no more of them than were in flight.
+    // Queues a request. `expected` is its expected run time;
+    // `dispatched_before` is true for a request that was dispatched before and
+    // returns for a retry. When the queues are full, removes and returns the
+    // request with the most slack of the lowest tier, which may be the new one.
+    // Requests dispatched before are never evicted: they would end as
+    // `may_have_run`, and there are never more of them than there were requests
+    // in flight.
     std::optional<base::request_id> enqueue(base::request_id request,
                                             const base::request_spec& item,
                                             base::duration expected,
                                             bool dispatched_before,
                                             base::instant now);
 
-    // Takes it out of line and stops counting it against its limits.
+    // Removes the request from its queue and stops counting it against its
+    // limits.
     void forget(base::request_id request);
 
-    // Takes it out of line; it still counts against its limits.
+    // Removes the request from its queue; it still counts against its limits.
     void remove(base::request_id request);
 
-    // Offers waiting requests in order until `place` has refused one of each
-    // queues. Those that `place` took are no longer in line.
+    // Offers waiting requests in order until `try_dispatch` has refused one per
+    // class and model. Dispatched requests are removed from their queues.
     void offer(base::instant now, const dispatch_callback& try_dispatch);
 
-    // When offer() may have more to give without any other event.
+    // When offer() may dispatch more requests without any other event.
     std::optional<base::instant> next_wake() const { return this->wake_at; }
 
-    // How long all that goes before this work would run, one after another.
+    // Summed expected run time of all requests that are queued ahead of `item`.
     base::duration run_time_ahead_of(const base::request_spec& item) const;
 
-    // True when work of a lower tier waits in the same queues.
+    // True when a request of a lower tier waits for the same class and model.
     bool has_lower_tier_waiting(const base::request_spec& item) const;
 
-    // True when a limit of its workspace held_queues the request back.
+    // True when a limit of its workspace holds the request back.
     bool is_held(base::request_id request) const;
 
-    // Until its limit may let it through, by what is held before it.
+    // Estimated time until the limit admits the request, from the requests held
+    // ahead of it and the token bucket.
     base::duration limit_hold_time(const base::request_spec& item,
                                    base::duration expected,
                                    base::instant now) const;
@@ -136,8 +146,8 @@
     };
     struct queue {
         std::set<queue_position> order;
-        base::duration expected{0};  // of all in it
-        base::instant stalled_since; // last grant, or when it was last empty
+        base::duration expected{0};  // sum over the queue
+        base::instant stalled_since; // last grant, or last time empty
     };
     using tier_queues = std::array<queue, base::tier_count>;
     using model_queues = std::map<base::model_id, tier_queues>;
--- a/src/greengagedrum/admission/distress.hpp
+++ b/src/greengagedrum/admission/distress.hpp
@@ -1,10 +1,12 @@
-// Upstreams whose higher tiers are about to be shed, or were just now.
+// Records the tiers in distress at each upstream: tiers whose requests are
+// about to be shed, or were shed recently.
 //
-// Failure guarded against: a higher tier asks for more than there is. Some of
-// it must be shed, and none may be while lower work runs; yet the floor and
-// every short gap in the line start lower work anew. While a tier is in
-// distress at an upstream, nothing lower starts there; what runs drains away,
-// and then the truth may be told to those that can't be served.
+// When a higher tier demands more than the capacity, some of its requests must
+// be shed, but none may be shed while lower tiers run. Floor grants and short
+// gaps in the queue of the higher tier would keep starting requests of lower
+// tiers. So while a tier is in distress at an upstream, no lower tier starts
+// there; once the running lower-tier requests have finished, the requests that
+// cannot be served are shed.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -21,7 +23,7 @@
 class distress
 {
 public:
-    // `hold`: how long one sign of it counts.
+    // `mark_lifetime`: how long one sign of distress counts.
     explicit distress(base::duration mark_lifetime)
         : mark_lifetime(mark_lifetime)
     {
@@ -29,17 +31,17 @@
 
     void mark(base::upstream_id upstream, base::tier tier, base::instant now);
 
-    // True when this very tier is in distress there.
+    // True when `tier` itself is in distress at the upstream.
     bool is_marked(base::upstream_id upstream,
                    base::tier tier,
                    base::instant now) const;
 
-    // True when a tier above `tier` is in distress there.
+    // True when a tier above `tier` is in distress at the upstream.
     bool is_higher_tier_marked(base::upstream_id upstream,
                                base::tier tier,
                                base::instant now) const;
 
-    // When the next of them ends.
+    // When the next mark expires; none when no mark is set.
     std::optional<base::instant> next_expiry(base::instant now) const;
 
 private:
--- a/src/greengagedrum/admission/invariant.cpp
+++ b/src/greengagedrum/admission/invariant.cpp
@@ -5,8 +5,8 @@
 namespace greengagedrum::admission
 {
 
-// An entry without a share of its own still counts as having one, else its
-// urgent work could be shed while its floor's work runs.
+// An allowance of zero counts as one. Otherwise the urgent requests of an entry
+// without a share could be shed while its floor grants run.
 std::uint32_t in_flight_ceiling(const placement::room& room,
                                 std::uint32_t factor)
 {
--- a/src/greengagedrum/admission/limiter.cpp
+++ b/src/greengagedrum/admission/limiter.cpp
@@ -9,7 +9,8 @@
 namespace
 {
 
-// A kind that was idle may spend what it saved in this many seconds at once.
+// Capacity of the token bucket, in seconds of its rate: the burst that a kind
+// may use after it was idle.
 constexpr double burst_seconds = 2.0;
 } // namespace
 
@@ -37,8 +38,8 @@
     return std::min(rate * burst_seconds, state.level + rate * elapsed_seconds);
 }
 
-// A request larger than the whole bucket must get through too, so one goes
-// whenever something is left and the kind then owes the rest.
+// A request larger than the bucket must be admitted too. So any request is
+// admitted while the level is positive, and the level may become negative.
 bool limiter::try_acquire(base::request_id request,
                           const base::request_spec& item,
                           base::instant now)
@@ -90,7 +91,7 @@
     if (state.configured.tokens_per_second <= 0 || level > 0)
         return std::nullopt;
     const double seconds = -level / state.configured.tokens_per_second;
-    // One tick more than enough, so that the level is above zero by then.
+    // One tick more, so that the level is positive by then.
     return base::duration(1 + static_cast<base::duration::rep>(std::ceil(
                                   seconds * base::microseconds_per_second)));
 }
--- a/src/greengagedrum/admission/limiter.hpp
+++ b/src/greengagedrum/admission/limiter.hpp
@@ -1,9 +1,10 @@
-// Limits of a workspace's kind: requests at once and tokens a second.
+// Enforces the limits of each workspace and kind: requests in flight and tokens
+// per second.
 //
-// A limit holds a request back; it never ends one. It counts a request from
-// the moment it leaves the hold until its end, whatever it does in between,
-// so that a retry is not counted twice. The figures set here are this
-// instance's shares of the workspace's limits.
+// A limit delays a request and never ends one. A request counts from the moment
+// the limiter admits it until its end, retries included, so that a retry is not
+// counted twice. The limits set here are this instance's shares of the
+// workspace's limits.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -29,7 +30,7 @@
     return limit_key{item.workspace, item.kind};
 }
 
-// Zero means without bound.
+// Zero means unlimited.
 struct limit {
     std::uint32_t max_in_flight = 0;
     double tokens_per_second = 0;
@@ -38,38 +39,39 @@
 class limiter
 {
 public:
-    // Kinds that `limits` lacks are without bound.
+    // Kinds missing from `limits` are unlimited.
     void set_limits(const std::map<limit_key, limit>& limits);
 
-    // True when it may go on; it then counts until `release`. True for good
-    // for one that was let through before.
+    // Returns true when the limits admit the request; the request then counts
+    // until `release`. A request admitted before is always admitted again.
     bool try_acquire(base::request_id request,
                      const base::request_spec& item,
                      base::instant now);
 
     void release(base::request_id request);
 
-    // Until the bucket of tokens lets one through, if that is what holds the
-    // kind back; none when only an end of a request can.
+    // Time until the token bucket admits the next request; none when the bucket
+    // is not what holds the kind back, so that only the end of a request can
+    // help.
     std::optional<base::duration> refill(const limit_key& key,
                                          base::instant now) const;
 
-    // True when it was let through and has not ended.
+    // True when the request was admitted and has not ended.
     bool is_counted(base::request_id request) const
     {
         return this->acquired.contains(request);
     }
 
-    // Tokens of all that was let through, since the start.
+    // Tokens of all requests admitted since the start of the process.
     std::uint64_t spent(const limit_key& key) const;
 
     std::uint32_t in_flight(const limit_key& key) const;
-    const limit* find(const limit_key& key) const; // null: without bound
+    const limit* find(const limit_key& key) const; // null: unlimited
 
 private:
     struct bucket {
         limit configured;
-        double level = 0; // tokens; below zero: owed
+        double level = 0; // tokens; a negative level is debt
         base::instant refilled_at;
     };
 
--- a/src/greengagedrum/admission/run_estimator.cpp
+++ b/src/greengagedrum/admission/run_estimator.cpp
@@ -7,10 +7,10 @@
 
 namespace
 {
-constexpr double learning_rate = 0.1; // weight of the newest request
+constexpr double learning_rate = 0.1; // weight of the latest request
 constexpr double min_factor = 0.01;
 constexpr double max_factor = 100.0;
-constexpr double min_nominal_seconds = 1e-3; // seconds; a plain service's floor
+constexpr double min_nominal_seconds = 1e-3; // for services without tokens
 } // namespace
 
 void run_estimator::set_fleet(const config::fleet& fleet)
@@ -23,8 +23,9 @@
         class_estimate& estimate = position->second;
         if (inserted && known != this->classes.end())
             estimate.factor = known->second.factor;
-        // The slowest of the class, so that the first guess errs alike for
-        // all; the factor corrects it.
+        // Uses the slowest upstream of the class, so that the initial error has
+        // the same sign for all upstreams. The learned factor corrects the
+        // error.
         if (entry.prefill_tokens_per_second > 0)
             estimate.prefill = inserted
                                    ? entry.prefill_tokens_per_second
--- a/src/greengagedrum/admission/running_set.hpp
+++ b/src/greengagedrum/admission/running_set.hpp
@@ -1,8 +1,9 @@
-// The requests that this instance has with upstreams now, by upstream, class
-// and tier.
+// The requests of this instance that run on upstreams, by upstream, class and
+// tier.
 //
-// It decides nothing; it answers who could give way to whom. Orders are those
-// of the ids, so that equal histories give equal decisions.
+// Makes no decisions; answers which requests could be cancelled for which.
+// Requests are iterated in the order of their ids, so that equal histories give
+// equal decisions.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -22,31 +23,31 @@
     base::request_id request;
     base::request_spec work;
     base::upstream_id upstream;
-    base::instant dispatched_at; // of its dispatch
+    base::instant dispatched_at;
 };
 
 class running_set
 {
 public:
     void add(const running_request& item);
-    void remove(base::request_id request); // nothing when it does not run
+    void remove(base::request_id request); // no-op when not running
 
-    // Null when it does not run.
+    // Null when the request is not running.
     const running_request* find(base::request_id request) const;
 
-    // Requests of this tier on upstreams of this class.
+    // Number of running requests of the tier on upstreams of the class.
     std::uint32_t count(base::upstream_class_id upstream_class,
                         base::tier tier) const;
 
     std::uint32_t in_flight(base::upstream_id upstream) const;
 
-    // Prompt and most output of all that runs there, in tokens.
+    // Prompt and maximum output tokens of all requests running there.
     std::uint32_t tokens_in_flight(base::upstream_id upstream) const;
 
-    // True when work of a lower tier than `tier` runs there.
+    // True when a request of a tier lower than `tier` runs there.
     bool has_lower_tier_on(base::upstream_id upstream, base::tier tier) const;
 
-    // The requests of lower tiers there, the lowest tier first.
+    // The requests running there of tiers lower than `tier`, lowest tier first.
     std::vector<const running_request*>
     lower_tier_requests(base::upstream_id upstream, base::tier tier) const;
 
--- a/src/greengagedrum/admission/test/controller_test.cpp
+++ b/src/greengagedrum/admission/test/controller_test.cpp
@@ -1,4 +1,4 @@
-// The order of the line, and who gives up a place in it.
+// Tests the order of the queues and the choice of the request to evict.
 #include <greengagedrum/admission/controller.hpp>
 
 #include <doctest/doctest.h>
@@ -36,7 +36,7 @@
                                     this->now);
     }
 
-    // Ids given out, of those that `takes` says yes to.
+    // Ids of the dispatched requests; `accepts` decides on each offer.
     template <class Accepts>
     std::vector<std::uint64_t> offer(const Accepts& accepts)
     {
@@ -62,8 +62,10 @@
 
 } // namespace
 
-// Booths ask for reviews while the review model's servers are full. Crop
-// checks, which other servers of the class could run, waited behind them.
+// Guards against head-of-line blocking between models. Requests of one model
+// find no slot because the upstreams of that model are full; requests of
+// another model, which other upstreams of the class can run, must not wait
+// behind them.
 TEST_CASE_FIXTURE(controller_fixture, "model_refused_other_model_dispatched")
 {
     this->enqueue(base::tier::urgent, "compliance");
@@ -84,8 +86,9 @@
     CHECK(this->offer(ordinary_only) == std::vector<std::uint64_t>{3, 2, 1});
 }
 
-// The line is full of lower work when a ping comes. The ping was refused; the
-// bulk request with the most time left gives up its place.
+// The queues are full of lower-tier requests when an urgent one arrives. The
+// urgent request must not be refused; the bulk request with the most slack is
+// evicted.
 TEST_CASE_FIXTURE(controller_fixture, "queue_full_lowest_tier_evicted")
 {
     this->enqueue(base::tier::bulk, "compliance", std::chrono::seconds(50));
@@ -97,8 +100,8 @@
     CHECK(this->tested.waiting() == 3);
 }
 
-// Weekend summaries stand in line behind pings that never end. After its
-// floor's age the line is offered ahead of them.
+// Guards against starvation. A bulk request waits behind an endless burst of
+// urgent ones; after the floor age its queue is offered ahead of them.
 TEST_CASE_FIXTURE(controller_fixture, "bulk_past_floor_age_offered_as_floor")
 {
     this->enqueue(base::tier::bulk);
@@ -111,8 +114,9 @@
     CHECK(this->offer(floor_of_bulk) == std::vector<std::uint64_t>{1});
 }
 
-// One workspace reaches its limit. Its requests wait apart: a request of the
-// same tier from another workspace goes past them, and an end lets one in.
+// A workspace reaches its limit. Its requests are held apart: a request of the
+// same tier under another limit passes them, and the end of a running request
+// admits the next held one.
 TEST_CASE_FIXTURE(controller_fixture,
                   "limit_reached_held_requests_block_no_others")
 {
@@ -127,19 +131,21 @@
     CHECK(this->offer(ordinary_only) == std::vector<std::uint64_t>{2});
 }
 
-// A workspace spends its tokens of two seconds at once, and more; it goes on
-// when the debt is paid back, at the time that the line announces.
+// A request takes more tokens than the bucket holds (two seconds of its rate).
+// The next one is admitted when the debt is repaid, at the time that
+// next_wake() returns.
 TEST_CASE_FIXTURE(controller_fixture,
                   "token_bucket_empty_dispatched_after_refill")
 {
     const limit_key key{base::workspace_id("mall"), base::kind_id("crop")};
     this->tested.set_limits({{key, limit{.tokens_per_second = 30}}});
-    this->enqueue(base::tier::standard, "crop"); // 100 of 60 saved
+    this->enqueue(base::tier::standard, "crop"); // 100 tokens, 60 in the bucket
     this->enqueue(base::tier::standard, "crop");
     CHECK(this->offer(ordinary_only) == std::vector<std::uint64_t>{1});
     REQUIRE(this->tested.next_wake());
     const base::duration wait = *this->tested.next_wake() - this->now;
-    CHECK(wait > std::chrono::milliseconds(1333)); // 40 owed at 30 a second
+    CHECK(wait >
+          std::chrono::milliseconds(1333)); // debt of 40 at 30 per second
     CHECK(wait < std::chrono::milliseconds(1335));
     this->now = *this->tested.next_wake();
     CHECK(this->offer(ordinary_only) == std::vector<std::uint64_t>{2});
--- a/src/greengagedrum/capacity/messages.hpp
+++ b/src/greengagedrum/capacity/messages.hpp
@@ -1,4 +1,4 @@
-// What entries tell each other about the load they put on upstreams.
+// Messages in which entries report their load on upstreams to each other.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -9,12 +9,12 @@
 namespace greengagedrum::capacity
 {
 
-// One entry's own use of one upstream, and what waits at that entry for it.
+// One entry's own usage of one upstream.
 struct upstream_usage {
     base::upstream_id upstream;
     std::uint32_t in_flight = 0;
     std::uint32_t tokens_in_flight = 0; // prompt and expected output
-    bool overdraft = false;             // urgent work beyond the share
+    bool overdraft = false;             // urgent requests beyond the share
 };
 
 // One entry's demand for a class of upstreams, by tier.
@@ -24,7 +24,7 @@
     std::uint32_t running[4] = {0, 0, 0, 0};
 };
 
-// One entry's use of a workspace's limit.
+// One entry's usage of a workspace's limit.
 struct limit_usage {
     base::workspace_id workspace;
     base::kind_id kind;
@@ -32,10 +32,11 @@
     std::uint32_t tokens_per_second = 0;
 };
 
-// Sent with each heartbeat; only the entries that changed since the last one.
+// Sent with each heartbeat; holds only the items that changed since the
+// previous digest unless `complete`.
 struct load_digest {
     std::uint64_t sequence = 0;
-    bool complete = false; // true: replaces all that was told before
+    bool complete = false; // replaces all earlier digests
     std::vector<upstream_usage> uses;
     std::vector<class_demand> demands;
     std::vector<limit_usage> limits;
--- a/src/greengagedrum/capacity/shares.cpp
+++ b/src/greengagedrum/capacity/shares.cpp
@@ -8,16 +8,16 @@
 namespace
 {
 
-// Ten heartbeats: past that a peer's figures say nothing of now.
+// Ten heartbeats; older reports no longer describe a peer's present load.
 constexpr base::duration peer_view_lifetime = std::chrono::seconds(5);
 
-// A lower demand is told once it has lasted this long.
+// A decrease of demand is reported after it has lasted this long.
 constexpr base::duration peak_hold_time = std::chrono::seconds(2);
 
-// Every so many digests one holds everything.
+// One digest in this many is complete.
 constexpr std::uint64_t complete_digest_period = 10;
 
-// Parts into which a workspace's limit is split.
+// Number of units into which a workspace's limit is split.
 constexpr std::uint32_t limit_units = 64;
 
 bool same_figures(const upstream_usage& left, const upstream_usage& right)
@@ -48,7 +48,8 @@
            left.tokens_per_second == right.tokens_per_second;
 }
 
-// Keeps of `now` what differs from `told`.
+// The items of `now` that differ from those in `last_sent` or are missing
+// there.
 template <class Key, class Value, class KeyOf>
 std::vector<Value> changed(const std::vector<Value>& now,
                            const std::map<Key, Value>& last_sent,
@@ -86,8 +87,6 @@
     this->entries = std::move(live);
 }
 
-// ---- What peers tell ------------------------------------------------------
-
 void shares::on_load_digest(base::slot_id peer,
                             base::incarnation incarnation,
                             const load_digest& digest,
@@ -97,13 +96,13 @@
         return;
     load_view& known = this->peers[peer];
     if (incarnation < known.incarnation)
-        return; // a process that is gone
+        return; // from an earlier process in that slot
     if (known.incarnation < incarnation) {
         known = load_view{};
         known.incarnation = incarnation;
     }
     if (known.sequence != 0 && digest.sequence <= known.sequence)
-        return; // late or repeated
+        return; // out of order or duplicate
     known.at = now;
     apply(known, digest);
 }
@@ -133,8 +132,6 @@
     }
 }
 
-// ---- What this instance tells ---------------------------------------------
-
 class_demand shares::with_held_peaks(class_demand demand, base::instant now)
 {
     auto& held = this->peaks[demand.upstream_class];
@@ -178,8 +175,6 @@
     return out;
 }
 
-// ---- The split ------------------------------------------------------------
-
 const shares::load_view* shares::recent_view(base::slot_id slot,
                                              base::instant now) const
 {
--- a/src/greengagedrum/capacity/shares.hpp
+++ b/src/greengagedrum/capacity/shares.hpp
@@ -1,14 +1,14 @@
-// This instance's part of what the entries of its data centre use together:
-// places at upstreams, and limits of workspaces.
+// This instance's share of the resources that the entries of its data centre
+// have in common: slots of upstreams and limits of workspaces.
 //
-// Every entry tells its demand with its heartbeat and computes the split by
-// itself. Its own demand enters as it was last told, not as it is now, so
-// that entries which heard each other compute the same split. It gives no
-// order to a peer and waits for none.
+// Every entry reports its demand with its heartbeat and computes the split by
+// itself, without orders to peers and without waiting for them. An entry's own
+// demand enters the split as last sent, not as it is now, so that entries that
+// received each other's digests compute the same split.
 //
-// Cut off, or before anything was heard, all entries count alike and the
-// split is equal. An entry that is listed and not heard counts with an equal
-// part: it may well be serving.
+// An entry that is cut off, or that has not received any digest yet, splits
+// equally among all entries. An entry that is listed but has not reported
+// counts with an equal share, because it may be serving requests.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -37,7 +37,7 @@
         this->entries = {own_slot};
     }
 
-    // The live entries of the data centre; this one is added.
+    // Sets the live entries of the data centre; this instance is always added.
     void set_entries(std::set<base::slot_id> live);
     std::size_t entry_count() const { return this->entries.size(); }
 
@@ -47,33 +47,34 @@
                         base::instant now);
     void remove_peer(base::slot_id peer);
 
-    // The digest to send: what changed since the last one, and everything now
-    // and then, for a digest may have been lost. A demand rises at once and
-    // falls after it has been lower for a while, so that shares don't flap
-    // with every request that ends.
+    // The digest to send: the items changed since the previous digest, and
+    // periodically all items, because digests may be lost. An increase of
+    // demand is sent at once, a decrease only after it has lasted for a while,
+    // so that shares do not oscillate with every request that ends.
     load_digest compose(const load_digest& current, base::instant now);
 
-    // This instance's places of an upstream with `limit` places in a class
-    // with `class_total`.
+    // This instance's slots of an upstream that has `limit` slots, in a class
+    // that has `class_total`.
     std::uint32_t upstream_share(base::upstream_id upstream,
                                  base::upstream_class_id upstream_class,
                                  std::uint32_t limit,
                                  std::uint32_t class_total,
                                  base::instant now) const;
 
-    // This instance's part of a workspace's limit, from 0 to 1.
+    // This instance's share of a workspace's limit, from 0 to 1.
     double limit_share(base::workspace_id workspace,
                        base::kind_id kind,
                        base::instant now) const;
 
-    // The part of every limit that no entry is known to use, and the limits
-    // that some entry uses. Most limits of a deployment are idle at any time:
-    // asking limit_share for each would cost 4.5 us times their number.
+    // idle_limit_share: this instance's share of any limit that no entry is
+    // known to use. used_limits: the limits that some entry uses. Most limits
+    // of a deployment are idle at any time, and calling limit_share for each
+    // would cost 4.5 us per limit.
     double idle_limit_share(base::instant now) const;
     std::set<limit_id> used_limits(base::instant now) const;
 
-    // True when a peer told lately of running work of a lower tier in that
-    // class.
+    // True when a peer recently reported running requests of a lower tier in
+    // the class.
     bool peers_run_lower_tier(base::upstream_class_id upstream_class,
                               base::tier tier,
                               base::instant now) const;
@@ -103,7 +104,7 @@
     base::slot_id own_slot;
     std::set<base::slot_id> entries;
     std::map<base::slot_id, load_view> peers;
-    load_view last_sent; // of this instance, as last composed
+    load_view last_sent; // this instance's demand, as last composed
     std::map<base::upstream_class_id, std::array<peak, base::tier_count>> peaks;
 };
 
--- a/src/greengagedrum/capacity/split.cpp
+++ b/src/greengagedrum/capacity/split.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-// Of those that `eligible` names, the one with the least share; ties by
-// `rank`. The count of entries when there is none.
+// Index of the entry with the smallest share among those that `eligible`
+// accepts; ties are broken by rank. The number of entries when there is none.
 template <class Eligible>
 std::size_t find_least(std::span<const std::uint32_t> shares,
                        std::span<const std::uint64_t> ranks,
--- a/src/greengagedrum/capacity/test/shares_test.cpp
+++ b/src/greengagedrum/capacity/test/shares_test.cpp
@@ -1,4 +1,4 @@
-// How entries split what they use together.
+// Tests the split of shared slots among entries.
 #include <greengagedrum/capacity/shares.hpp>
 
 #include <doctest/doctest.h>
@@ -43,7 +43,7 @@
         return out;
     }
 
-    // Every entry tells every other its demand.
+    // Delivers the digest of every entry to every other entry.
     void exchange(const std::vector<load_digest>& demands)
     {
         for (std::size_t i = 0; i < this->entries.size(); ++i) {
@@ -84,24 +84,25 @@
     CHECK(sum(this->split_now(8)) == 8);
 }
 
-// All callers of the morning stand at one entry. With equal thirds it would
-// leave two thirds of the engine idle while they wait.
+// All callers use one entry. With equal thirds two thirds of the engine would
+// be idle while they wait.
 TEST_CASE_FIXTURE(shares_fixture, "demand_at_one_entry_only_gets_unused_slots")
 {
     this->exchange({demand_of(0, 100), demand_of(0, 0), demand_of(0, 0)});
     CHECK(this->split_now(9) == std::vector<std::uint32_t>{7, 1, 1});
 }
 
-// One entry has a hundred summaries, another four pings: the pings' places
-// are given first, whatever the other's demand.
+// One entry has 100 bulk requests, another 6 urgent ones: slots go to the
+// urgent requests first, whatever the bulk demand.
 TEST_CASE_FIXTURE(shares_fixture, "urgent_and_bulk_demand_urgent_first")
 {
     this->exchange({demand_of(0, 100), demand_of(6, 0), demand_of(0, 0)});
     CHECK(this->split_now(9) == std::vector<std::uint32_t>{2, 6, 1});
 }
 
-// A link falls silent. The peers' last figures would let an entry hold what
-// they need now; past their lifetime the split is equal again.
+// A network partition. By the peers' last reports an entry could keep slots
+// that the peers need now; after the lifetime of these reports the split is
+// equal again.
 TEST_CASE_FIXTURE(shares_fixture, "peers_silent_past_view_lifetime_split_equal")
 {
     this->exchange({demand_of(0, 100), demand_of(0, 0), demand_of(0, 0)});
@@ -109,8 +110,8 @@
     CHECK(this->split_now(9) == std::vector<std::uint32_t>{3, 3, 3});
 }
 
-// A burst's last request ends and the next comes 100 ms later: the share is
-// not given away and fetched back in between.
+// The last request of a burst ends and the next burst begins shortly after: the
+// share must not be given up and regained in between.
 TEST_CASE_FIXTURE(shares_fixture, "demand_drops_briefly_share_kept")
 {
     this->exchange({demand_of(0, 100), demand_of(0, 0), demand_of(0, 0)});
@@ -122,8 +123,8 @@
     CHECK(this->split_now(9) == std::vector<std::uint32_t>{3, 3, 3});
 }
 
-// Digests of a process that was replaced come late: its demand would hold
-// places for nobody.
+// Digests of a replaced process arrive late: its demand would reserve slots
+// that no process uses.
 TEST_CASE_FIXTURE(shares_fixture, "digest_of_earlier_incarnation_ignored")
 {
     shares& entry = this->entries[0];
@@ -141,9 +142,9 @@
     CHECK(this->split_now(9).front() == 7);
 }
 
-// Whatever the demands and however many places: entries that heard each other
-// hand out every place exactly once, and shut nobody out when there are
-// enough.
+// For any demands and any number of slots, entries that received each other's
+// digests assign every slot exactly once, and every entry gets one when there
+// are enough.
 TEST_CASE("random_demands_exchanged_shares_sum_to_limit")
 {
     std::mt19937_64 generator(20261202);
@@ -167,8 +168,8 @@
     }
 }
 
-// Nine entries and eight places: one has none at this engine, and which one
-// differs from engine to engine.
+// Nine entries and eight slots: one entry has no slot, and a different one from
+// upstream to upstream.
 TEST_CASE("more_entries_than_slots_entry_without_slot_varies")
 {
     std::vector<entry_demand> entries;
