--- a/src/greengagedrum/capacity/shares.hpp
+++ b/src/greengagedrum/capacity/shares.hpp
@@ -1,14 +1,14 @@
-// This instance's part of what the entries of its data centre use together:
-// places at upstreams, and limits of workspaces.
+// This instance's share of the resources that the entries of its data centre
+// have in common: slots of upstreams and limits of workspaces.
 //
-// Every entry tells its demand with its heartbeat and computes the split by
-// itself. Its own demand enters as it was last told, not as it is now, so
-// that entries which heard each other compute the same split. It gives no
-// order to a peer and waits for none.
+// Every entry reports its demand with its heartbeat and computes the split by
+// itself, without orders to peers and without waiting for them. An entry's own
+// demand enters the split as last sent, not as it is now, so that entries that
+// received each other's digests compute the same split.
 //
-// Cut off, or before anything was heard, all entries count alike and the
-// split is equal. An entry that is listed and not heard counts with an equal
-// part: it may well be serving.
+// An entry that is cut off, or that has not received any digest yet, splits
+// equally among all entries. An entry that is listed but has not reported
+// counts with an equal share, because it may be serving requests.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -32,75 +32,79 @@
 public:
     using limit_id = std::pair<base::workspace_id, base::kind_id>;
 
-    explicit shares(base::slot_id own) : own(own) { this->entries = {own}; }
+    explicit shares(base::slot_id own_slot) : own_slot(own_slot)
+    {
+        this->entries = {own_slot};
+    }
 
-    // The live entries of the data centre; this one is added.
+    // Sets the live entries of the data centre; this instance is always added.
     void set_entries(std::set<base::slot_id> live);
     std::size_t entry_count() const { return this->entries.size(); }
 
-    void heard(base::slot_id peer,
-               base::incarnation life,
-               const load_digest& digest,
-               base::instant now);
-    void lost(base::slot_id peer);
-
-    // The digest to send: what changed since the last one, and everything now
-    // and then, for a digest may have been lost. A demand rises at once and
-    // falls after it has been lower for a while, so that shares don't flap
-    // with every request that ends.
-    load_digest compose(const load_digest& now_used, base::instant now);
-
-    // This instance's places of an upstream with `limit` places in a class
-    // with `class_total`.
-    std::uint32_t of_upstream(base::upstream_id upstream,
-                              base::upstream_class_id upstream_class,
-                              std::uint32_t limit,
-                              std::uint32_t class_total,
-                              base::instant now) const;
-
-    // This instance's part of a workspace's limit, from 0 to 1.
-    double of_limit(base::workspace_id workspace,
-                    base::kind_id kind,
-                    base::instant now) const;
-
-    // The part of every limit that no entry is known to use, and the limits
-    // that some entry uses. Most limits of a deployment are idle at any time:
-    // asking of_limit for each would cost 4.5 us times their number.
-    double of_idle_limit(base::instant now) const;
+    void on_load_digest(base::slot_id peer,
+                        base::incarnation incarnation,
+                        const load_digest& digest,
+                        base::instant now);
+    void remove_peer(base::slot_id peer);
+
+    // The digest to send: the items changed since the previous digest, and
+    // periodically all items, because digests may be lost. An increase of
+    // demand is sent at once, a decrease only after it has lasted for a while,
+    // so that shares do not oscillate with every request that ends.
+    load_digest compose(const load_digest& current, base::instant now);
+
+    // This instance's slots of an upstream that has `limit` slots, in a class
+    // that has `class_total`.
+    std::uint32_t upstream_share(base::upstream_id upstream,
+                                 base::upstream_class_id upstream_class,
+                                 std::uint32_t limit,
+                                 std::uint32_t class_total,
+                                 base::instant now) const;
+
+    // This instance's share of a workspace's limit, from 0 to 1.
+    double limit_share(base::workspace_id workspace,
+                       base::kind_id kind,
+                       base::instant now) const;
+
+    // idle_limit_share: this instance's share of any limit that no entry is
+    // known to use. used_limits: the limits that some entry uses. Most limits
+    // of a deployment are idle at any time, and calling limit_share for each
+    // would cost 4.5 us per limit.
+    double idle_limit_share(base::instant now) const;
     std::set<limit_id> used_limits(base::instant now) const;
 
-    // True when a peer told lately of running work of a lower tier in that
-    // class.
-    bool lower_runs_at_peers(base::upstream_class_id upstream_class,
-                             base::tier tier,
-                             base::instant now) const;
+    // True when a peer recently reported running requests of a lower tier in
+    // the class.
+    bool peers_run_lower_tier(base::upstream_class_id upstream_class,
+                              base::tier tier,
+                              base::instant now) const;
 
 private:
-    struct view {
-        base::incarnation life;
+    struct load_view {
+        base::incarnation incarnation;
         std::uint64_t sequence = 0;
         base::instant at;
-        std::map<base::upstream_id, upstream_use> uses;
+        std::map<base::upstream_id, upstream_usage> uses;
         std::map<base::upstream_class_id, class_demand> demands;
-        std::map<limit_id, limit_use> limits;
+        std::map<limit_id, limit_usage> limits;
     };
     struct peak {
         std::uint32_t value = 0;
         base::instant since;
     };
 
-    const view* fresh_view(base::slot_id slot, base::instant now) const;
-    double limit_part(const limit_id& limit,
-                      std::uint64_t salt,
-                      base::instant now) const;
-    bool anything_heard(base::instant now) const;
-    class_demand hold_peaks(class_demand demand, base::instant now);
-    static void apply(view& known, const load_digest& digest);
+    const load_view* recent_view(base::slot_id slot, base::instant now) const;
+    double limit_fraction(const limit_id& limit,
+                          std::uint64_t salt,
+                          base::instant now) const;
+    bool has_recent_peer(base::instant now) const;
+    class_demand with_held_peaks(class_demand demand, base::instant now);
+    static void apply(load_view& known, const load_digest& digest);
 
-    base::slot_id own;
+    base::slot_id own_slot;
     std::set<base::slot_id> entries;
-    std::map<base::slot_id, view> peers;
-    view told; // of this instance, as last composed
+    std::map<base::slot_id, load_view> peers;
+    load_view last_sent; // this instance's demand, as last composed
     std::map<base::upstream_class_id, std::array<peak, base::tier_count>> peaks;
 };
 
--- a/src/greengagedrum/delivery/preemption.cpp
+++ b/src/greengagedrum/delivery/preemption.cpp
@@ -16,8 +16,8 @@
     request* best = nullptr;
     double least_lost = 0;
     for (const placement::room& room : rooms) {
-        for (const admission::running* lower :
-             this->running_requests.lower_requests(room.upstream,
+        for (const admission::running_request* lower :
+             this->running_requests.lower_tier_requests(room.upstream,
                                                    item.spec.tier)) {
             request& one = this->requests.at(lower->request);
             if (!this->may_be_preempted(one))
@@ -48,7 +48,7 @@
            work.repetition == base::repetition::idempotent &&
            item.caller_present && is_running(item.phase) &&
            item.preemptions < this->options.admission.preemptions_max &&
-           this->now + this->estimator.expected(work) <= work.deadline;
+           this->now + this->estimator.expected_run_time(work) <= work.deadline;
 }
 
 // Prompt tokens whose prefill would have to be repeated: all of them once the
@@ -56,12 +56,12 @@
 double scheduler::lost_prefill_tokens(const request& item) const
 {
     const double prompt = item.spec.prompt_tokens;
-    const admission::running* run = this->running_requests.find(item.id);
+    const admission::running_request* run = this->running_requests.find(item.id);
     if (item.tokens_received > 0 || run == nullptr)
         return prompt;
-    const double had = static_cast<double>((this->now - run->since).count());
+    const double had = static_cast<double>((this->now - run->dispatched_at).count());
     const double whole = static_cast<double>(
-        std::max(this->estimator.prefill(item.spec), base::duration{1})
+        std::max(this->estimator.expected_prefill_time(item.spec), base::duration{1})
             .count());
     return prompt * std::min(1.0, had / whole);
 }
--- a/src/greengagedrum/delivery/scheduler.cpp
+++ b/src/greengagedrum/delivery/scheduler.cpp
@@ -62,7 +62,7 @@
 {
     const auto recovery = this->admission.waiting() == 0
                               ? std::nullopt
-                              : this->distress.next_end(this->now);
+                              : this->distress.next_expiry(this->now);
     std::optional<base::instant> first;
     for (const auto& one : {this->timers.next(),
                             this->admission.next_wake(),
@@ -185,7 +185,7 @@
 {
     this->planner.ended(item.dispatch, this->now);
     if (const auto* ran = this->running_requests.find(item.id))
-        this->estimator.observe(item.spec, this->now - ran->since);
+        this->estimator.observe(item.spec, this->now - ran->dispatched_at);
     if (item.holds_claim)
         this->desk.answered(item.id, whole, this->now, this->desk_outputs);
     item.holds_claim = false;
--- a/src/greengagedrum/delivery/sharing.cpp
+++ b/src/greengagedrum/delivery/sharing.cpp
@@ -21,7 +21,7 @@
     if (what.digest.complete)
         this->planner.peer_lost(what.sender);
     this->planner.peer_use(what.sender, what.digest.uses, this->now);
-    this->shares.heard(what.sender, what.incarnation, what.digest, this->now);
+    this->shares.on_load_digest(what.sender, what.incarnation, what.digest, this->now);
     this->update_shares();
 }
 
@@ -29,7 +29,7 @@
 {
     this->planner.peer_lost(what.slot);
     this->desk.lost(what.slot);
-    this->shares.lost(what.slot);
+    this->shares.remove_peer(what.slot);
     this->update_shares();
 }
 
@@ -70,7 +70,7 @@
         if (entry.data_centre != this->options.data_centre)
             continue;
         const std::uint32_t share =
-            this->shares.of_upstream(entry.id,
+            this->shares.upstream_share(entry.id,
                                      entry.upstream_class,
                                      entry.max_in_flight,
                                      totals[entry.upstream_class],
@@ -85,7 +85,7 @@
 void scheduler::set_own_limits()
 {
     std::map<admission::limit_key, admission::limit> bounds;
-    const double idle = this->shares.of_idle_limit(this->now);
+    const double idle = this->shares.idle_limit_share(this->now);
     const auto used = this->shares.used_limits(this->now);
     for (const auto& [name, workspace] : this->snapshot->workspaces) {
         for (const config::kind_rules& kind : workspace.kinds) {
@@ -93,7 +93,7 @@
                 continue;
             const double part =
                 used.contains({workspace.id, kind.id})
-                    ? this->shares.of_limit(workspace.id, kind.id, this->now)
+                    ? this->shares.limit_share(workspace.id, kind.id, this->now)
                     : idle;
             admission::limit bound;
             if (kind.max_in_flight > 0)
@@ -124,17 +124,17 @@
         if (entry.data_centre != this->options.data_centre)
             continue;
         classes.insert(entry.upstream_class);
-        capacity::upstream_use use;
+        capacity::upstream_usage use;
         use.upstream = entry.id;
         use.in_flight = this->running_requests.in_flight(entry.id);
-        use.tokens_in_flight = this->running_requests.tokens(entry.id);
+        use.tokens_in_flight = this->running_requests.tokens_in_flight(entry.id);
         use.overdraft = use.in_flight > this->planner.allowance(entry.id);
         digest.uses.push_back(use);
     }
     for (const base::upstream_class_id id : classes) {
         capacity::class_demand demand;
         demand.upstream_class = id;
-        const auto waiting = this->admission.waiting_of(id);
+        const auto waiting = this->admission.waiting_by_tier(id);
         for (const base::tier tier : base::all_tiers) {
             const std::size_t index = base::index_of(tier);
             demand.waiting[index] = waiting[index];
@@ -157,11 +157,11 @@
             if (kind.max_in_flight == 0 && kind.tokens_per_second == 0)
                 continue;
             const admission::limit_key key{workspace.id, kind.id};
-            capacity::limit_use use;
+            capacity::limit_usage use;
             use.workspace = workspace.id;
             use.kind = kind.id;
             use.in_flight = this->admission.limits_in_use().in_flight(key) +
-                            this->admission.held_of(key);
+                            this->admission.held_count(key);
             const std::uint64_t spent =
                 this->admission.limits_in_use().spent(key);
             const std::uint64_t fresh =
--- a/src/greengagedrum/delivery/waiting.cpp
+++ b/src/greengagedrum/delivery/waiting.cpp
@@ -57,8 +57,8 @@
 void scheduler::enqueue(request& item)
 {
     item.phase = phase::queued;
-    const base::duration expected = this->estimator.expected(item.spec);
-    const base::duration run = scaled(expected, this->options.admission.belief);
+    const base::duration expected = this->estimator.expected_run_time(item.spec);
+    const base::duration run = scaled(expected, this->options.admission.shed_estimate_factor);
     this->timers.set(item, std::max(this->now, item.spec.deadline - run));
     const bool fresh = item.dispatches == 0 && item.connect_refusals == 0 &&
                        item.preemptions == 0 && !item.may_have_run;
@@ -70,12 +70,12 @@
     if (victim)
         this->add_shed_candidate(this->requests.at(*victim),
                                  base::reason::overloaded);
-    if (itself || !fresh || !this->admission.held(item.id))
+    if (itself || !fresh || !this->admission.is_held(item.id))
         return;
     const base::duration held =
-        this->admission.held_for(item.spec, expected, this->now);
+        this->admission.limit_hold_time(item.spec, expected, this->now);
     const base::duration needed =
-        scaled(held + expected, this->options.admission.belief);
+        scaled(held + expected, this->options.admission.shed_estimate_factor);
     if (this->now + needed > item.spec.deadline)
         this->end_with_verdict(
             item,
@@ -103,11 +103,11 @@
 {
     std::vector<base::upstream_id> avoid = item.avoided_upstreams;
     for (const placement::room& room : this->planner.rooms(item.spec))
-        if (this->distress.above(room.upstream, item.spec.tier, this->now))
+        if (this->distress.is_higher_tier_marked(room.upstream, item.spec.tier, this->now))
             avoid.push_back(room.upstream);
     const auto choice = this->planner.choose(item.spec, avoid, this->now);
     if (!choice ||
-        this->distress.above(choice->upstream, item.spec.tier, this->now))
+        this->distress.is_higher_tier_marked(choice->upstream, item.spec.tier, this->now))
         return false;
     this->dispatch(item, choice->upstream);
     return true;
@@ -161,7 +161,7 @@
         return true;
     const bool at_risk = std::any_of(
         rooms.begin(), rooms.end(), [&](const placement::room& room) {
-            return this->distress.of(room.upstream, item.spec.tier, this->now);
+            return this->distress.is_marked(room.upstream, item.spec.tier, this->now);
         });
     return at_risk && this->preempt_lower_tier(item, rooms);
 }
@@ -176,7 +176,7 @@
     bool best_avoided = true;
     for (const placement::room& room : rooms) {
         if (room.in_flight >= overdraft_limit(room, share) ||
-            this->distress.above(room.upstream, item.spec.tier, this->now))
+            this->distress.is_higher_tier_marked(room.upstream, item.spec.tier, this->now))
             continue;
         const bool avoided =
             std::find(item.avoided_upstreams.begin(),
@@ -203,8 +203,8 @@
     const std::uint32_t factor = this->options.admission.hard_factor;
     return std::any_of(
         rooms.begin(), rooms.end(), [&](const placement::room& room) {
-            return room.in_flight < admission::hard_bound(room, factor) &&
-                   this->running_requests.lower_on(room.upstream, item.tier);
+            return room.in_flight < admission::in_flight_ceiling(room, factor) &&
+                   this->running_requests.has_lower_tier_on(room.upstream, item.tier);
         });
 }
 
@@ -215,7 +215,7 @@
 // hard bound.
 bool scheduler::lower_runs_at_peers(const base::request_spec& item) const
 {
-    return this->shares.lower_runs_at_peers(
+    return this->shares.peers_run_lower_tier(
         item.upstream_class, item.tier, this->now);
 }
 
@@ -235,7 +235,7 @@
     const placement::room* best = nullptr;
     for (const placement::room& room : rooms) {
         const std::uint32_t bound =
-            admission::hard_bound(room, this->options.admission.hard_factor);
+            admission::in_flight_ceiling(room, this->options.admission.hard_factor);
         if (room.in_flight < bound &&
             (best == nullptr || less_loaded(room, *best)))
             best = &room;
@@ -250,9 +250,9 @@
 // The latest start with which the request could meet its deadline has passed.
 void scheduler::on_queue_timeout(request& item)
 {
-    if (this->admission.held(item.id)) {
-        const base::duration held = this->admission.held_for(
-            item.spec, this->estimator.expected(item.spec), this->now);
+    if (this->admission.is_held(item.id)) {
+        const base::duration held = this->admission.limit_hold_time(
+            item.spec, this->estimator.expected_run_time(item.spec), this->now);
         return this->end_with_verdict(
             item,
             base::not_run(base::reason::limit_reached,
@@ -328,7 +328,7 @@
 {
     // Usually there is no request ahead. Counting the running requests of every
     // upstream would cost more than the rest of an arrival.
-    const base::duration ahead = this->admission.ahead_of(item);
+    const base::duration ahead = this->admission.run_time_ahead_of(item);
     if (ahead == base::duration{0})
         return ahead;
     std::uint32_t slots = 0;
@@ -336,7 +336,7 @@
     for (const placement::room& room : this->planner.rooms(item)) {
         slots += room.allowance;
         lower += static_cast<std::uint32_t>(
-            this->running_requests.lower_requests(room.upstream, item.tier)
+            this->running_requests.lower_tier_requests(room.upstream, item.tier)
                 .size());
     }
     const std::uint32_t usable = slots - std::min(slots, lower);
@@ -352,11 +352,11 @@
     if (wait == base::duration{0})
         return true;
     const base::duration left = item.spec.deadline - this->now;
-    if (scaled(wait + expected, own.risk) > left)
+    if (scaled(wait + expected, own.distress_estimate_factor) > left)
         this->mark_distress(item.spec);
-    if (scaled(wait + expected, own.belief) <= left)
+    if (scaled(wait + expected, own.shed_estimate_factor) <= left)
         return true;
-    return this->admission.lower_waits(item.spec) ||
+    return this->admission.has_lower_tier_waiting(item.spec) ||
            this->lower_tier_runs_here(item.spec,
                                       this->planner.rooms(item.spec)) ||
            this->lower_runs_at_peers(item.spec);
@@ -367,7 +367,7 @@
 base::duration scheduler::retry_after_for(const base::request_spec& item) const
 {
     const base::duration wait = this->expected_wait(item);
-    const base::duration needed = wait + this->estimator.expected(item);
+    const base::duration needed = wait + this->estimator.expected_run_time(item);
     const base::duration allowed = item.deadline - item.arrived;
     return std::clamp(
         std::min(needed - allowed, wait), retry_after_min, retry_after_max);
--- a/src/programs/bench_state/sections.hpp
+++ b/src/programs/bench_state/sections.hpp
@@ -248,7 +248,7 @@
                     digest.demands.push_back({base::upstream_class_id("photo"),
                                               {1, 2, 3, 4},
                                               {4, 3, 2, 1}});
-                    tested.heard(peer, base::incarnation{1}, digest, now);
+                    tested.on_load_digest(peer, base::incarnation{1}, digest, now);
                     ++number;
                 }
             }
@@ -258,7 +258,7 @@
             const double asked = processor_now();
             std::uint64_t sum = 0;
             for (int at = 0; at < asks; ++at)
-                sum += tested.of_upstream(base::upstream_id("engine-7"),
+                sum += tested.upstream_share(base::upstream_id("engine-7"),
                                           base::upstream_class_id("photo"),
                                           8,
                                           8 * upstreams,
