--- a/src/greengagedrum/daemon/part_options.cpp
+++ b/src/greengagedrum/daemon/part_options.cpp
@@ -87,7 +87,7 @@
 {
     peer_duty_options out;
     out.roster.slot = base::slot_id(settings.instance);
-    out.roster.life = life;
+    out.roster.incarnation = life;
     out.roster.data_centre = base::data_centre_id(settings.data_centre);
     out.roster.lease = settings.lease;
     out.address = base::to_string(settings.peer_address);
--- a/src/greengagedrum/daemon/peer_duty.cpp
+++ b/src/greengagedrum/daemon/peer_duty.cpp
@@ -42,11 +42,11 @@
 peers::mesh_settings peer_duty::mesh_of(const peer_duty_options& given)
 {
     peers::mesh_settings out;
-    out.links.own = {given.roster.slot, given.roster.life};
+    out.links.own = {given.roster.slot, given.roster.incarnation};
     out.links.key = given.key;
     out.links.previous_key = given.previous_key;
     out.links.known_life = [this](base::slot_id slot) {
-        return this->roster.highest_life(slot);
+        return this->roster.highest_incarnation(slot);
     };
     out.seed = given.seed;
     out.clock = clock_now;
@@ -64,7 +64,7 @@
     };
     out.link_down = [this](base::slot_id slot) { this->link_down(slot); };
     out.outranked = [this](base::incarnation life) {
-        this->roster.learn_life(this->options.roster.slot, life);
+        this->roster.learn_incarnation(this->options.roster.slot, life);
     };
     return out;
 }
--- a/src/greengagedrum/daemon/status_text.cpp
+++ b/src/greengagedrum/daemon/status_text.cpp
@@ -124,7 +124,7 @@
                         {"state", to_string(one.state)},
                         {"listed", one.listed},
                         {"linked", one.linked},
-                        {"incarnation", one.life.value},
+                        {"incarnation", one.incarnation.value},
                         {"config_revision", one.config_revision},
                         {"list_revision", one.list_revision}});
     return list;
--- a/src/greengagedrum/daemon/test/peer_duty_fixture.hpp
+++ b/src/greengagedrum/daemon/test/peer_duty_fixture.hpp
@@ -36,7 +36,7 @@
     {
         peer_duty_options options;
         options.roster.slot = base::slot_id(name);
-        options.roster.life = base::incarnation{life};
+        options.roster.incarnation = base::incarnation{life};
         options.roster.data_centre = base::data_centre_id(data_centre);
         // A busy machine may stop this process for a while.
         options.roster.lease = std::chrono::seconds(30);
--- a/src/greengagedrum/daemon/test/peer_duty_test.cpp
+++ b/src/greengagedrum/daemon/test/peer_duty_test.cpp
@@ -171,14 +171,14 @@
     fresh.duty->offer_list(list_of(5, {&this->first, &fresh}));
     REQUIRE(until([&] {
         return this->first.saw<delivery::peer_heartbeat>(
-            [](const auto& what) { return what.beat.life.value == 9; });
+            [](const auto& what) { return what.beat.incarnation.value == 9; });
     }));
     this->second.duty->offer_list(list_of(5, {&this->first, &this->second}));
     CHECK(until([this] { return this->second.duty->superseded(); }));
     CHECK(!fresh.duty->superseded());
     CHECK(!this->first.saw<delivery::peer_heartbeat>([](const auto& what) {
         return what.beat.slot == base::slot_id("zona-4-b") &&
-               what.beat.life.value == 1;
+               what.beat.incarnation.value == 1;
     }));
 }
 
--- a/src/greengagedrum/delivery/scheduler.cpp
+++ b/src/greengagedrum/delivery/scheduler.cpp
@@ -282,12 +282,12 @@
 void scheduler::on(const peer_heartbeat& what)
 {
     this->planner.peer_heard(what.beat.slot, this->now);
-    this->desk.heard_of(what.beat.slot, what.beat.life);
-    for (const auto& known : what.beat.lives)
-        this->desk.heard_of(known.slot, known.life);
+    this->desk.heard_of(what.beat.slot, what.beat.incarnation);
+    for (const auto& known : what.beat.known_incarnations)
+        this->desk.heard_of(known.slot, known.incarnation);
     if (what.as_of)
         this->desk.heard(
-            what.beat.slot, what.beat.life, *what.as_of, this->now);
+            what.beat.slot, what.beat.incarnation, *what.as_of, this->now);
 }
 
 // ---- Stopping -------------------------------------------------------------
--- a/src/greengagedrum/delivery/test/joined_entries.cpp
+++ b/src/greengagedrum/delivery/test/joined_entries.cpp
@@ -273,11 +273,11 @@
 
 void joined_entries::hear(joined_entry& at, const beat& said)
 {
-    for (const auto& known : said.said.lives) {
+    for (const auto& known : said.said.known_incarnations) {
         base::incarnation& highest = at.lives[known.slot];
-        highest = std::max(highest, known.life);
+        highest = std::max(highest, known.incarnation);
     }
-    at.beats[said.said.slot] = {said.said.life, said.sent};
+    at.beats[said.said.slot] = {said.said.incarnation, said.sent};
     std::optional<base::instant> as_of;
     if (said.echo_life == at.life)
         as_of = said.echo;
@@ -294,9 +294,9 @@
                 continue;
             beat out;
             out.said.slot = from->slot;
-            out.said.life = from->life;
+            out.said.incarnation = from->life;
             for (const auto& [slot, life] : from->lives)
-                out.said.lives.push_back({slot, life});
+                out.said.known_incarnations.push_back({slot, life});
             out.sent = this->now;
             const auto heard = from->beats.find(to->slot);
             if (heard != from->beats.end()) {
--- a/src/greengagedrum/membership/life_table.cpp
+++ b/src/greengagedrum/membership/incarnation_table.cpp
@@ -1,31 +1,31 @@
-#include <greengagedrum/membership/life_table.hpp>
+#include <greengagedrum/membership/incarnation_table.hpp>
 
 #include <algorithm>
 
 namespace greengagedrum::membership
 {
 
-bool life_table::learn(base::slot_id slot, base::incarnation life)
+bool incarnation_table::learn(base::slot_id slot, base::incarnation incarnation)
 {
     const auto found = this->lines.find(slot);
     if (found == this->lines.end() && this->lines.size() >= slots_max)
         return false;
     line& known = this->lines[slot];
-    if (life <= known.life)
+    if (incarnation <= known.incarnation)
         return false;
-    const bool first = known.life == base::incarnation{};
-    known = line{life, first ? tellings_of_first : tellings_of_news};
+    const bool first = known.incarnation == base::incarnation{};
+    known = line{incarnation, first ? tellings_of_first : tellings_of_news};
     return true;
 }
 
-base::incarnation life_table::highest(base::slot_id slot) const
+base::incarnation incarnation_table::highest(base::slot_id slot) const
 {
     const auto found = this->lines.find(slot);
     return found == this->lines.end() ? base::incarnation{}
-                                      : found->second.life;
+                                      : found->second.incarnation;
 }
 
-bool life_table::has_news() const
+bool incarnation_table::has_news() const
 {
     return std::any_of(
         this->lines.begin(), this->lines.end(), [](const auto& entry) {
@@ -33,14 +33,15 @@
         });
 }
 
-std::vector<heartbeat::known_life> life_table::next_to_tell(bool in_turn)
+std::vector<heartbeat::known_incarnation>
+incarnation_table::next_to_tell(bool in_turn)
 {
-    std::vector<heartbeat::known_life> out;
+    std::vector<heartbeat::known_incarnation> out;
     for (auto& [slot, known] : this->lines) {
         if (known.tellings == 0)
             continue;
         --known.tellings;
-        out.push_back({slot, known.life});
+        out.push_back({slot, known.incarnation});
         if (out.size() == told_at_once)
             return out;
     }
@@ -50,7 +51,7 @@
     if (next == this->lines.end())
         next = this->lines.begin();
     this->turn = next->first;
-    out.push_back({next->first, next->second.life});
+    out.push_back({next->first, next->second.incarnation});
     return out;
 }
 
--- a/src/greengagedrum/membership/life_table.hpp
+++ b/src/greengagedrum/membership/incarnation_table.hpp
@@ -16,11 +16,11 @@
 namespace greengagedrum::membership
 {
 
-class life_table
+class incarnation_table
 {
 public:
     // True when it is higher than what was known.
-    bool learn(base::slot_id slot, base::incarnation life);
+    bool learn(base::slot_id slot, base::incarnation incarnation);
 
     // Zero when nothing is known.
     base::incarnation highest(base::slot_id slot) const;
@@ -29,11 +29,11 @@
     bool has_news() const;
 
     // What the next heartbeat is to carry; `in_turn` adds one old one.
-    std::vector<heartbeat::known_life> next_to_tell(bool in_turn);
+    std::vector<heartbeat::known_incarnation> next_to_tell(bool in_turn);
 
 private:
     struct line {
-        base::incarnation life;
+        base::incarnation incarnation;
         std::uint32_t tellings = 0; // out of turn, still to come
     };
 
--- a/src/greengagedrum/membership/messages.hpp
+++ b/src/greengagedrum/membership/messages.hpp
@@ -34,7 +34,7 @@
 // and at once when it starts to leave.
 struct heartbeat {
     base::slot_id slot;
-    base::incarnation life;
+    base::incarnation incarnation;
     std::uint64_t sequence = 0; // rises by one for each sent
     bool leaving = false;
     std::uint64_t config_revision = 0; // highest in force at the sender
@@ -42,11 +42,11 @@
     // Whether the sender hears the platform's service.
     base::platform_reachability contact = base::platform_reachability::unknown;
     // Highest incarnation the sender has seen for each slot it knows.
-    struct known_life {
+    struct known_incarnation {
         base::slot_id slot;
-        base::incarnation life;
+        base::incarnation incarnation;
     };
-    std::vector<known_life> lives;
+    std::vector<known_incarnation> known_incarnations;
 };
 
 } // namespace greengagedrum::membership
--- a/src/greengagedrum/membership/roster.cpp
+++ b/src/greengagedrum/membership/roster.cpp
@@ -23,7 +23,7 @@
 
 roster::roster(const roster_options& given) : options(given)
 {
-    this->lives.learn(given.slot, given.life);
+    this->incarnations.learn(given.slot, given.incarnation);
 }
 
 // Guards against a process that was stopped for a while and believes on waking
@@ -97,18 +97,18 @@
     this->observe(now);
     if (beat.slot == this->options.slot || beat.slot.empty())
         return false;
-    for (const heartbeat::known_life& told : beat.lives)
-        this->learn_life(told.slot, told.life);
-    this->lives.learn(beat.slot, beat.life);
-    if (beat.life < this->lives.highest(beat.slot))
+    for (const heartbeat::known_incarnation& told : beat.known_incarnations)
+        this->learn_incarnation(told.slot, told.incarnation);
+    this->incarnations.learn(beat.slot, beat.incarnation);
+    if (beat.incarnation < this->incarnations.highest(beat.slot))
         return false;
     peer& one = this->known[beat.slot];
-    const bool same_life = beat.life == one.life;
-    if (same_life && beat.sequence <= one.sequence)
+    const bool same_incarnation = beat.incarnation == one.incarnation;
+    if (same_incarnation && beat.sequence <= one.sequence)
         return false;
-    if (!same_life)
+    if (!same_incarnation)
         one.list_sent = 0;
-    one.life = beat.life;
+    one.incarnation = beat.incarnation;
     one.sequence = beat.sequence;
     one.said_leaving = beat.leaving;
     one.config_revision = beat.config_revision;
@@ -124,17 +124,18 @@
     return true;
 }
 
-void roster::learn_life(base::slot_id slot, base::incarnation life)
+void roster::learn_incarnation(base::slot_id slot,
+                               base::incarnation incarnation)
 {
-    this->lives.learn(slot, life);
+    this->incarnations.learn(slot, incarnation);
 }
 
 void roster::link_up(base::slot_id slot,
-                     base::incarnation life,
+                     base::incarnation incarnation,
                      base::instant now)
 {
     this->observe(now);
-    this->learn_life(slot, life);
+    this->learn_incarnation(slot, incarnation);
     peer& one = this->known[slot];
     one.linked = true;
     this->refresh(slot, one, now);
@@ -191,24 +192,26 @@
 {
     heartbeat out;
     out.slot = this->options.slot;
-    out.life = this->options.life;
+    out.incarnation = this->options.incarnation;
     out.sequence = ++this->sequence;
     out.leaving = this->is_leaving;
     out.config_revision = config_revision;
     out.list_revision = this->newest.revision;
     out.contact = contact;
-    out.lives = this->lives.next_to_tell(out.sequence % turns_between_old == 0);
+    out.known_incarnations =
+        this->incarnations.next_to_tell(out.sequence % turns_between_old == 0);
     return out;
 }
 
 bool roster::superseded() const
 {
-    return this->lives.highest(this->options.slot) > this->options.life;
+    return this->incarnations.highest(this->options.slot) >
+           this->options.incarnation;
 }
 
-base::incarnation roster::highest_life(base::slot_id slot) const
+base::incarnation roster::highest_incarnation(base::slot_id slot) const
 {
-    return this->lives.highest(slot);
+    return this->incarnations.highest(slot);
 }
 
 base::data_centre_id roster::data_centre_of(base::slot_id slot) const
@@ -328,7 +331,7 @@
     for (const auto& [slot, one] : this->known) {
         peer_view view{slot,
                        one.data_centre,
-                       one.life,
+                       one.incarnation,
                        one.state,
                        one.listed,
                        one.linked,
--- a/src/greengagedrum/membership/roster.hpp
+++ b/src/greengagedrum/membership/roster.hpp
@@ -8,7 +8,7 @@
 
 #include <greengagedrum/base/ids.hpp>
 #include <greengagedrum/base/time.hpp>
-#include <greengagedrum/membership/life_table.hpp>
+#include <greengagedrum/membership/incarnation_table.hpp>
 #include <greengagedrum/membership/link_choice.hpp>
 #include <greengagedrum/membership/messages.hpp>
 #include <greengagedrum/membership/pace.hpp>
@@ -31,7 +31,7 @@
 
 struct roster_options {
     base::slot_id slot;
-    base::incarnation life;
+    base::incarnation incarnation;
     base::data_centre_id data_centre;
     base::duration lease{3'000'000};         // longest unnoticed pause
     base::duration suspect_after{3'500'000}; // the slowest pace, thrice
@@ -41,7 +41,7 @@
 struct peer_view {
     base::slot_id slot;
     base::data_centre_id data_centre;
-    base::incarnation life; // zero: none heard
+    base::incarnation incarnation; // zero: none heard
     peer_state state = peer_state::unheard;
     bool listed = false;
     bool linked = false;
@@ -70,9 +70,11 @@
     bool hear(const heartbeat& beat, base::instant now);
 
     // A higher life of any slot, our own included, known by a peer.
-    void learn_life(base::slot_id slot, base::incarnation life);
+    void learn_incarnation(base::slot_id slot, base::incarnation incarnation);
 
-    void link_up(base::slot_id slot, base::incarnation life, base::instant now);
+    void link_up(base::slot_id slot,
+                 base::incarnation incarnation,
+                 base::instant now);
     void link_down(base::slot_id slot, base::instant now);
     void tick(base::instant now);
 
@@ -84,7 +86,7 @@
                           base::platform_reachability::unknown);
 
     // True when a heartbeat should go at once rather than in its turn.
-    bool has_news() const { return this->lives.has_news(); }
+    bool has_news() const { return this->incarnations.has_news(); }
 
     // After a pause longer than the lease, until a peer is heard on a link
     // made since. While it is set, what this process knows may be old.
@@ -101,7 +103,7 @@
     // Another process has been started in our slot. Never taken back.
     bool superseded() const;
 
-    base::incarnation highest_life(base::slot_id slot) const;
+    base::incarnation highest_incarnation(base::slot_id slot) const;
     // Empty for a slot that is not known or not listed yet.
     base::data_centre_id data_centre_of(base::slot_id slot) const;
     std::vector<link_target> links_wanted() const;
@@ -137,7 +139,7 @@
         bool said_leaving = false;
         bool linked = false;
         peer_state state = peer_state::unheard;
-        base::incarnation life;
+        base::incarnation incarnation;
         std::uint64_t sequence = 0;
         std::uint64_t config_revision = 0;
         std::uint64_t list_revision = 0;
@@ -155,7 +157,7 @@
     bool counts_as_live(const peer& one) const;
 
     roster_options options;
-    life_table lives;
+    incarnation_table incarnations;
     instance_list newest;
     std::map<base::slot_id, peer> known; // without ourselves
     std::vector<state_change> changes;
--- a/src/greengagedrum/membership/test/roster_fixture.hpp
+++ b/src/greengagedrum/membership/test/roster_fixture.hpp
@@ -22,11 +22,12 @@
 
     roster_fixture() { this->own.adopt(both(5), this->now); }
 
-    static roster_options options(std::string_view slot, std::uint64_t life)
+    static roster_options options(std::string_view slot,
+                                  std::uint64_t incarnation)
     {
         roster_options out;
         out.slot = base::slot_id(slot);
-        out.life = base::incarnation{life};
+        out.incarnation = base::incarnation{incarnation};
         out.data_centre = base::data_centre_id("zona-4");
         return out;
     }
@@ -50,25 +51,25 @@
         return out;
     }
 
-    heartbeat beat(const std::string& slot, std::uint64_t life)
+    heartbeat beat(const std::string& slot, std::uint64_t incarnation)
     {
         heartbeat out;
         out.slot = base::slot_id(slot);
-        out.life = base::incarnation{life};
+        out.incarnation = base::incarnation{incarnation};
         out.sequence = ++this->sequences[slot];
         out.list_revision = 5;
         return out;
     }
 
-    bool hear(const std::string& slot, std::uint64_t life)
+    bool hear(const std::string& slot, std::uint64_t incarnation)
     {
-        return this->own.hear(this->beat(slot, life), this->now);
+        return this->own.hear(this->beat(slot, incarnation), this->now);
     }
 
-    void link(const std::string& slot, std::uint64_t life)
+    void link(const std::string& slot, std::uint64_t incarnation)
     {
         this->own.link_up(
-            base::slot_id(slot), base::incarnation{life}, this->now);
+            base::slot_id(slot), base::incarnation{incarnation}, this->now);
     }
 
     void unlink(const std::string& slot)
--- a/src/greengagedrum/membership/test/roster_test.cpp
+++ b/src/greengagedrum/membership/test/roster_test.cpp
@@ -76,14 +76,16 @@
 TEST_CASE_FIXTURE(roster_fixture, "roster_higher_life_in_own_slot_superseded")
 {
     heartbeat told = this->beat("zona-4-b", 20);
-    told.lives = {{base::slot_id("zona-4-a"), base::incarnation{11}}};
+    told.known_incarnations = {
+        {base::slot_id("zona-4-a"), base::incarnation{11}}};
     this->link("zona-4-b", 20);
     CHECK(!this->own.superseded());
     this->own.hear(told, this->now);
     CHECK(this->own.superseded());
     CHECK(!this->own.rank().has_value());
     told = this->beat("zona-4-b", 20);
-    told.lives = {{base::slot_id("zona-4-a"), base::incarnation{10}}};
+    told.known_incarnations = {
+        {base::slot_id("zona-4-a"), base::incarnation{10}}};
     this->own.hear(told, this->now);
     CHECK(this->own.superseded());
 }
@@ -99,8 +101,8 @@
     this->sequences["zona-4-b"] = 0;
     CHECK(this->hear("zona-4-b", 21)); // counts from one again
     CHECK(!this->own.hear(late, this->now));
-    CHECK(this->view("zona-4-b").life.value == 21);
-    CHECK(this->own.highest_life(base::slot_id("zona-4-b")).value == 21);
+    CHECK(this->view("zona-4-b").incarnation.value == 21);
+    CHECK(this->own.highest_incarnation(base::slot_id("zona-4-b")).value == 21);
 }
 
 TEST_CASE_FIXTURE(roster_fixture, "roster_repeated_beat_ignored")
@@ -117,16 +119,18 @@
 TEST_CASE_FIXTURE(roster_fixture, "roster_new_life_is_passed_on")
 {
     const base::slot_id slot("zona-9-c");
-    this->own.learn_life(slot, base::incarnation{70});
+    this->own.learn_incarnation(slot, base::incarnation{70});
     this->own.compose(0);
     CHECK(!this->own.has_news());
-    this->own.learn_life(slot, base::incarnation{77});
+    this->own.learn_incarnation(slot, base::incarnation{77});
     CHECK(this->own.has_news());
     const auto tells = [slot](const heartbeat& beat) {
-        return std::any_of(
-            beat.lives.begin(), beat.lives.end(), [slot](const auto& known) {
-                return known.slot == slot && known.life.value == 77;
-            });
+        return std::any_of(beat.known_incarnations.begin(),
+                           beat.known_incarnations.end(),
+                           [slot](const auto& known) {
+                               return known.slot == slot &&
+                                      known.incarnation.value == 77;
+                           });
     };
     CHECK(tells(this->own.compose(0)));
     CHECK(!this->own.has_news());
--- a/src/greengagedrum/peers/decode.cpp
+++ b/src/greengagedrum/peers/decode.cpp
@@ -83,7 +83,8 @@
 {
     membership::heartbeat out;
     out.slot = from.slot() == 0 ? sender.slot : base::slot_id(from.slot());
-    out.life = from.life() == 0 ? sender.life : base::incarnation{from.life()};
+    out.incarnation =
+        from.life() == 0 ? sender.life : base::incarnation{from.life()};
     out.sequence = from.sequence();
     out.leaving = from.leaving();
     out.config_revision = from.config_revision();
@@ -93,7 +94,7 @@
     if (from.lives() == nullptr)
         return out;
     for (const wire::known_life* known : *from.lives())
-        out.lives.push_back(
+        out.known_incarnations.push_back(
             {base::slot_id(known->slot()), base::incarnation{known->life()}});
     return out;
 }
--- a/src/greengagedrum/peers/encode.cpp
+++ b/src/greengagedrum/peers/encode.cpp
@@ -59,11 +59,11 @@
     auto operator()(const membership::heartbeat& beat) const
     {
         std::vector<wire::known_life> lives;
-        lives.reserve(beat.lives.size());
-        for (const auto& known : beat.lives)
-            lives.emplace_back(known.slot.value, known.life.value);
+        lives.reserve(beat.known_incarnations.size());
+        for (const auto& known : beat.known_incarnations)
+            lives.emplace_back(known.slot.value, known.incarnation.value);
         const bool own_slot = beat.slot == this->sender.slot;
-        const bool own_life = beat.life == this->sender.life;
+        const bool own_life = beat.incarnation == this->sender.life;
         flatbuffers::Offset<flatbuffers::Vector<const wire::known_life*>> list;
         if (!lives.empty())
             list = this->out.CreateVectorOfStructs(lives);
@@ -71,7 +71,7 @@
             wire::payload::heartbeat,
             wire::Createheartbeat(this->out,
                                   own_slot ? 0 : beat.slot.value,
-                                  own_life ? 0 : beat.life.value,
+                                  own_life ? 0 : beat.incarnation.value,
                                   beat.sequence,
                                   beat.leaving,
                                   beat.config_revision,
--- a/src/greengagedrum/peers/test/codec_test.cpp
+++ b/src/greengagedrum/peers/test/codec_test.cpp
@@ -31,11 +31,11 @@
     const auto beat = std::get<membership::heartbeat>(
         *decode(encode(samples[0], this->self), this->self));
     CHECK(beat.slot.value == 8);
-    CHECK(beat.life.value == 9);
+    CHECK(beat.incarnation.value == 9);
     CHECK(beat.leaving);
     CHECK(beat.config_revision == 4);
     CHECK(beat.list_revision == 5);
-    CHECK(beat.lives.at(0).life.value == 11);
+    CHECK(beat.known_incarnations.at(0).incarnation.value == 11);
     const auto load = std::get<capacity::load_digest>(
         *decode(encode(samples[2], this->self), this->self));
     CHECK(load.demands.at(0).waiting[3] == 4);
@@ -49,11 +49,12 @@
 {
     membership::heartbeat beat;
     beat.slot = this->self.slot;
-    beat.life = this->self.life;
+    beat.incarnation = this->self.life;
     const auto back = decode(encode(beat, this->self), this->self);
     REQUIRE(back.has_value());
     CHECK(std::get<membership::heartbeat>(*back).slot == this->self.slot);
-    CHECK(std::get<membership::heartbeat>(*back).life == this->self.life);
+    CHECK(std::get<membership::heartbeat>(*back).incarnation ==
+          this->self.life);
 }
 
 // A sender with a fault, or a newer build, hands over bytes that are cut or
--- a/src/greengagedrum/peers/test/mesh_fixture.hpp
+++ b/src/greengagedrum/peers/test/mesh_fixture.hpp
@@ -81,7 +81,7 @@
             this->next_beat = now + std::chrono::milliseconds(100);
             membership::heartbeat beat;
             beat.slot = this->own.slot;
-            beat.life = this->own.life;
+            beat.incarnation = this->own.life;
             beat.sequence = ++this->beats;
             this->links->broadcast(beat);
         }
--- a/src/greengagedrum/peers/test/mesh_test.cpp
+++ b/src/greengagedrum/peers/test/mesh_test.cpp
@@ -193,7 +193,7 @@
     CHECK(this->first.counters_of(this->second).traffic.dropped == 1);
     membership::heartbeat beat;
     beat.slot = this->first.own.slot;
-    beat.life = this->first.own.life;
+    beat.incarnation = this->first.own.life;
     beat.sequence = 1'000'000;
     CHECK(this->first.links->send(this->second.own.slot, beat));
     this->second.received.clear();
--- a/src/greengagedrum/trace/part_fields.hpp
+++ b/src/greengagedrum/trace/part_fields.hpp
@@ -111,20 +111,21 @@
                named("instances", &membership::instance_list::instances)};
 
 template <>
-inline constexpr auto fields_of<membership::heartbeat::known_life> =
-    std::tuple{named("slot", &membership::heartbeat::known_life::slot),
-               named("life", &membership::heartbeat::known_life::life)};
+inline constexpr auto fields_of<membership::heartbeat::known_incarnation> =
+    std::tuple{
+        named("slot", &membership::heartbeat::known_incarnation::slot),
+        named("life", &membership::heartbeat::known_incarnation::incarnation)};
 
 template <>
 inline constexpr auto fields_of<membership::heartbeat> = std::tuple{
     named("slot", &membership::heartbeat::slot),
-    named("life", &membership::heartbeat::life),
+    named("life", &membership::heartbeat::incarnation),
     named("sequence", &membership::heartbeat::sequence),
     named("leaving", &membership::heartbeat::leaving),
     named("config_revision", &membership::heartbeat::config_revision),
     named("list_revision", &membership::heartbeat::list_revision),
     named("contact", &membership::heartbeat::contact),
-    named("lives", &membership::heartbeat::lives)};
+    named("lives", &membership::heartbeat::known_incarnations)};
 
 static_assert(has_whole_table<membership::heartbeat>);
 
--- a/src/greengagedrum/trace/test/recorder_test.cpp
+++ b/src/greengagedrum/trace/test/recorder_test.cpp
@@ -99,7 +99,7 @@
         {base::upstream_class_id("c"), {1, 2, 3, 4}, {5, 6, 7, 8}});
     digest.limits.push_back({base::workspace_id("w"), {}, 3, 4});
     membership::heartbeat beat;
-    beat.lives.push_back({slot, base::incarnation{5}});
+    beat.known_incarnations.push_back({slot, base::incarnation{5}});
     beat.contact = base::platform_reachability::unreachable;
     using idempotency::answer_reply;
     const std::vector<event> events = {
--- a/src/programs/bench_state/sections.hpp
+++ b/src/programs/bench_state/sections.hpp
@@ -369,7 +369,7 @@
             const double before = allocated_kib();
             membership::roster_options options;
             options.slot = base::slot_id("instance-0");
-            options.life = base::incarnation{1};
+            options.incarnation = base::incarnation{1};
             options.data_centre = base::data_centre_id("zona-0");
             membership::roster tested(options);
             base::instant now(std::chrono::seconds(1));
--- a/src/programs/ggd_bench_peers.cpp
+++ b/src/programs/ggd_bench_peers.cpp
@@ -44,7 +44,7 @@
     {
         daemon::peer_duty_options options;
         options.roster.slot = base::slot_id(this->slot);
-        options.roster.life = base::incarnation{number + 1};
+        options.roster.incarnation = base::incarnation{number + 1};
         options.roster.data_centre = base::data_centre_id("zona-4");
         options.address = "127.0.0.1:0";
         options.key = "a key for the bench";
