--- a/src/greengagedrum/daemon/peer_duty.cpp
+++ b/src/greengagedrum/daemon/peer_duty.cpp
@@ -235,7 +235,7 @@
 
 void peer_duty::take(platform_reading& what)
 {
-    this->roster.platform_answered(what.asked);
+    this->roster.on_platform_response(what.asked);
     if (what.names_us)
         this->push_or_drop(delivery::own_listing_read{what.asked});
 }
@@ -248,7 +248,7 @@
 
 void peer_duty::adopt(membership::instance_list list)
 {
-    if (!this->roster.adopt(std::move(list), clock_now()))
+    if (!this->roster.update_list(std::move(list), clock_now()))
         return;
     this->links_changed = true;
     callers::push_surely(this->events,
@@ -260,7 +260,7 @@
 void peer_duty::follow_pause()
 {
     this->is_paused = this->roster.paused();
-    const std::uint32_t pauses = this->roster.pauses();
+    const std::uint32_t pauses = this->roster.pause_count();
     if (std::exchange(this->pauses_seen, pauses) == pauses)
         return;
     logs::write(logs::level::warning, "peers", "paused", {{"count", pauses}});
@@ -299,12 +299,13 @@
 
 membership::heartbeat peer_duty::compose()
 {
-    return this->roster.compose(this->documents.revision(), this->contact);
+    return this->roster.next_heartbeat(this->documents.revision(),
+                                       this->contact);
 }
 
 bool peer_duty::has_news() const
 {
-    return this->leaving_untold || this->roster.has_news() ||
+    return this->leaving_untold || this->roster.heartbeat_is_urgent() ||
            this->told_config != this->documents.revision() ||
            this->told_list != this->roster.list().revision ||
            this->told_contact != this->contact;
@@ -387,12 +388,12 @@
     next.counters = this->links.counters();
     next.rank = this->roster.rank();
     next.alive = this->roster.alive_count();
-    next.others_listed = this->roster.others_listed();
+    next.others_listed = this->roster.listed_peer_count();
     next.list_revision = this->roster.list().revision;
     next.strangers_refused = this->links.strangers_refused();
     next.events_dropped = this->events_dropped;
     next.claims_unsent = this->claims_unsent;
-    next.pauses = this->roster.pauses();
+    next.pauses = this->roster.pause_count();
     const std::lock_guard lock(this->mutex);
     this->shown = std::move(next);
 }
--- a/src/greengagedrum/daemon/peer_duty_hearing.cpp
+++ b/src/greengagedrum/daemon/peer_duty_hearing.cpp
@@ -22,7 +22,7 @@
 void peer_duty::on(const peers::message& from, membership::heartbeat& beat)
 {
     const bool own = beat.slot == from.sender && beat.incarnation == from.life;
-    if (!own || !this->roster.hear(beat, clock_now()))
+    if (!own || !this->roster.receive_heartbeat(beat, clock_now()))
         return;
     this->is_paused = this->roster.paused();
     if (beat.config_revision > this->documents.revision() ||
--- a/src/greengagedrum/membership/incarnation_table.cpp
+++ b/src/greengagedrum/membership/incarnation_table.cpp
@@ -25,7 +25,7 @@
                                       : found->second.incarnation;
 }
 
-bool incarnation_table::has_news() const
+bool incarnation_table::has_unsent_replacement() const
 {
     return std::any_of(
         this->lines.begin(), this->lines.end(), [](const auto& entry) {
--- a/src/greengagedrum/membership/incarnation_table.hpp
+++ b/src/greengagedrum/membership/incarnation_table.hpp
@@ -26,7 +26,7 @@
     base::incarnation highest(base::slot_id slot) const;
 
     // Whether a life that replaces another has not been told yet.
-    bool has_news() const;
+    bool has_unsent_replacement() const;
 
     // What the next heartbeat is to carry; `in_turn` adds one old one.
     std::vector<heartbeat::known_incarnation> next_to_tell(bool in_turn);
--- a/src/greengagedrum/membership/roster.cpp
+++ b/src/greengagedrum/membership/roster.cpp
@@ -43,7 +43,7 @@
 {
     this->is_paused = true;
     this->woke = now;
-    ++this->pause_count;
+    ++this->pauses;
     for (auto& [slot, one] : this->known) {
         one.linked = false;
         if (one.state != peer_state::gone && one.silent)
@@ -51,7 +51,7 @@
     }
 }
 
-void roster::platform_answered(base::instant asked)
+void roster::on_platform_response(base::instant asked)
 {
     const bool alone =
         std::none_of(this->known.begin(),
@@ -61,7 +61,7 @@
         this->is_paused = false;
 }
 
-bool roster::adopt(instance_list list, base::instant now)
+bool roster::update_list(instance_list list, base::instant now)
 {
     this->observe(now);
     if (list.revision <= this->newest.revision)
@@ -92,7 +92,7 @@
     return true;
 }
 
-bool roster::hear(const heartbeat& beat, base::instant now)
+bool roster::receive_heartbeat(const heartbeat& beat, base::instant now)
 {
     this->observe(now);
     if (beat.slot == this->options.slot || beat.slot.empty())
@@ -187,8 +187,8 @@
     this->changes.push_back({slot, next});
 }
 
-heartbeat roster::compose(std::uint64_t config_revision,
-                          base::platform_reachability contact)
+heartbeat roster::next_heartbeat(std::uint64_t config_revision,
+                                 base::platform_reachability contact)
 {
     heartbeat out;
     out.slot = this->options.slot;
@@ -271,7 +271,7 @@
     return 1 + static_cast<std::size_t>(others);
 }
 
-std::size_t roster::others_listed() const
+std::size_t roster::listed_peer_count() const
 {
     const auto count = std::count_if(
         this->known.begin(), this->known.end(), [this](const auto& entry) {
@@ -281,7 +281,7 @@
     return static_cast<std::size_t>(count);
 }
 
-std::size_t roster::others_heard_since(base::instant when) const
+std::size_t roster::heard_peer_count(base::instant when) const
 {
     const auto count = std::count_if(
         this->known.begin(), this->known.end(), [&](const auto& entry) {
--- a/src/greengagedrum/membership/roster.hpp
+++ b/src/greengagedrum/membership/roster.hpp
@@ -64,10 +64,10 @@
 
     // True when the list is newer than the one held; any other is ignored: a
     // service that failed over may answer an older one.
-    bool adopt(instance_list list, base::instant now);
+    bool update_list(instance_list list, base::instant now);
 
     // False when the heartbeat is not believed: of an old life, or late.
-    bool hear(const heartbeat& beat, base::instant now);
+    bool receive_heartbeat(const heartbeat& beat, base::instant now);
 
     // A higher life of any slot, our own included, known by a peer.
     void learn_incarnation(base::slot_id slot, base::incarnation incarnation);
@@ -81,12 +81,15 @@
     void start_leaving() { this->is_leaving = true; }
 
     // The own heartbeat, of the next number.
-    heartbeat compose(std::uint64_t config_revision,
-                      base::platform_reachability contact =
-                          base::platform_reachability::unknown);
+    heartbeat next_heartbeat(std::uint64_t config_revision,
+                             base::platform_reachability contact =
+                                 base::platform_reachability::unknown);
 
     // True when a heartbeat should go at once rather than in its turn.
-    bool has_news() const { return this->incarnations.has_news(); }
+    bool heartbeat_is_urgent() const
+    {
+        return this->incarnations.has_unsent_replacement();
+    }
 
     // After a pause longer than the lease, until a peer is heard on a link
     // made since. While it is set, what this process knows may be old.
@@ -94,11 +97,11 @@
 
     // The platform answered what was asked at `asked`. It ends a pause only
     // where the list holds no other entry that could be heard.
-    void platform_answered(base::instant asked);
+    void on_platform_response(base::instant asked);
 
     // Counts pauses; when it rises, all links are to be closed: what waits in
     // them was sent before the wake and must not count as heard after it.
-    std::uint32_t pauses() const { return this->pause_count; }
+    std::uint32_t pause_count() const { return this->pauses; }
 
     // Another process has been started in our slot. Never taken back.
     bool superseded() const;
@@ -115,8 +118,8 @@
     std::size_t alive_count() const; // in the data centre, with ourselves
 
     // Other listed slots of the data centre, and those heard since `when`.
-    std::size_t others_listed() const;
-    std::size_t others_heard_since(base::instant when) const;
+    std::size_t listed_peer_count() const;
+    std::size_t heard_peer_count(base::instant when) const;
 
     // True when peers of it were heard once and all are silent now. One silent
     // instance has died; a silent data centre is more likely cut off.
@@ -165,7 +168,7 @@
     base::instant woke;
     base::instant list_due; // when to pass the list on
     std::uint64_t sequence = 0;
-    std::uint32_t pause_count = 0;
+    std::uint32_t pauses = 0;
     bool is_paused = false;
     bool is_leaving = false;
     bool own_listed = false;
--- a/src/greengagedrum/membership/test/roster_fixture.hpp
+++ b/src/greengagedrum/membership/test/roster_fixture.hpp
@@ -20,7 +20,7 @@
     roster own{options("zona-4-a", 10)};
     std::map<std::string, std::uint64_t> sequences;
 
-    roster_fixture() { this->own.adopt(both(5), this->now); }
+    roster_fixture() { this->own.update_list(both(5), this->now); }
 
     static roster_options options(std::string_view slot,
                                   std::uint64_t incarnation)
@@ -63,7 +63,8 @@
 
     bool hear(const std::string& slot, std::uint64_t incarnation)
     {
-        return this->own.hear(this->beat(slot, incarnation), this->now);
+        return this->own.receive_heartbeat(this->beat(slot, incarnation),
+                                           this->now);
     }
 
     void link(const std::string& slot, std::uint64_t incarnation)
--- a/src/greengagedrum/membership/test/roster_test.cpp
+++ b/src/greengagedrum/membership/test/roster_test.cpp
@@ -34,7 +34,7 @@
     this->now += 10s;
     CHECK(!this->hear("zona-4-b", 20)); // read from the old link
     CHECK(this->own.paused());
-    CHECK(this->own.pauses() == 1);
+    CHECK(this->own.pause_count() == 1);
     this->run(400ms);
     CHECK(this->own.paused());
     CHECK(this->state("zona-4-b") != peer_state::gone); // we slept, not it
@@ -61,13 +61,13 @@
     instance_list list;
     list.revision = 1;
     list.instances = {entry("zona-4", 'a')};
-    alone.adopt(list, this->now);
+    alone.update_list(list, this->now);
     const base::instant asleep = this->now;
     this->now += 10s;
     alone.tick(this->now);
-    alone.platform_answered(asleep);
+    alone.on_platform_response(asleep);
     CHECK(alone.paused());
-    alone.platform_answered(this->now + 1ms);
+    alone.on_platform_response(this->now + 1ms);
     CHECK(!alone.paused());
 }
 
@@ -80,13 +80,13 @@
         {base::slot_id("zona-4-a"), base::incarnation{11}}};
     this->link("zona-4-b", 20);
     CHECK(!this->own.superseded());
-    this->own.hear(told, this->now);
+    this->own.receive_heartbeat(told, this->now);
     CHECK(this->own.superseded());
     CHECK(!this->own.rank().has_value());
     told = this->beat("zona-4-b", 20);
     told.known_incarnations = {
         {base::slot_id("zona-4-a"), base::incarnation{10}}};
-    this->own.hear(told, this->now);
+    this->own.receive_heartbeat(told, this->now);
     CHECK(this->own.superseded());
 }
 
@@ -100,7 +100,7 @@
     const heartbeat late = this->beat("zona-4-b", 20);
     this->sequences["zona-4-b"] = 0;
     CHECK(this->hear("zona-4-b", 21)); // counts from one again
-    CHECK(!this->own.hear(late, this->now));
+    CHECK(!this->own.receive_heartbeat(late, this->now));
     CHECK(this->view("zona-4-b").incarnation.value == 21);
     CHECK(this->own.highest_incarnation(base::slot_id("zona-4-b")).value == 21);
 }
@@ -110,9 +110,9 @@
     this->link("zona-4-b", 20);
     const heartbeat one = this->beat("zona-4-b", 20);
     const heartbeat two = this->beat("zona-4-b", 20);
-    CHECK(this->own.hear(two, this->now));
-    CHECK(!this->own.hear(one, this->now));
-    CHECK(!this->own.hear(two, this->now));
+    CHECK(this->own.receive_heartbeat(two, this->now));
+    CHECK(!this->own.receive_heartbeat(one, this->now));
+    CHECK(!this->own.receive_heartbeat(two, this->now));
 }
 
 // A life heard of from one peer must reach those that did not meet it.
@@ -120,10 +120,10 @@
 {
     const base::slot_id slot("zona-9-c");
     this->own.learn_incarnation(slot, base::incarnation{70});
-    this->own.compose(0);
-    CHECK(!this->own.has_news());
+    this->own.next_heartbeat(0);
+    CHECK(!this->own.heartbeat_is_urgent());
     this->own.learn_incarnation(slot, base::incarnation{77});
-    CHECK(this->own.has_news());
+    CHECK(this->own.heartbeat_is_urgent());
     const auto tells = [slot](const heartbeat& beat) {
         return std::any_of(beat.known_incarnations.begin(),
                            beat.known_incarnations.end(),
@@ -132,12 +132,12 @@
                                       known.incarnation.value == 77;
                            });
     };
-    CHECK(tells(this->own.compose(0)));
-    CHECK(!this->own.has_news());
+    CHECK(tells(this->own.next_heartbeat(0)));
+    CHECK(!this->own.heartbeat_is_urgent());
     // Later in turn as well, for a peer that was away.
     int told = 0;
     for (int turn = 0; turn < 40; ++turn)
-        told += tells(this->own.compose(0)) ? 1 : 0;
+        told += tells(this->own.next_heartbeat(0)) ? 1 : 0;
     CHECK(told >= 4);
 }
 
@@ -147,12 +147,12 @@
 {
     instance_list newer = both(7);
     newer.instances.pop_back();
-    CHECK(this->own.adopt(newer, this->now));
-    CHECK(!this->own.adopt(both(6), this->now));
-    CHECK(!this->own.adopt(both(7), this->now));
+    CHECK(this->own.update_list(newer, this->now));
+    CHECK(!this->own.update_list(both(6), this->now));
+    CHECK(!this->own.update_list(both(7), this->now));
     CHECK(this->own.list().revision == 7);
     CHECK(this->own.list().instances.size() == 5);
-    CHECK(this->own.compose(0).list_revision == 7);
+    CHECK(this->own.next_heartbeat(0).list_revision == 7);
 }
 
 // An upstream is listed leaving; the platform tells this entry first, others
@@ -165,11 +165,11 @@
     }
     this->run(1s, {"zona-4-b", "zona-4-c", "zona-9-a"});
     CHECK(this->own.list_receivers(this->now).empty());
-    this->own.adopt(both(6), this->now);
+    this->own.update_list(both(6), this->now);
     CHECK(this->own.list_receivers(this->now).empty());
     heartbeat knows = this->beat("zona-4-c", 20);
     knows.list_revision = 6;
-    this->own.hear(knows, this->now);
+    this->own.receive_heartbeat(knows, this->now);
     this->run(1200ms);
     auto receivers = this->own.list_receivers(this->now);
     std::sort(receivers.begin(), receivers.end());
@@ -187,7 +187,7 @@
     CHECK(this->own.alive_count() == 2);
     heartbeat leaving = this->beat("zona-4-b", 20);
     leaving.leaving = true;
-    this->own.hear(leaving, this->now);
+    this->own.receive_heartbeat(leaving, this->now);
     CHECK(this->state("zona-4-b") == peer_state::leaving);
     CHECK(this->own.alive_count() == 1);
     this->unlink("zona-4-b");
@@ -228,20 +228,20 @@
         return base::slot_id(x) < base::slot_id(y);
     });
     roster last(options(names[2], 10));
-    last.adopt(both(5), this->now);
+    last.update_list(both(5), this->now);
     CHECK(last.rank() == 0U); // nobody else heard yet
     for (const std::string& slot : {names[0], names[1]}) {
         last.link_up(base::slot_id(slot), base::incarnation{20}, this->now);
-        last.hear(this->beat(slot, 20), this->now);
+        last.receive_heartbeat(this->beat(slot, 20), this->now);
     }
     CHECK(last.rank() == 2U);
-    CHECK(last.others_listed() == 2);
-    CHECK(last.others_heard_since(this->now) == 2);
+    CHECK(last.listed_peer_count() == 2);
+    CHECK(last.heard_peer_count(this->now) == 2);
     last.link_down(base::slot_id(names[0]), this->now);
     CHECK(last.rank() == 1U);
     last.start_leaving();
     CHECK(!last.rank().has_value());
-    CHECK(last.compose(0).leaving);
+    CHECK(last.next_heartbeat(0).leaving);
 }
 
 } // namespace greengagedrum::membership
--- a/src/programs/bench_state/sections.hpp
+++ b/src/programs/bench_state/sections.hpp
@@ -375,7 +375,7 @@
             base::instant now(std::chrono::seconds(1));
             membership::instance_list copy = list;
             const double start = processor_now();
-            tested.adopt(std::move(copy), now);
+            tested.update_list(std::move(copy), now);
             adopt_us.push_back((processor_now() - start) * million);
             kib.push_back(allocated_kib() - before);
             const double ticked = processor_now();
