--- a/src/greengagedrum/daemon/document_duty.cpp
+++ b/src/greengagedrum/daemon/document_duty.cpp
@@ -20,8 +20,10 @@
 config::peer_view view_of(const membership::peer_view& peer,
                           base::data_centre_id own)
 {
-    return {
-        peer.slot, peer.data_centre == own, peer.config_revision, peer.contact};
+    return {peer.slot,
+            peer.data_centre == own,
+            peer.config_revision,
+            peer.platform};
 }
 
 double draw(std::mt19937_64& generator)
--- a/src/greengagedrum/daemon/peer_duty.cpp
+++ b/src/greengagedrum/daemon/peer_duty.cpp
@@ -322,7 +322,7 @@
     this->links.broadcast(beat);
     this->told_config = beat.config_revision;
     this->told_list = beat.list_revision;
-    this->told_contact = beat.contact;
+    this->told_contact = beat.platform;
     this->leaving_untold = false;
     this->last_beat = now;
     this->next_beat = now + interval;
--- a/src/greengagedrum/daemon/peer_duty_hearing.cpp
+++ b/src/greengagedrum/daemon/peer_duty_hearing.cpp
@@ -26,7 +26,7 @@
         return;
     this->is_paused = this->roster.paused();
     if (beat.config_revision > this->documents.revision() ||
-        beat.contact == base::platform_reachability::unreachable)
+        beat.platform == base::platform_reachability::unreachable)
         this->next_publish = {}; // now: a spreader waits for it
     this->pull(from.sender, beat.config_revision);
     this->push_or_drop(delivery::peer_heartbeat{std::move(beat), from.answers});
--- a/src/greengagedrum/membership/messages.hpp
+++ b/src/greengagedrum/membership/messages.hpp
@@ -40,7 +40,7 @@
     std::uint64_t config_revision = 0; // highest in force at the sender
     std::uint64_t list_revision = 0;   // highest instance list it has seen
     // Whether the sender hears the platform's service.
-    base::platform_reachability contact = base::platform_reachability::unknown;
+    base::platform_reachability platform = base::platform_reachability::unknown;
     // Highest incarnation the sender has seen for each slot it knows.
     struct known_incarnation {
         base::slot_id slot;
--- a/src/greengagedrum/membership/roster.cpp
+++ b/src/greengagedrum/membership/roster.cpp
@@ -113,7 +113,7 @@
     one.said_leaving = beat.leaving;
     one.config_revision = beat.config_revision;
     one.list_revision = beat.list_revision;
-    one.contact = beat.contact;
+    one.platform = beat.platform;
     // Without a link made since the wake it may have been sent before it.
     if (this->is_paused && !one.linked)
         return false;
@@ -188,7 +188,7 @@
 }
 
 heartbeat roster::next_heartbeat(std::uint64_t config_revision,
-                                 base::platform_reachability contact)
+                                 base::platform_reachability platform)
 {
     heartbeat out;
     out.slot = this->options.slot;
@@ -197,7 +197,7 @@
     out.leaving = this->is_leaving;
     out.config_revision = config_revision;
     out.list_revision = this->newest.revision;
-    out.contact = contact;
+    out.platform = platform;
     out.known_incarnations =
         this->incarnations.next_to_tell(out.sequence % turns_between_old == 0);
     return out;
@@ -337,7 +337,7 @@
                        one.linked,
                        one.config_revision,
                        one.list_revision,
-                       one.contact,
+                       one.platform,
                        std::nullopt};
         if (one.heard)
             view.silence = now - *one.heard;
--- a/src/greengagedrum/membership/roster.hpp
+++ b/src/greengagedrum/membership/roster.hpp
@@ -47,7 +47,7 @@
     bool linked = false;
     std::uint64_t config_revision = 0; // as its last heartbeat told
     std::uint64_t list_revision = 0;
-    base::platform_reachability contact = base::platform_reachability::unknown;
+    base::platform_reachability platform = base::platform_reachability::unknown;
     std::optional<base::duration> silence; // since its last heartbeat
 };
 
@@ -82,7 +82,7 @@
 
     // The own heartbeat, of the next number.
     heartbeat next_heartbeat(std::uint64_t config_revision,
-                             base::platform_reachability contact =
+                             base::platform_reachability platform =
                                  base::platform_reachability::unknown);
 
     // True when a heartbeat should go at once rather than in its turn.
@@ -146,7 +146,7 @@
         std::uint64_t sequence = 0;
         std::uint64_t config_revision = 0;
         std::uint64_t list_revision = 0;
-        base::platform_reachability contact =
+        base::platform_reachability platform =
             base::platform_reachability::unknown;
         std::uint64_t list_sent = 0;         // revision passed on to it
         std::optional<base::instant> heard;  // its last heartbeat
--- a/src/greengagedrum/peers/decode.cpp
+++ b/src/greengagedrum/peers/decode.cpp
@@ -89,7 +89,7 @@
     out.leaving = from.leaving();
     out.config_revision = from.config_revision();
     out.list_revision = from.list_revision();
-    out.contact =
+    out.platform =
         enumerator(from.contact(), base::platform_reachability::unreachable);
     if (from.lives() == nullptr)
         return out;
--- a/src/greengagedrum/peers/encode.cpp
+++ b/src/greengagedrum/peers/encode.cpp
@@ -77,7 +77,7 @@
                                   beat.config_revision,
                                   beat.list_revision,
                                   list,
-                                  static_cast<std::uint8_t>(beat.contact))
+                                  static_cast<std::uint8_t>(beat.platform))
                 .Union());
     }
 
--- a/src/greengagedrum/trace/part_fields.hpp
+++ b/src/greengagedrum/trace/part_fields.hpp
@@ -124,7 +124,7 @@
     named("leaving", &membership::heartbeat::leaving),
     named("config_revision", &membership::heartbeat::config_revision),
     named("list_revision", &membership::heartbeat::list_revision),
-    named("contact", &membership::heartbeat::contact),
+    named("contact", &membership::heartbeat::platform),
     named("lives", &membership::heartbeat::known_incarnations)};
 
 static_assert(has_whole_table<membership::heartbeat>);
--- a/src/greengagedrum/trace/test/recorder_test.cpp
+++ b/src/greengagedrum/trace/test/recorder_test.cpp
@@ -100,7 +100,7 @@
     digest.limits.push_back({base::workspace_id("w"), {}, 3, 4});
     membership::heartbeat beat;
     beat.known_incarnations.push_back({slot, base::incarnation{5}});
-    beat.contact = base::platform_reachability::unreachable;
+    beat.platform = base::platform_reachability::unreachable;
     using idempotency::answer_reply;
     const std::vector<event> events = {
         arrived,
