--- a/src/greengagedrum/daemon/status_text.cpp
+++ b/src/greengagedrum/daemon/status_text.cpp
@@ -91,7 +91,7 @@
 std::string_view to_string(membership::peer_state state)
 {
     switch (state) {
-    case membership::peer_state::unheard:
+    case membership::peer_state::never_heard:
         return "unheard";
     case membership::peer_state::alive:
         return "alive";
--- a/src/greengagedrum/membership/roster.cpp
+++ b/src/greengagedrum/membership/roster.cpp
@@ -159,7 +159,7 @@
     std::erase_if(this->known, [](const auto& entry) {
         const peer& one = entry.second;
         const bool over =
-            one.state == peer_state::gone || one.state == peer_state::unheard;
+            one.state == peer_state::gone || one.state == peer_state::never_heard;
         return !one.listed && !one.linked && over;
     });
 }
@@ -167,7 +167,7 @@
 peer_state roster::state_of(const peer& one, base::instant now) const
 {
     if (!one.silent)
-        return peer_state::unheard;
+        return peer_state::never_heard;
     const base::duration silence = now - *one.silent;
     const bool leaves = one.said_leaving || one.listed_leaving;
     if (silence > this->options.gone_after)
--- a/src/greengagedrum/membership/roster.hpp
+++ b/src/greengagedrum/membership/roster.hpp
@@ -22,7 +22,7 @@
 {
 
 enum class peer_state : std::uint8_t {
-    unheard, // listed; never heard by this process
+    never_heard, // listed; never heard by this process
     alive,
     suspect, // its link is lost or nothing came for a while
     leaving, // it said so itself, or is listed so
@@ -42,7 +42,7 @@
     base::slot_id slot;
     base::data_centre_id data_centre;
     base::incarnation incarnation; // zero: none heard
-    peer_state state = peer_state::unheard;
+    peer_state state = peer_state::never_heard;
     bool listed = false;
     bool linked = false;
     std::uint64_t config_revision = 0; // as its last heartbeat told
@@ -54,7 +54,7 @@
 // A peer whose state has changed.
 struct state_change {
     base::slot_id slot;
-    peer_state state = peer_state::unheard;
+    peer_state state = peer_state::never_heard;
 };
 
 class roster
@@ -141,7 +141,7 @@
         bool listed_leaving = false;
         bool said_leaving = false;
         bool linked = false;
-        peer_state state = peer_state::unheard;
+        peer_state state = peer_state::never_heard;
         base::incarnation incarnation;
         std::uint64_t sequence = 0;
         std::uint64_t config_revision = 0;
--- a/src/greengagedrum/membership/test/roster_test.cpp
+++ b/src/greengagedrum/membership/test/roster_test.cpp
@@ -7,7 +7,7 @@
 
 TEST_CASE_FIXTURE(roster_fixture, "roster_peer_silent_suspect_then_gone")
 {
-    CHECK(this->state("zona-4-b") == peer_state::unheard);
+    CHECK(this->state("zona-4-b") == peer_state::never_heard);
     this->link("zona-4-b", 20);
     CHECK(this->hear("zona-4-b", 20));
     CHECK(this->state("zona-4-b") == peer_state::alive);
