--- a/src/greengagedrum/daemon/peer_duty.cpp
+++ b/src/greengagedrum/daemon/peer_duty.cpp
@@ -316,7 +316,7 @@
     const bool at_once = this->has_news() && now - this->last_beat >= news_gap;
     if (now < this->next_beat && !at_once)
         return;
-    const base::duration interval = this->roster.current_pace().heartbeat;
+    const base::duration interval = this->roster.current_intervals().heartbeat;
     this->links.set_interval(in_milliseconds(interval));
     const auto beat = this->compose();
     this->links.broadcast(beat);
@@ -339,7 +339,7 @@
 {
     if (!this->load_now || now < this->next_load)
         return;
-    this->next_load = now + this->roster.current_pace().load;
+    this->next_load = now + this->roster.current_intervals().load_digest;
     const auto digest = this->load.next(*this->load_now);
     if (!digest)
         return;
--- a/src/greengagedrum/membership/roster.cpp
+++ b/src/greengagedrum/membership/roster.cpp
@@ -16,7 +16,8 @@
 constexpr base::duration list_wait_of_rank(50'000);
 constexpr std::size_t list_ranks_max = 18;
 
-// An old life is told in every fourth heartbeat, for the bytes (pace.hpp).
+// An old life is told in every fourth heartbeat, for the bytes
+// (send_intervals.hpp).
 constexpr std::uint64_t turns_between_old = 4;
 
 } // namespace
@@ -158,8 +159,8 @@
         this->refresh(slot, one, now);
     std::erase_if(this->known, [](const auto& entry) {
         const peer& one = entry.second;
-        const bool over =
-            one.state == peer_state::gone || one.state == peer_state::never_heard;
+        const bool over = one.state == peer_state::gone ||
+                          one.state == peer_state::never_heard;
         return !one.listed && !one.linked && over;
     });
 }
@@ -233,7 +234,7 @@
                         });
 }
 
-pace roster::current_pace() const
+send_intervals roster::current_intervals() const
 {
     std::size_t links = 0;
     std::size_t within = 0;
@@ -242,7 +243,7 @@
         const bool near = one.data_centre == this->options.data_centre;
         within += one.linked && near ? 1 : 0;
     }
-    return pace_for(links, within);
+    return send_intervals_for(links, within);
 }
 
 bool roster::counts_as_live(const peer& one) const
--- a/src/greengagedrum/membership/roster.hpp
+++ b/src/greengagedrum/membership/roster.hpp
@@ -11,7 +11,7 @@
 #include <greengagedrum/membership/incarnation_table.hpp>
 #include <greengagedrum/membership/link_choice.hpp>
 #include <greengagedrum/membership/messages.hpp>
-#include <greengagedrum/membership/pace.hpp>
+#include <greengagedrum/membership/send_intervals.hpp>
 
 #include <cstdint>
 #include <map>
@@ -110,7 +110,7 @@
     // Empty for a slot that is not known or not listed yet.
     base::data_centre_id data_centre_of(base::slot_id slot) const;
     std::vector<link_target> links_wanted() const;
-    pace current_pace() const;
+    send_intervals current_intervals() const;
 
     // Place of the own slot among the live ones of the data centre, from 0;
     // none while leaving, superseded or not listed.
--- a/src/greengagedrum/membership/pace.hpp
+++ b/src/greengagedrum/membership/send_intervals.hpp
@@ -26,12 +26,13 @@
 namespace greengagedrum::membership
 {
 
-struct pace {
+struct send_intervals {
     base::duration heartbeat;
-    base::duration load; // between two load digests
+    base::duration load_digest; // between two load digests
 };
 
-inline pace pace_for(std::size_t links, std::size_t links_within)
+inline send_intervals send_intervals_for(std::size_t links,
+                                         std::size_t links_within)
 {
     constexpr std::size_t heartbeat_bytes = 207; // for a link and turn
     constexpr std::size_t heartbeat_rate = 4500; // bytes a second
--- a/src/greengagedrum/membership/test/link_choice_test.cpp
+++ b/src/greengagedrum/membership/test/link_choice_test.cpp
@@ -1,5 +1,5 @@
 #include <greengagedrum/membership/link_choice.hpp>
-#include <greengagedrum/membership/pace.hpp>
+#include <greengagedrum/membership/send_intervals.hpp>
 
 #include <doctest/doctest.h>
 
@@ -63,9 +63,9 @@
     for (const auto& [ends, count] : across)
         CHECK(count == pairs_across);
     MESSAGE("most links of one entry: ", most);
-    // What pace.hpp reckons with.
+    // What send_intervals.hpp reckons with.
     CHECK(most <= 26);
-    const pace slowest = pace_for(most, 20);
+    const send_intervals slowest = send_intervals_for(most, 20);
     const double seconds =
         std::chrono::duration<double>(slowest.heartbeat).count();
     CHECK(static_cast<double>(most) * 207.0 / seconds <= 6144.0);
@@ -112,11 +112,11 @@
 
 TEST_CASE("pace_few_links_quick_many_links_bounded")
 {
-    CHECK(pace_for(2, 2).heartbeat == base::duration(400'000));
-    CHECK(pace_for(25, 20).heartbeat == base::duration(1'000'000));
-    CHECK(pace_for(1, 1).load == base::duration(500'000));
-    CHECK(pace_for(2, 2).load < base::duration(530'000));
-    CHECK(pace_for(25, 20).load > base::duration(4'000'000));
+    CHECK(send_intervals_for(2, 2).heartbeat == base::duration(400'000));
+    CHECK(send_intervals_for(25, 20).heartbeat == base::duration(1'000'000));
+    CHECK(send_intervals_for(1, 1).load_digest == base::duration(500'000));
+    CHECK(send_intervals_for(2, 2).load_digest < base::duration(530'000));
+    CHECK(send_intervals_for(25, 20).load_digest > base::duration(4'000'000));
 }
 
 } // namespace greengagedrum::membership
