--- a/src/greengagedrum/membership/incarnation_table.cpp
+++ b/src/greengagedrum/membership/incarnation_table.cpp
@@ -7,51 +7,52 @@
 
 bool incarnation_table::learn(base::slot_id slot, base::incarnation incarnation)
 {
-    const auto found = this->lines.find(slot);
-    if (found == this->lines.end() && this->lines.size() >= slots_max)
+    const auto found = this->records.find(slot);
+    if (found == this->records.end() && this->records.size() >= slots_max)
         return false;
-    line& known = this->lines[slot];
+    record& known = this->records[slot];
     if (incarnation <= known.incarnation)
         return false;
     const bool first = known.incarnation == base::incarnation{};
-    known = line{incarnation, first ? tellings_of_first : tellings_of_news};
+    known =
+        record{incarnation, first ? first_send_count : replacement_send_count};
     return true;
 }
 
 base::incarnation incarnation_table::highest(base::slot_id slot) const
 {
-    const auto found = this->lines.find(slot);
-    return found == this->lines.end() ? base::incarnation{}
-                                      : found->second.incarnation;
+    const auto found = this->records.find(slot);
+    return found == this->records.end() ? base::incarnation{}
+                                        : found->second.incarnation;
 }
 
 bool incarnation_table::has_unsent_replacement() const
 {
     return std::any_of(
-        this->lines.begin(), this->lines.end(), [](const auto& entry) {
-            return entry.second.tellings == tellings_of_news;
+        this->records.begin(), this->records.end(), [](const auto& item) {
+            return item.second.sends_left == replacement_send_count;
         });
 }
 
 std::vector<heartbeat::known_incarnation>
-incarnation_table::next_to_tell(bool in_turn)
+incarnation_table::next_to_send(bool with_repeat)
 {
     std::vector<heartbeat::known_incarnation> out;
-    for (auto& [slot, known] : this->lines) {
-        if (known.tellings == 0)
+    for (auto& [slot, known] : this->records) {
+        if (known.sends_left == 0)
             continue;
-        --known.tellings;
+        --known.sends_left;
         out.push_back({slot, known.incarnation});
-        if (out.size() == told_at_once)
+        if (out.size() == batch_max)
             return out;
     }
-    if (!in_turn || this->lines.empty())
+    if (!with_repeat || this->records.empty())
         return out;
-    auto next = this->lines.upper_bound(this->turn);
-    if (next == this->lines.end())
-        next = this->lines.begin();
-    this->turn = next->first;
-    out.push_back({next->first, next->second.incarnation});
+    auto repeated = this->records.upper_bound(this->last_repeated);
+    if (repeated == this->records.end())
+        repeated = this->records.begin();
+    this->last_repeated = repeated->first;
+    out.push_back({repeated->first, repeated->second.incarnation});
     return out;
 }
 
--- a/src/greengagedrum/membership/incarnation_table.hpp
+++ b/src/greengagedrum/membership/incarnation_table.hpp
@@ -29,22 +29,22 @@
     bool has_unsent_replacement() const;
 
     // What the next heartbeat is to carry; `in_turn` adds one old one.
-    std::vector<heartbeat::known_incarnation> next_to_tell(bool in_turn);
+    std::vector<heartbeat::known_incarnation> next_to_send(bool with_repeat);
 
 private:
-    struct line {
+    struct record {
         base::incarnation incarnation;
-        std::uint32_t tellings = 0; // out of turn, still to come
+        std::uint32_t sends_left = 0; // out of turn, still to come
     };
 
     // A bound against peers that name slots without end.
     static constexpr std::size_t slots_max = 4096;
-    static constexpr std::uint32_t tellings_of_first = 1;
-    static constexpr std::uint32_t tellings_of_news = 3;
-    static constexpr std::size_t told_at_once = 8;
+    static constexpr std::uint32_t first_send_count = 1;
+    static constexpr std::uint32_t replacement_send_count = 3;
+    static constexpr std::size_t batch_max = 8;
 
-    std::map<base::slot_id, line> lines;
-    base::slot_id turn;
+    std::map<base::slot_id, record> records;
+    base::slot_id last_repeated;
 };
 
 } // namespace greengagedrum::membership
--- a/src/greengagedrum/membership/link_choice.cpp
+++ b/src/greengagedrum/membership/link_choice.cpp
@@ -20,53 +20,55 @@
 // The same for (a, b) and (b, a), and spread well for hashes as input.
 std::uint64_t pair_weight(base::slot_id left, base::slot_id right)
 {
-    constexpr std::uint64_t odd = 0x9e3779b97f4a7c15U;
+    constexpr std::uint64_t multiplier = 0x9e3779b97f4a7c15U;
     constexpr unsigned shift = 29;
-    std::uint64_t mixed = std::min(left, right).value * odd;
+    std::uint64_t mixed = std::min(left, right).value * multiplier;
     mixed = (mixed ^ (mixed >> shift)) + std::max(left, right).value;
-    mixed *= odd;
+    mixed *= multiplier;
     mixed ^= mixed >> shift;
-    mixed *= odd;
+    mixed *= multiplier;
     return mixed ^ (mixed >> shift);
 }
 
-struct pair_of_slots {
+struct slot_pair {
     std::uint64_t weight = 0;
-    const candidate* near = nullptr;
-    const candidate* far = nullptr;
+    const candidate* local = nullptr;
+    const candidate* remote = nullptr;
 };
 
-std::vector<pair_of_slots> all_pairs(const candidate_list& near,
-                                     const candidate_list& far)
+std::vector<slot_pair> pairs_by_weight(const candidate_list& local,
+                                       const candidate_list& remote)
 {
-    std::vector<pair_of_slots> out;
-    out.reserve(near.size() * far.size());
-    for (const candidate& one : near)
-        for (const candidate& other : far)
-            out.push_back({pair_weight(one.slot, other.slot), &one, &other});
+    std::vector<slot_pair> out;
+    out.reserve(local.size() * remote.size());
+    for (const candidate& local_end : local)
+        for (const candidate& remote_end : remote)
+            out.push_back({pair_weight(local_end.slot, remote_end.slot),
+                           &local_end,
+                           &remote_end});
     std::sort(out.begin(), out.end(), [](const auto& left, const auto& right) {
         return left.weight > right.weight;
     });
     return out;
 }
 
-void add_across(const candidate_list& near,
-                const candidate_list& far,
-                base::slot_id own,
-                std::vector<link_target>& out)
+void add_remote_links(const candidate_list& local,
+                      const candidate_list& remote,
+                      base::slot_id own,
+                      std::vector<link_target>& out)
 {
-    std::vector<pair_of_slots> taken;
-    for (const pair_of_slots& next : all_pairs(near, far)) {
-        const bool shares = std::any_of(
-            taken.begin(), taken.end(), [&next](const pair_of_slots& pair) {
-                return pair.near == next.near || pair.far == next.far;
+    std::vector<slot_pair> chosen;
+    for (const slot_pair& next : pairs_by_weight(local, remote)) {
+        const bool shares_end = std::any_of(
+            chosen.begin(), chosen.end(), [&next](const slot_pair& pair) {
+                return pair.local == next.local || pair.remote == next.remote;
             });
-        if (shares)
+        if (shares_end)
             continue;
-        taken.push_back(next);
-        if (next.near->slot == own)
-            out.push_back({next.far->slot, *next.far->address});
-        if (taken.size() == pairs_across)
+        chosen.push_back(next);
+        if (next.local->slot == own)
+            out.push_back({next.remote->slot, *next.remote->address});
+        if (chosen.size() == pairs_per_data_centre)
             return;
     }
 }
@@ -80,23 +82,24 @@
              const std::function<bool(base::slot_id)>& usable)
 {
     std::vector<link_target> out;
-    candidate_list near;
-    std::map<base::data_centre_id, candidate_list> far;
-    for (const listed_instance& line : list.instances) {
-        if (line.type != instance_type::entry)
+    candidate_list local;
+    std::map<base::data_centre_id, candidate_list> remote;
+    for (const listed_instance& instance : list.instances) {
+        if (instance.type != instance_type::entry)
             continue;
-        const base::slot_id slot(line.name);
-        const base::data_centre_id where(line.data_centre);
-        const bool fit = line.state == listed_state::live && usable(slot);
-        if (where == data_centre && slot != own)
-            out.push_back({slot, line.address});
-        if (where == data_centre && (fit || slot == own))
-            near.push_back({slot, &line.address});
-        if (where != data_centre && fit)
-            far[where].push_back({slot, &line.address});
+        const base::slot_id slot(instance.name);
+        const base::data_centre_id instance_data_centre(instance.data_centre);
+        const bool eligible =
+            instance.state == listed_state::live && usable(slot);
+        if (instance_data_centre == data_centre && slot != own)
+            out.push_back({slot, instance.address});
+        if (instance_data_centre == data_centre && (eligible || slot == own))
+            local.push_back({slot, &instance.address});
+        if (instance_data_centre != data_centre && eligible)
+            remote[instance_data_centre].push_back({slot, &instance.address});
     }
-    for (const auto& [where, slots] : far)
-        add_across(near, slots, own, out);
+    for (const auto& [instance_data_centre, slots] : remote)
+        add_remote_links(local, slots, own, out);
     return out;
 }
 
--- a/src/greengagedrum/membership/link_choice.hpp
+++ b/src/greengagedrum/membership/link_choice.hpp
@@ -22,7 +22,7 @@
     std::string address; // "IP:port"
 };
 
-inline constexpr std::size_t pairs_across = 2; // for each data centre
+inline constexpr std::size_t pairs_per_data_centre = 2; // for each data centre
 
 // `usable` is false for a slot whose process is known to be gone; it is still
 // dialled within the data centre, since its successor comes there.
--- a/src/greengagedrum/membership/roster.cpp
+++ b/src/greengagedrum/membership/roster.cpp
@@ -12,13 +12,13 @@
 // Whoever has a new list lets the platform's watches of the others come first,
 // then passes it on to those still behind; the lowest ranks begin, so that
 // most others find nothing left to do. The sum stays below 2 s.
-constexpr base::duration list_wait_base(100'000);
-constexpr base::duration list_wait_of_rank(50'000);
-constexpr std::size_t list_ranks_max = 18;
+constexpr base::duration list_forward_delay(100'000);
+constexpr base::duration list_forward_delay_per_rank(50'000);
+constexpr std::size_t list_forward_rank_max = 18;
 
 // An old life is told in every fourth heartbeat, for the bytes
 // (send_intervals.hpp).
-constexpr std::uint64_t turns_between_old = 4;
+constexpr std::uint64_t heartbeats_per_repeat = 4;
 
 } // namespace
 
@@ -30,10 +30,10 @@
 // Guards against a process that was stopped for a while and believes on waking
 // that its facts are of a moment ago. It shows as a gap between two readings
 // of the monotonic clock; in a process that runs, the gap is a tick.
-void roster::observe(base::instant now)
+void roster::detect_pause(base::instant now)
 {
-    const auto before = std::exchange(this->last_reading, now);
-    if (before && now - *before > this->options.lease)
+    const auto previous = std::exchange(this->last_clock_reading, now);
+    if (previous && now - *previous > this->options.lease)
         this->enter_pause(now);
 }
 
@@ -43,85 +43,86 @@
 void roster::enter_pause(base::instant now)
 {
     this->is_paused = true;
-    this->woke = now;
+    this->resumed_at = now;
     ++this->pauses;
-    for (auto& [slot, one] : this->known) {
-        one.linked = false;
-        if (one.state != peer_state::gone && one.silent)
-            one.silent = now;
+    for (auto& [slot, peer] : this->peers_by_slot) {
+        peer.linked = false;
+        if (peer.state != peer_state::gone && peer.silent_since)
+            peer.silent_since = now;
     }
 }
 
 void roster::on_platform_response(base::instant asked)
 {
-    const bool alone =
-        std::none_of(this->known.begin(),
-                     this->known.end(),
-                     [](const auto& entry) { return entry.second.listed; });
-    if (this->is_paused && alone && asked > this->woke)
+    const bool no_peer_listed =
+        std::none_of(this->peers_by_slot.begin(),
+                     this->peers_by_slot.end(),
+                     [](const auto& item) { return item.second.listed; });
+    if (this->is_paused && no_peer_listed && asked > this->resumed_at)
         this->is_paused = false;
 }
 
 bool roster::update_list(instance_list list, base::instant now)
 {
-    this->observe(now);
-    if (list.revision <= this->newest.revision)
+    this->detect_pause(now);
+    if (list.revision <= this->current_list.revision)
         return false;
-    this->newest = std::move(list);
+    this->current_list = std::move(list);
     this->own_listed = false;
-    for (auto& [slot, one] : this->known)
-        one.listed = one.listed_leaving = false;
-    for (const listed_instance& line : this->newest.instances) {
-        if (line.type != instance_type::entry)
+    for (auto& [slot, peer] : this->peers_by_slot)
+        peer.listed = peer.listed_leaving = false;
+    for (const listed_instance& instance : this->current_list.instances) {
+        if (instance.type != instance_type::entry)
             continue;
-        const base::slot_id slot(line.name);
+        const base::slot_id slot(instance.name);
         if (slot == this->options.slot) {
             this->own_listed = true;
             continue;
         }
-        peer& one = this->known[slot];
-        one.data_centre = base::data_centre_id(line.data_centre);
-        one.listed = true;
-        one.listed_leaving = line.state == listed_state::leaving;
+        peer_record& peer = this->peers_by_slot[slot];
+        peer.data_centre = base::data_centre_id(instance.data_centre);
+        peer.listed = true;
+        peer.listed_leaving = instance.state == listed_state::leaving;
     }
-    const std::size_t place =
-        std::min(this->rank().value_or(list_ranks_max), list_ranks_max);
-    this->list_due =
-        now + list_wait_base +
-        list_wait_of_rank * static_cast<base::duration::rep>(place);
+    const std::size_t own_rank = std::min(
+        this->rank().value_or(list_forward_rank_max), list_forward_rank_max);
+    this->list_forward_due = now + list_forward_delay +
+                             list_forward_delay_per_rank *
+                                 static_cast<base::duration::rep>(own_rank);
     this->tick(now);
     return true;
 }
 
-bool roster::receive_heartbeat(const heartbeat& beat, base::instant now)
+bool roster::receive_heartbeat(const heartbeat& received, base::instant now)
 {
-    this->observe(now);
-    if (beat.slot == this->options.slot || beat.slot.empty())
+    this->detect_pause(now);
+    if (received.slot == this->options.slot || received.slot.empty())
         return false;
-    for (const heartbeat::known_incarnation& told : beat.known_incarnations)
-        this->learn_incarnation(told.slot, told.incarnation);
-    this->incarnations.learn(beat.slot, beat.incarnation);
-    if (beat.incarnation < this->incarnations.highest(beat.slot))
+    for (const heartbeat::known_incarnation& reported :
+         received.known_incarnations)
+        this->learn_incarnation(reported.slot, reported.incarnation);
+    this->incarnations.learn(received.slot, received.incarnation);
+    if (received.incarnation < this->incarnations.highest(received.slot))
         return false;
-    peer& one = this->known[beat.slot];
-    const bool same_incarnation = beat.incarnation == one.incarnation;
-    if (same_incarnation && beat.sequence <= one.sequence)
+    peer_record& peer = this->peers_by_slot[received.slot];
+    const bool same_incarnation = received.incarnation == peer.incarnation;
+    if (same_incarnation && received.sequence <= peer.sequence)
         return false;
     if (!same_incarnation)
-        one.list_sent = 0;
-    one.incarnation = beat.incarnation;
-    one.sequence = beat.sequence;
-    one.said_leaving = beat.leaving;
-    one.config_revision = beat.config_revision;
-    one.list_revision = beat.list_revision;
-    one.platform = beat.platform;
+        peer.list_revision_sent = 0;
+    peer.incarnation = received.incarnation;
+    peer.sequence = received.sequence;
+    peer.announced_leaving = received.leaving;
+    peer.config_revision = received.config_revision;
+    peer.list_revision = received.list_revision;
+    peer.platform = received.platform;
     // Without a link made since the wake it may have been sent before it.
-    if (this->is_paused && !one.linked)
+    if (this->is_paused && !peer.linked)
         return false;
     this->is_paused = false;
-    one.heard = now;
-    one.silent = now;
-    this->refresh(beat.slot, one, now);
+    peer.last_heartbeat = now;
+    peer.silent_since = now;
+    this->update_state(received.slot, peer, now);
     return true;
 }
 
@@ -135,56 +136,58 @@
                      base::incarnation incarnation,
                      base::instant now)
 {
-    this->observe(now);
+    this->detect_pause(now);
     this->learn_incarnation(slot, incarnation);
-    peer& one = this->known[slot];
-    one.linked = true;
-    this->refresh(slot, one, now);
+    peer_record& peer = this->peers_by_slot[slot];
+    peer.linked = true;
+    this->update_state(slot, peer, now);
 }
 
 void roster::link_down(base::slot_id slot, base::instant now)
 {
-    this->observe(now);
-    const auto found = this->known.find(slot);
-    if (found == this->known.end())
+    this->detect_pause(now);
+    const auto found = this->peers_by_slot.find(slot);
+    if (found == this->peers_by_slot.end())
         return;
     found->second.linked = false;
-    this->refresh(slot, found->second, now);
+    this->update_state(slot, found->second, now);
 }
 
 void roster::tick(base::instant now)
 {
-    this->observe(now);
-    for (auto& [slot, one] : this->known)
-        this->refresh(slot, one, now);
-    std::erase_if(this->known, [](const auto& entry) {
-        const peer& one = entry.second;
-        const bool over = one.state == peer_state::gone ||
-                          one.state == peer_state::never_heard;
-        return !one.listed && !one.linked && over;
+    this->detect_pause(now);
+    for (auto& [slot, peer] : this->peers_by_slot)
+        this->update_state(slot, peer, now);
+    std::erase_if(this->peers_by_slot, [](const auto& item) {
+        const peer_record& peer = item.second;
+        const bool absent = peer.state == peer_state::gone ||
+                            peer.state == peer_state::never_heard;
+        return !peer.listed && !peer.linked && absent;
     });
 }
 
-peer_state roster::state_of(const peer& one, base::instant now) const
+peer_state roster::state_of(const peer_record& peer, base::instant now) const
 {
-    if (!one.silent)
+    if (!peer.silent_since)
         return peer_state::never_heard;
-    const base::duration silence = now - *one.silent;
-    const bool leaves = one.said_leaving || one.listed_leaving;
+    const base::duration silence = now - *peer.silent_since;
+    const bool leaving = peer.announced_leaving || peer.listed_leaving;
     if (silence > this->options.gone_after)
         return peer_state::gone;
-    const bool quiet = !one.linked || silence > this->options.suspect_after;
-    if (quiet)
-        return one.said_leaving ? peer_state::gone : peer_state::suspect;
-    return leaves ? peer_state::leaving : peer_state::alive;
+    const bool silent = !peer.linked || silence > this->options.suspect_after;
+    if (silent)
+        return peer.announced_leaving ? peer_state::gone : peer_state::suspect;
+    return leaving ? peer_state::leaving : peer_state::alive;
 }
 
-void roster::refresh(base::slot_id slot, peer& one, base::instant now)
+void roster::update_state(base::slot_id slot,
+                          peer_record& peer,
+                          base::instant now)
 {
-    const peer_state next = this->state_of(one, now);
-    if (next == one.state)
+    const peer_state next = this->state_of(peer, now);
+    if (next == peer.state)
         return;
-    one.state = next;
+    peer.state = next;
     this->changes.push_back({slot, next});
 }
 
@@ -197,10 +200,10 @@
     out.sequence = ++this->sequence;
     out.leaving = this->is_leaving;
     out.config_revision = config_revision;
-    out.list_revision = this->newest.revision;
+    out.list_revision = this->current_list.revision;
     out.platform = platform;
-    out.known_incarnations =
-        this->incarnations.next_to_tell(out.sequence % turns_between_old == 0);
+    out.known_incarnations = this->incarnations.next_to_send(
+        out.sequence % heartbeats_per_repeat == 0);
     return out;
 }
 
@@ -217,19 +220,19 @@
 
 base::data_centre_id roster::data_centre_of(base::slot_id slot) const
 {
-    const auto found = this->known.find(slot);
-    return found == this->known.end() ? base::data_centre_id()
-                                      : found->second.data_centre;
+    const auto found = this->peers_by_slot.find(slot);
+    return found == this->peers_by_slot.end() ? base::data_centre_id()
+                                              : found->second.data_centre;
 }
 
 std::vector<link_target> roster::links_wanted() const
 {
-    return choose_links(this->newest,
+    return choose_links(this->current_list,
                         this->options.slot,
                         this->options.data_centre,
                         [this](base::slot_id slot) {
-                            const auto found = this->known.find(slot);
-                            return found == this->known.end() ||
+                            const auto found = this->peers_by_slot.find(slot);
+                            return found == this->peers_by_slot.end() ||
                                    found->second.state != peer_state::gone;
                         });
 }
@@ -237,71 +240,79 @@
 send_intervals roster::current_intervals() const
 {
     std::size_t links = 0;
-    std::size_t within = 0;
-    for (const auto& [slot, one] : this->known) {
-        links += one.linked ? 1 : 0;
-        const bool near = one.data_centre == this->options.data_centre;
-        within += one.linked && near ? 1 : 0;
+    std::size_t local_links = 0;
+    for (const auto& [slot, peer] : this->peers_by_slot) {
+        links += peer.linked ? 1 : 0;
+        const bool local = peer.data_centre == this->options.data_centre;
+        local_links += peer.linked && local ? 1 : 0;
     }
-    return send_intervals_for(links, within);
+    return send_intervals_for(links, local_links);
 }
 
-bool roster::counts_as_live(const peer& one) const
+bool roster::is_live_and_local(const peer_record& peer) const
 {
-    return one.listed && one.state == peer_state::alive &&
-           one.data_centre == this->options.data_centre;
+    return peer.listed && peer.state == peer_state::alive &&
+           peer.data_centre == this->options.data_centre;
 }
 
 std::optional<std::size_t> roster::rank() const
 {
     if (this->is_leaving || this->superseded() || !this->own_listed)
         return std::nullopt;
-    std::size_t before = 0;
-    for (const auto& [slot, one] : this->known)
-        if (slot < this->options.slot && this->counts_as_live(one))
-            ++before;
-    return before;
+    std::size_t live_below = 0;
+    for (const auto& [slot, peer] : this->peers_by_slot)
+        if (slot < this->options.slot && this->is_live_and_local(peer))
+            ++live_below;
+    return live_below;
 }
 
 std::size_t roster::alive_count() const
 {
-    const auto others = std::count_if(
-        this->known.begin(), this->known.end(), [this](const auto& entry) {
-            return this->counts_as_live(entry.second);
-        });
+    const auto others =
+        std::count_if(this->peers_by_slot.begin(),
+                      this->peers_by_slot.end(),
+                      [this](const auto& item) {
+                          return this->is_live_and_local(item.second);
+                      });
     return 1 + static_cast<std::size_t>(others);
 }
 
 std::size_t roster::listed_peer_count() const
 {
-    const auto count = std::count_if(
-        this->known.begin(), this->known.end(), [this](const auto& entry) {
-            return entry.second.listed &&
-                   entry.second.data_centre == this->options.data_centre;
-        });
+    const auto count = std::count_if(this->peers_by_slot.begin(),
+                                     this->peers_by_slot.end(),
+                                     [this](const auto& item) {
+                                         return item.second.listed &&
+                                                item.second.data_centre ==
+                                                    this->options.data_centre;
+                                     });
     return static_cast<std::size_t>(count);
 }
 
-std::size_t roster::heard_peer_count(base::instant when) const
+std::size_t roster::heard_peer_count(base::instant since) const
 {
-    const auto count = std::count_if(
-        this->known.begin(), this->known.end(), [&](const auto& entry) {
-            const peer& one = entry.second;
-            return one.listed && one.data_centre == this->options.data_centre &&
-                   one.heard && *one.heard >= when;
-        });
+    const auto count = std::count_if(this->peers_by_slot.begin(),
+                                     this->peers_by_slot.end(),
+                                     [&](const auto& item) {
+                                         const peer_record& peer = item.second;
+                                         return peer.listed &&
+                                                peer.data_centre ==
+                                                    this->options.data_centre &&
+                                                peer.last_heartbeat &&
+                                                *peer.last_heartbeat >= since;
+                                     });
     return static_cast<std::size_t>(count);
 }
 
-bool roster::data_centre_silent(base::data_centre_id where) const
+bool roster::data_centre_silent(base::data_centre_id data_centre) const
 {
     bool heard_once = false;
-    for (const auto& [slot, one] : this->known) {
-        if (one.data_centre != where || !one.heard)
+    for (const auto& [slot, peer] : this->peers_by_slot) {
+        if (peer.data_centre != data_centre || !peer.last_heartbeat)
             continue;
         heard_once = true;
         const bool silent =
-            one.state == peer_state::suspect || one.state == peer_state::gone;
+            peer.state == peer_state::suspect || peer.state == peer_state::gone;
         if (!silent)
             return false;
     }
@@ -311,15 +322,15 @@
 std::vector<base::slot_id> roster::list_receivers(base::instant now)
 {
     std::vector<base::slot_id> out;
-    if (now < this->list_due)
+    if (now < this->list_forward_due)
         return out;
-    const std::uint64_t revision = this->newest.revision;
-    for (auto& [slot, one] : this->known) {
-        const bool behind = one.linked && one.list_revision < revision &&
-                            one.list_sent < revision;
-        if (!behind || !one.heard)
+    const std::uint64_t revision = this->current_list.revision;
+    for (auto& [slot, peer] : this->peers_by_slot) {
+        const bool behind = peer.linked && peer.list_revision < revision &&
+                            peer.list_revision_sent < revision;
+        if (!behind || !peer.last_heartbeat)
             continue;
-        one.list_sent = revision;
+        peer.list_revision_sent = revision;
         out.push_back(slot);
     }
     return out;
@@ -328,20 +339,20 @@
 std::vector<peer_view> roster::peers(base::instant now) const
 {
     std::vector<peer_view> out;
-    out.reserve(this->known.size());
-    for (const auto& [slot, one] : this->known) {
+    out.reserve(this->peers_by_slot.size());
+    for (const auto& [slot, peer] : this->peers_by_slot) {
         peer_view view{slot,
-                       one.data_centre,
-                       one.incarnation,
-                       one.state,
-                       one.listed,
-                       one.linked,
-                       one.config_revision,
-                       one.list_revision,
-                       one.platform,
+                       peer.data_centre,
+                       peer.incarnation,
+                       peer.state,
+                       peer.listed,
+                       peer.linked,
+                       peer.config_revision,
+                       peer.list_revision,
+                       peer.platform,
                        std::nullopt};
-        if (one.heard)
-            view.silence = now - *one.heard;
+        if (peer.last_heartbeat)
+            view.silence = now - *peer.last_heartbeat;
         out.push_back(view);
     }
     return out;
--- a/src/greengagedrum/membership/roster.hpp
+++ b/src/greengagedrum/membership/roster.hpp
@@ -67,7 +67,7 @@
     bool update_list(instance_list list, base::instant now);
 
     // False when the heartbeat is not believed: of an old life, or late.
-    bool receive_heartbeat(const heartbeat& beat, base::instant now);
+    bool receive_heartbeat(const heartbeat& received, base::instant now);
 
     // A higher life of any slot, our own included, known by a peer.
     void learn_incarnation(base::slot_id slot, base::incarnation incarnation);
@@ -119,13 +119,13 @@
 
     // Other listed slots of the data centre, and those heard since `when`.
     std::size_t listed_peer_count() const;
-    std::size_t heard_peer_count(base::instant when) const;
+    std::size_t heard_peer_count(base::instant since) const;
 
     // True when peers of it were heard once and all are silent now. One silent
     // instance has died; a silent data centre is more likely cut off.
-    bool data_centre_silent(base::data_centre_id where) const;
+    bool data_centre_silent(base::data_centre_id data_centre) const;
 
-    const instance_list& list() const { return this->newest; }
+    const instance_list& list() const { return this->current_list; }
 
     // Peers that are still behind our list and are to be sent it now; each is
     // named once for a revision.
@@ -135,11 +135,11 @@
     std::vector<state_change> take_changes();
 
 private:
-    struct peer {
+    struct peer_record {
         base::data_centre_id data_centre;
         bool listed = false;
         bool listed_leaving = false;
-        bool said_leaving = false;
+        bool announced_leaving = false;
         bool linked = false;
         peer_state state = peer_state::never_heard;
         base::incarnation incarnation;
@@ -148,25 +148,25 @@
         std::uint64_t list_revision = 0;
         base::platform_reachability platform =
             base::platform_reachability::unknown;
-        std::uint64_t list_sent = 0;         // revision passed on to it
-        std::optional<base::instant> heard;  // its last heartbeat
-        std::optional<base::instant> silent; // from when silence counts
+        std::uint64_t list_revision_sent = 0;        // revision passed on to it
+        std::optional<base::instant> last_heartbeat; // its last heartbeat
+        std::optional<base::instant> silent_since;   // from when silence counts
     };
 
-    void observe(base::instant now);
+    void detect_pause(base::instant now);
     void enter_pause(base::instant now);
-    void refresh(base::slot_id slot, peer& one, base::instant now);
-    peer_state state_of(const peer& one, base::instant now) const;
-    bool counts_as_live(const peer& one) const;
+    void update_state(base::slot_id slot, peer_record& peer, base::instant now);
+    peer_state state_of(const peer_record& peer, base::instant now) const;
+    bool is_live_and_local(const peer_record& peer) const;
 
     roster_options options;
     incarnation_table incarnations;
-    instance_list newest;
-    std::map<base::slot_id, peer> known; // without ourselves
+    instance_list current_list;
+    std::map<base::slot_id, peer_record> peers_by_slot; // without ourselves
     std::vector<state_change> changes;
-    std::optional<base::instant> last_reading;
-    base::instant woke;
-    base::instant list_due; // when to pass the list on
+    std::optional<base::instant> last_clock_reading;
+    base::instant resumed_at;
+    base::instant list_forward_due; // when to pass the list on
     std::uint64_t sequence = 0;
     std::uint32_t pauses = 0;
     bool is_paused = false;
--- a/src/greengagedrum/membership/send_intervals.hpp
+++ b/src/greengagedrum/membership/send_intervals.hpp
@@ -32,22 +32,23 @@
 };
 
 inline send_intervals send_intervals_for(std::size_t links,
-                                         std::size_t links_within)
+                                         std::size_t local_links)
 {
     constexpr std::size_t heartbeat_bytes = 207; // for a link and turn
     constexpr std::size_t heartbeat_rate = 4500; // bytes a second
-    constexpr std::size_t load_bytes = 200;
-    constexpr std::size_t load_rate = 762;
+    constexpr std::size_t digest_bytes = 200;
+    constexpr std::size_t digest_rate = 762;
     constexpr base::duration heartbeat_min(400'000);
     constexpr base::duration heartbeat_max(1'000'000);
-    constexpr base::duration load_min(500'000);
-    constexpr base::duration load_max(6'000'000);
-    constexpr std::size_t second = 1'000'000; // microseconds
-    const base::duration beat(links * heartbeat_bytes * second /
-                              heartbeat_rate);
-    const base::duration load(links_within * load_bytes * second / load_rate);
-    return {std::clamp(beat, heartbeat_min, heartbeat_max),
-            std::clamp(load, load_min, load_max)};
+    constexpr base::duration digest_min(500'000);
+    constexpr base::duration digest_max(6'000'000);
+    constexpr std::size_t microseconds_per_second = 1'000'000; // microseconds
+    const base::duration heartbeat_interval(
+        links * heartbeat_bytes * microseconds_per_second / heartbeat_rate);
+    const base::duration digest_interval(local_links * digest_bytes *
+                                         microseconds_per_second / digest_rate);
+    return {std::clamp(heartbeat_interval, heartbeat_min, heartbeat_max),
+            std::clamp(digest_interval, digest_min, digest_max)};
 }
 
 } // namespace greengagedrum::membership
--- a/src/greengagedrum/membership/test/link_choice_test.cpp
+++ b/src/greengagedrum/membership/test/link_choice_test.cpp
@@ -20,55 +20,56 @@
     fleet_fixture()
     {
         this->list.revision = 1;
-        for (int at = 0; at < entries; ++at) {
-            const std::string where =
-                "zona-" + std::to_string(at % data_centres);
-            this->list.instances.push_back({where + "-" + std::to_string(at),
-                                            instance_type::entry,
-                                            where,
-                                            "127.0.0.1:1",
-                                            listed_state::live});
+        for (int index = 0; index < entries; ++index) {
+            const std::string data_centre =
+                "zona-" + std::to_string(index % data_centres);
+            this->list.instances.push_back(
+                {data_centre + "-" + std::to_string(index),
+                 instance_type::entry,
+                 data_centre,
+                 "127.0.0.1:1",
+                 listed_state::live});
         }
     }
 
-    std::vector<link_target> links_of(const listed_instance& line) const
+    std::vector<link_target> links_of(const listed_instance& entry) const
     {
         return choose_links(this->list,
-                            base::slot_id(line.name),
-                            base::data_centre_id(line.data_centre),
+                            base::slot_id(entry.name),
+                            base::data_centre_id(entry.data_centre),
                             [](base::slot_id) { return true; });
     }
 };
 
 TEST_CASE_FIXTURE(fleet_fixture, "links_whole_fleet_symmetric_and_within_bytes")
 {
-    std::map<base::slot_id, std::string> where;
-    for (const listed_instance& line : this->list.instances)
-        where[base::slot_id(line.name)] = line.data_centre;
+    std::map<base::slot_id, std::string> data_centre_of;
+    for (const listed_instance& entry : this->list.instances)
+        data_centre_of[base::slot_id(entry.name)] = entry.data_centre;
     std::set<std::pair<base::slot_id, base::slot_id>> pairs;
-    std::map<std::pair<std::string, std::string>, int> across;
-    std::size_t most = 0;
-    for (const listed_instance& line : this->list.instances) {
-        const auto links = this->links_of(line);
-        most = std::max(most, links.size());
+    std::map<std::pair<std::string, std::string>, int> pairs_between;
+    std::size_t max_links = 0;
+    for (const listed_instance& entry : this->list.instances) {
+        const auto links = this->links_of(entry);
+        max_links = std::max(max_links, links.size());
         for (const link_target& to : links) {
-            pairs.emplace(base::slot_id(line.name), to.slot);
-            if (where[to.slot] != line.data_centre)
-                ++across[{line.data_centre, where[to.slot]}];
+            pairs.emplace(base::slot_id(entry.name), to.slot);
+            if (data_centre_of[to.slot] != entry.data_centre)
+                ++pairs_between[{entry.data_centre, data_centre_of[to.slot]}];
         }
     }
-    for (const auto& [one, other] : pairs)
-        CHECK(pairs.contains({other, one}));
-    CHECK(across.size() == data_centres * (data_centres - 1));
-    for (const auto& [ends, count] : across)
-        CHECK(count == pairs_across);
-    MESSAGE("most links of one entry: ", most);
+    for (const auto& [from, to] : pairs)
+        CHECK(pairs.contains({to, from}));
+    CHECK(pairs_between.size() == data_centres * (data_centres - 1));
+    for (const auto& [ends, count] : pairs_between)
+        CHECK(count == pairs_per_data_centre);
+    MESSAGE("most links of one entry: ", max_links);
     // What send_intervals.hpp reckons with.
-    CHECK(most <= 26);
-    const send_intervals slowest = send_intervals_for(most, 20);
+    CHECK(max_links <= 26);
+    const send_intervals slowest = send_intervals_for(max_links, 20);
     const double seconds =
         std::chrono::duration<double>(slowest.heartbeat).count();
-    CHECK(static_cast<double>(most) * 207.0 / seconds <= 6144.0);
+    CHECK(static_cast<double>(max_links) * 207.0 / seconds <= 6144.0);
 }
 
 // The two ends of a pair across are lost one after another: the data centres
@@ -79,34 +80,34 @@
     const auto usable = [&gone](base::slot_id slot) {
         return !gone.contains(slot);
     };
-    for (int turn = 0; turn < 8; ++turn) {
-        std::size_t found = 0;
-        std::set<base::slot_id> lost;
-        for (const listed_instance& line : this->list.instances) {
-            if (line.data_centre != "zona-0" ||
-                gone.contains(base::slot_id(line.name)))
+    for (int round = 0; round < 8; ++round) {
+        std::size_t pair_count = 0;
+        std::set<base::slot_id> used;
+        for (const listed_instance& entry : this->list.instances) {
+            if (entry.data_centre != "zona-0" ||
+                gone.contains(base::slot_id(entry.name)))
                 continue;
             for (const link_target& to :
                  choose_links(this->list,
-                              base::slot_id(line.name),
+                              base::slot_id(entry.name),
                               base::data_centre_id("zona-0"),
                               usable)) {
-                const auto far = std::find_if(
+                const auto remote = std::find_if(
                     this->list.instances.begin(),
                     this->list.instances.end(),
                     [&to](const listed_instance& other) {
                         return base::slot_id(other.name) == to.slot &&
                                other.data_centre == "zona-1";
                     });
-                if (far == this->list.instances.end())
+                if (remote == this->list.instances.end())
                     continue;
-                ++found;
-                lost.insert(base::slot_id(line.name));
-                lost.insert(to.slot);
+                ++pair_count;
+                used.insert(base::slot_id(entry.name));
+                used.insert(to.slot);
             }
         }
-        CHECK(found == pairs_across);
-        gone.insert(lost.begin(), lost.end());
+        CHECK(pair_count == pairs_per_data_centre);
+        gone.insert(used.begin(), used.end());
     }
 }
 
--- a/src/greengagedrum/membership/test/roster_fixture.hpp
+++ b/src/greengagedrum/membership/test/roster_fixture.hpp
@@ -17,10 +17,13 @@
     static constexpr base::duration step{200'000};
 
     base::instant now{base::duration(1'000'000)};
-    roster own{options("zona-4-a", 10)};
+    roster tested{options("zona-4-a", 10)};
     std::map<std::string, std::uint64_t> sequences;
 
-    roster_fixture() { this->own.update_list(both(5), this->now); }
+    roster_fixture()
+    {
+        this->tested.update_list(two_data_centres(5), this->now);
+    }
 
     static roster_options options(std::string_view slot,
                                   std::uint64_t incarnation)
@@ -32,26 +35,26 @@
         return out;
     }
 
-    static listed_instance entry(const std::string& where, char slot)
+    static listed_instance entry(const std::string& data_centre, char slot)
     {
-        return {where + "-" + slot,
+        return {data_centre + "-" + slot,
                 instance_type::entry,
-                where,
+                data_centre,
                 std::string("127.0.0.1:") + slot,
                 listed_state::live};
     }
 
-    static instance_list both(std::uint64_t revision)
+    static instance_list two_data_centres(std::uint64_t revision)
     {
         instance_list out;
         out.revision = revision;
-        for (const char* where : {"zona-4", "zona-9"})
+        for (const char* data_centre : {"zona-4", "zona-9"})
             for (const char slot : {'a', 'b', 'c'})
-                out.instances.push_back(entry(where, slot));
+                out.instances.push_back(entry(data_centre, slot));
         return out;
     }
 
-    heartbeat beat(const std::string& slot, std::uint64_t incarnation)
+    heartbeat heartbeat_from(const std::string& slot, std::uint64_t incarnation)
     {
         heartbeat out;
         out.slot = base::slot_id(slot);
@@ -61,39 +64,40 @@
         return out;
     }
 
-    bool hear(const std::string& slot, std::uint64_t incarnation)
+    bool receive(const std::string& slot, std::uint64_t incarnation)
     {
-        return this->own.receive_heartbeat(this->beat(slot, incarnation),
-                                           this->now);
+        return this->tested.receive_heartbeat(
+            this->heartbeat_from(slot, incarnation), this->now);
     }
 
     void link(const std::string& slot, std::uint64_t incarnation)
     {
-        this->own.link_up(
+        this->tested.link_up(
             base::slot_id(slot), base::incarnation{incarnation}, this->now);
     }
 
     void unlink(const std::string& slot)
     {
-        this->own.link_down(base::slot_id(slot), this->now);
+        this->tested.link_down(base::slot_id(slot), this->now);
     }
 
     // Time goes by in ticks; those named are heard in each.
-    void run(base::duration time, const std::vector<std::string>& heard = {})
+    void advance(base::duration time,
+                 const std::vector<std::string>& senders = {})
     {
-        for (base::duration gone{0}; gone < time; gone += step) {
+        for (base::duration elapsed{0}; elapsed < time; elapsed += step) {
             this->now += step;
-            for (const std::string& slot : heard)
-                this->hear(slot, 20);
-            this->own.tick(this->now);
+            for (const std::string& slot : senders)
+                this->receive(slot, 20);
+            this->tested.tick(this->now);
         }
     }
 
     peer_view view(const std::string& slot) const
     {
-        for (const peer_view& one : this->own.peers(this->now))
-            if (one.slot == base::slot_id(slot))
-                return one;
+        for (const peer_view& peer : this->tested.peers(this->now))
+            if (peer.slot == base::slot_id(slot))
+                return peer;
         return {};
     }
 
--- a/src/greengagedrum/membership/test/roster_test.cpp
+++ b/src/greengagedrum/membership/test/roster_test.cpp
@@ -9,18 +9,18 @@
 {
     CHECK(this->state("zona-4-b") == peer_state::never_heard);
     this->link("zona-4-b", 20);
-    CHECK(this->hear("zona-4-b", 20));
+    CHECK(this->receive("zona-4-b", 20));
     CHECK(this->state("zona-4-b") == peer_state::alive);
-    CHECK(this->own.alive_count() == 2);
-    this->run(3600ms);
+    CHECK(this->tested.alive_count() == 2);
+    this->advance(3600ms);
     CHECK(this->state("zona-4-b") == peer_state::suspect);
     CHECK(this->view("zona-4-b").silence == 3600ms);
-    this->run(2600ms);
+    this->advance(2600ms);
     CHECK(this->state("zona-4-b") == peer_state::gone);
-    const auto changes = this->own.take_changes();
+    const auto changes = this->tested.take_changes();
     REQUIRE(changes.size() == 3);
     CHECK(changes[2].state == peer_state::gone);
-    CHECK(this->own.take_changes().empty());
+    CHECK(this->tested.take_changes().empty());
 }
 
 // The process is stopped for ten seconds (a paused machine) and woken. Peers
@@ -30,64 +30,64 @@
                   "roster_paused_past_lease_waits_for_fresh_link")
 {
     this->link("zona-4-b", 20);
-    this->hear("zona-4-b", 20);
+    this->receive("zona-4-b", 20);
     this->now += 10s;
-    CHECK(!this->hear("zona-4-b", 20)); // read from the old link
-    CHECK(this->own.paused());
-    CHECK(this->own.pause_count() == 1);
-    this->run(400ms);
-    CHECK(this->own.paused());
+    CHECK(!this->receive("zona-4-b", 20)); // read from the old link
+    CHECK(this->tested.paused());
+    CHECK(this->tested.pause_count() == 1);
+    this->advance(400ms);
+    CHECK(this->tested.paused());
     CHECK(this->state("zona-4-b") != peer_state::gone); // we slept, not it
     this->link("zona-4-b", 20);
-    CHECK(this->own.paused());
-    CHECK(this->hear("zona-4-b", 20));
-    CHECK(!this->own.paused());
+    CHECK(this->tested.paused());
+    CHECK(this->receive("zona-4-b", 20));
+    CHECK(!this->tested.paused());
     CHECK(this->state("zona-4-b") == peer_state::alive);
 }
 
 TEST_CASE_FIXTURE(roster_fixture, "roster_short_stop_is_no_pause")
 {
-    this->own.tick(this->now);
+    this->tested.tick(this->now);
     this->now += 2900ms;
-    this->own.tick(this->now);
-    CHECK(!this->own.paused());
+    this->tested.tick(this->now);
+    CHECK(!this->tested.paused());
 }
 
 // An entry without any peer has nobody to hear after a pause; only an answer
 // of the platform to what was asked since the wake tells that time has passed.
 TEST_CASE_FIXTURE(roster_fixture, "roster_alone_paused_until_platform_answers")
 {
-    roster alone(options("zona-4-a", 10));
+    roster only_entry(options("zona-4-a", 10));
     instance_list list;
     list.revision = 1;
     list.instances = {entry("zona-4", 'a')};
-    alone.update_list(list, this->now);
-    const base::instant asleep = this->now;
+    only_entry.update_list(list, this->now);
+    const base::instant before_pause = this->now;
     this->now += 10s;
-    alone.tick(this->now);
-    alone.on_platform_response(asleep);
-    CHECK(alone.paused());
-    alone.on_platform_response(this->now + 1ms);
-    CHECK(!alone.paused());
+    only_entry.tick(this->now);
+    only_entry.on_platform_response(before_pause);
+    CHECK(only_entry.paused());
+    only_entry.on_platform_response(this->now + 1ms);
+    CHECK(!only_entry.paused());
 }
 
 // While this process was paused, the platform started another one in its slot.
 // A peer that has met the new one tells; from then on nothing may be granted.
 TEST_CASE_FIXTURE(roster_fixture, "roster_higher_life_in_own_slot_superseded")
 {
-    heartbeat told = this->beat("zona-4-b", 20);
-    told.known_incarnations = {
+    heartbeat received = this->heartbeat_from("zona-4-b", 20);
+    received.known_incarnations = {
         {base::slot_id("zona-4-a"), base::incarnation{11}}};
     this->link("zona-4-b", 20);
-    CHECK(!this->own.superseded());
-    this->own.receive_heartbeat(told, this->now);
-    CHECK(this->own.superseded());
-    CHECK(!this->own.rank().has_value());
-    told = this->beat("zona-4-b", 20);
-    told.known_incarnations = {
+    CHECK(!this->tested.superseded());
+    this->tested.receive_heartbeat(received, this->now);
+    CHECK(this->tested.superseded());
+    CHECK(!this->tested.rank().has_value());
+    received = this->heartbeat_from("zona-4-b", 20);
+    received.known_incarnations = {
         {base::slot_id("zona-4-a"), base::incarnation{10}}};
-    this->own.receive_heartbeat(told, this->now);
-    CHECK(this->own.superseded());
+    this->tested.receive_heartbeat(received, this->now);
+    CHECK(this->tested.superseded());
 }
 
 // A peer restarts. Heartbeats of its old process, delayed on the way, come
@@ -96,63 +96,64 @@
                   "roster_restart_late_beat_of_old_life_ignored")
 {
     this->link("zona-4-b", 20);
-    this->hear("zona-4-b", 20);
-    const heartbeat late = this->beat("zona-4-b", 20);
+    this->receive("zona-4-b", 20);
+    const heartbeat delayed = this->heartbeat_from("zona-4-b", 20);
     this->sequences["zona-4-b"] = 0;
-    CHECK(this->hear("zona-4-b", 21)); // counts from one again
-    CHECK(!this->own.receive_heartbeat(late, this->now));
+    CHECK(this->receive("zona-4-b", 21)); // counts from one again
+    CHECK(!this->tested.receive_heartbeat(delayed, this->now));
     CHECK(this->view("zona-4-b").incarnation.value == 21);
-    CHECK(this->own.highest_incarnation(base::slot_id("zona-4-b")).value == 21);
+    CHECK(this->tested.highest_incarnation(base::slot_id("zona-4-b")).value ==
+          21);
 }
 
 TEST_CASE_FIXTURE(roster_fixture, "roster_repeated_beat_ignored")
 {
     this->link("zona-4-b", 20);
-    const heartbeat one = this->beat("zona-4-b", 20);
-    const heartbeat two = this->beat("zona-4-b", 20);
-    CHECK(this->own.receive_heartbeat(two, this->now));
-    CHECK(!this->own.receive_heartbeat(one, this->now));
-    CHECK(!this->own.receive_heartbeat(two, this->now));
+    const heartbeat first = this->heartbeat_from("zona-4-b", 20);
+    const heartbeat second = this->heartbeat_from("zona-4-b", 20);
+    CHECK(this->tested.receive_heartbeat(second, this->now));
+    CHECK(!this->tested.receive_heartbeat(first, this->now));
+    CHECK(!this->tested.receive_heartbeat(second, this->now));
 }
 
 // A life heard of from one peer must reach those that did not meet it.
 TEST_CASE_FIXTURE(roster_fixture, "roster_new_life_is_passed_on")
 {
     const base::slot_id slot("zona-9-c");
-    this->own.learn_incarnation(slot, base::incarnation{70});
-    this->own.next_heartbeat(0);
-    CHECK(!this->own.heartbeat_is_urgent());
-    this->own.learn_incarnation(slot, base::incarnation{77});
-    CHECK(this->own.heartbeat_is_urgent());
-    const auto tells = [slot](const heartbeat& beat) {
-        return std::any_of(beat.known_incarnations.begin(),
-                           beat.known_incarnations.end(),
+    this->tested.learn_incarnation(slot, base::incarnation{70});
+    this->tested.next_heartbeat(0);
+    CHECK(!this->tested.heartbeat_is_urgent());
+    this->tested.learn_incarnation(slot, base::incarnation{77});
+    CHECK(this->tested.heartbeat_is_urgent());
+    const auto carries_new = [slot](const heartbeat& sent) {
+        return std::any_of(sent.known_incarnations.begin(),
+                           sent.known_incarnations.end(),
                            [slot](const auto& known) {
                                return known.slot == slot &&
                                       known.incarnation.value == 77;
                            });
     };
-    CHECK(tells(this->own.next_heartbeat(0)));
-    CHECK(!this->own.heartbeat_is_urgent());
+    CHECK(carries_new(this->tested.next_heartbeat(0)));
+    CHECK(!this->tested.heartbeat_is_urgent());
     // Later in turn as well, for a peer that was away.
-    int told = 0;
-    for (int turn = 0; turn < 40; ++turn)
-        told += tells(this->own.next_heartbeat(0)) ? 1 : 0;
-    CHECK(told >= 4);
+    int carried = 0;
+    for (int round = 0; round < 40; ++round)
+        carried += carries_new(this->tested.next_heartbeat(0)) ? 1 : 0;
+    CHECK(carried >= 4);
 }
 
 // The service fails over to a copy that lags: it answers a list in which an
 // upstream that has left is live again.
 TEST_CASE_FIXTURE(roster_fixture, "roster_list_going_back_ignored")
 {
-    instance_list newer = both(7);
+    instance_list newer = two_data_centres(7);
     newer.instances.pop_back();
-    CHECK(this->own.update_list(newer, this->now));
-    CHECK(!this->own.update_list(both(6), this->now));
-    CHECK(!this->own.update_list(both(7), this->now));
-    CHECK(this->own.list().revision == 7);
-    CHECK(this->own.list().instances.size() == 5);
-    CHECK(this->own.next_heartbeat(0).list_revision == 7);
+    CHECK(this->tested.update_list(newer, this->now));
+    CHECK(!this->tested.update_list(two_data_centres(6), this->now));
+    CHECK(!this->tested.update_list(two_data_centres(7), this->now));
+    CHECK(this->tested.list().revision == 7);
+    CHECK(this->tested.list().instances.size() == 5);
+    CHECK(this->tested.next_heartbeat(0).list_revision == 7);
 }
 
 // An upstream is listed leaving; the platform tells this entry first, others
@@ -161,35 +162,35 @@
 {
     for (const char* slot : {"zona-4-b", "zona-4-c", "zona-9-a"}) {
         this->link(slot, 20);
-        this->hear(slot, 20);
+        this->receive(slot, 20);
     }
-    this->run(1s, {"zona-4-b", "zona-4-c", "zona-9-a"});
-    CHECK(this->own.list_receivers(this->now).empty());
-    this->own.update_list(both(6), this->now);
-    CHECK(this->own.list_receivers(this->now).empty());
-    heartbeat knows = this->beat("zona-4-c", 20);
-    knows.list_revision = 6;
-    this->own.receive_heartbeat(knows, this->now);
-    this->run(1200ms);
-    auto receivers = this->own.list_receivers(this->now);
+    this->advance(1s, {"zona-4-b", "zona-4-c", "zona-9-a"});
+    CHECK(this->tested.list_receivers(this->now).empty());
+    this->tested.update_list(two_data_centres(6), this->now);
+    CHECK(this->tested.list_receivers(this->now).empty());
+    heartbeat up_to_date = this->heartbeat_from("zona-4-c", 20);
+    up_to_date.list_revision = 6;
+    this->tested.receive_heartbeat(up_to_date, this->now);
+    this->advance(1200ms);
+    auto receivers = this->tested.list_receivers(this->now);
     std::sort(receivers.begin(), receivers.end());
     std::vector<base::slot_id> behind = {base::slot_id("zona-4-b"),
                                          base::slot_id("zona-9-a")};
     std::sort(behind.begin(), behind.end());
     CHECK(receivers == behind);
-    CHECK(this->own.list_receivers(this->now).empty());
+    CHECK(this->tested.list_receivers(this->now).empty());
 }
 
 TEST_CASE_FIXTURE(roster_fixture, "roster_peer_leaving_out_of_rank_then_gone")
 {
     this->link("zona-4-b", 20);
-    this->hear("zona-4-b", 20);
-    CHECK(this->own.alive_count() == 2);
-    heartbeat leaving = this->beat("zona-4-b", 20);
+    this->receive("zona-4-b", 20);
+    CHECK(this->tested.alive_count() == 2);
+    heartbeat leaving = this->heartbeat_from("zona-4-b", 20);
     leaving.leaving = true;
-    this->own.receive_heartbeat(leaving, this->now);
+    this->tested.receive_heartbeat(leaving, this->now);
     CHECK(this->state("zona-4-b") == peer_state::leaving);
-    CHECK(this->own.alive_count() == 1);
+    CHECK(this->tested.alive_count() == 1);
     this->unlink("zona-4-b");
     CHECK(this->state("zona-4-b") == peer_state::gone);
 }
@@ -199,26 +200,26 @@
 TEST_CASE_FIXTURE(roster_fixture,
                   "roster_partition_data_centre_silent_then_heals")
 {
-    const base::data_centre_id far("zona-9");
-    CHECK(!this->own.data_centre_silent(far)); // never heard: not known
+    const base::data_centre_id remote("zona-9");
+    CHECK(!this->tested.data_centre_silent(remote)); // never heard: not known
     for (const char* slot : {"zona-4-b", "zona-9-a", "zona-9-b"}) {
         this->link(slot, 20);
-        this->hear(slot, 20);
+        this->receive(slot, 20);
     }
     this->unlink("zona-9-a");
     CHECK(this->state("zona-9-a") == peer_state::suspect);
-    CHECK(!this->own.data_centre_silent(far));
+    CHECK(!this->tested.data_centre_silent(remote));
     this->unlink("zona-9-b");
-    CHECK(this->own.data_centre_silent(far));
-    CHECK(!this->own.data_centre_silent(base::data_centre_id("zona-4")));
-    this->run(10s, {"zona-4-b"});
+    CHECK(this->tested.data_centre_silent(remote));
+    CHECK(!this->tested.data_centre_silent(base::data_centre_id("zona-4")));
+    this->advance(10s, {"zona-4-b"});
     CHECK(this->state("zona-9-a") == peer_state::gone);
     CHECK(this->state("zona-4-b") == peer_state::alive);
-    CHECK(!this->own.paused());
+    CHECK(!this->tested.paused());
     this->link("zona-9-a", 20);
-    CHECK(this->hear("zona-9-a", 20));
+    CHECK(this->receive("zona-9-a", 20));
     CHECK(this->state("zona-9-a") == peer_state::alive);
-    CHECK(!this->own.data_centre_silent(far));
+    CHECK(!this->tested.data_centre_silent(remote));
 }
 
 TEST_CASE_FIXTURE(roster_fixture, "roster_rank_follows_live_lower_slots")
@@ -228,11 +229,11 @@
         return base::slot_id(x) < base::slot_id(y);
     });
     roster last(options(names[2], 10));
-    last.update_list(both(5), this->now);
+    last.update_list(two_data_centres(5), this->now);
     CHECK(last.rank() == 0U); // nobody else heard yet
     for (const std::string& slot : {names[0], names[1]}) {
         last.link_up(base::slot_id(slot), base::incarnation{20}, this->now);
-        last.receive_heartbeat(this->beat(slot, 20), this->now);
+        last.receive_heartbeat(this->heartbeat_from(slot, 20), this->now);
     }
     CHECK(last.rank() == 2U);
     CHECK(last.listed_peer_count() == 2);
