--- a/src/greengagedrum/membership/link_choice.cpp
+++ b/src/greengagedrum/membership/link_choice.cpp
@@ -17,7 +17,8 @@
 
 using candidate_list = std::vector<candidate>;
 
-// The same for (a, b) and (b, a), and spread well for hashes as input.
+// The rendezvous weight of two slots, the same in either order. Distributes
+// well for inputs that are hashes, as slot ids are.
 std::uint64_t pair_weight(base::slot_id left, base::slot_id right)
 {
     constexpr std::uint64_t multiplier = 0x9e3779b97f4a7c15U;
--- a/src/greengagedrum/membership/link_choice.hpp
+++ b/src/greengagedrum/membership/link_choice.hpp
@@ -1,9 +1,12 @@
-// Which peers an entry keeps links with: all of its data centre, and of each
-// other data centre a few, so that news crosses although no entry knows all.
+// Which peers an entry keeps links with: all in its own data centre, and a few
+// in each other one, so that updates reach all data centres without a full
+// mesh.
 //
-// The pairs across come first by rendezvous hash of both slots, the same from
-// either end, with no end twice: the loss of one entry leaves the other pair.
-// Views may differ; a link that only one end wants is made all the same.
+// The links between two data centres are the pairs of entries with the highest
+// rendezvous hash of both slots. Both ends compute the same pairs. No entry is
+// in two pairs, so that the loss of one entry leaves the other pair. The lists
+// of two entries may differ for a while; a link that only one end chooses is
+// opened all the same.
 #pragma once
 
 #include <greengagedrum/base/ids.hpp>
@@ -22,10 +25,12 @@
     std::string address; // "IP:port"
 };
 
-inline constexpr std::size_t pairs_per_data_centre = 2; // for each data centre
+inline constexpr std::size_t pairs_per_data_centre = 2;
 
-// `usable` is false for a slot whose process is known to be gone; it is still
-// dialled within the data centre, since its successor comes there.
+// The peers that entry `own` of `data_centre` connects to. `usable` returns
+// false for a slot whose process is known to be gone. Such a slot is left out
+// of the links to other data centres, but stays a target within the own one,
+// where its next process will accept the link.
 std::vector<link_target>
 choose_links(const instance_list& list,
              base::slot_id own,
--- a/src/greengagedrum/membership/roster.cpp
+++ b/src/greengagedrum/membership/roster.cpp
@@ -9,15 +9,16 @@
 namespace
 {
 
-// Whoever has a new list lets the platform's watches of the others come first,
-// then passes it on to those still behind; the lowest ranks begin, so that
-// most others find nothing left to do. The sum stays below 2 s.
+// An entry with a new list first gives the other entries time to receive it
+// from the platform, then forwards it to those that have an older one. Lower
+// ranks forward earlier, so that most entries have nothing left to forward. The
+// total delay stays below 2 s.
 constexpr base::duration list_forward_delay(100'000);
 constexpr base::duration list_forward_delay_per_rank(50'000);
 constexpr std::size_t list_forward_rank_max = 18;
 
-// An old life is told in every fourth heartbeat, for the bytes
-// (send_intervals.hpp).
+// A known incarnation is repeated in every fourth heartbeat only, to stay
+// within the byte budget (send_intervals.hpp).
 constexpr std::uint64_t heartbeats_per_repeat = 4;
 
 } // namespace
@@ -27,9 +28,9 @@
     this->incarnations.learn(given.slot, given.incarnation);
 }
 
-// Guards against a process that was stopped for a while and believes on waking
-// that its facts are of a moment ago. It shows as a gap between two readings
-// of the monotonic clock; in a process that runs, the gap is a tick.
+// Guards against a process that was stopped for a while and, once resumed,
+// takes its stale knowledge for current. A pause shows as a gap between two
+// readings of the monotonic clock. In a running process the gap is one tick.
 void roster::detect_pause(base::instant now)
 {
     const auto previous = std::exchange(this->last_clock_reading, now);
@@ -37,9 +38,9 @@
         this->enter_pause(now);
 }
 
-// The peers' silence during our own pause says nothing of them, so it starts
-// anew. No link counts until it is made afresh: bytes that arrived during the
-// pause wait in the old ones.
+// The silence of peers during a pause of this process says nothing about them,
+// so it is counted from now on. No link counts as open until it is opened
+// again, since the old ones hold bytes that arrived during the pause.
 void roster::enter_pause(base::instant now)
 {
     this->is_paused = true;
@@ -116,7 +117,8 @@
     peer.config_revision = received.config_revision;
     peer.list_revision = received.list_revision;
     peer.platform = received.platform;
-    // Without a link made since the wake it may have been sent before it.
+    // Unless the link was opened after the pause, the heartbeat may have been
+    // sent before the pause ended.
     if (this->is_paused && !peer.linked)
         return false;
     this->is_paused = false;
--- a/src/greengagedrum/membership/test/link_choice_test.cpp
+++ b/src/greengagedrum/membership/test/link_choice_test.cpp
@@ -11,6 +11,7 @@
 namespace greengagedrum::membership
 {
 
+// 350 entries in 17 data centres, the fleet that the byte budget is for.
 struct fleet_fixture {
     static constexpr int data_centres = 17;
     static constexpr int entries = 350;
@@ -41,7 +42,8 @@
     }
 };
 
-TEST_CASE_FIXTURE(fleet_fixture, "links_whole_fleet_symmetric_and_within_bytes")
+TEST_CASE_FIXTURE(fleet_fixture,
+                  "links_whole_fleet_symmetric_within_byte_budget")
 {
     std::map<base::slot_id, std::string> data_centre_of;
     for (const listed_instance& entry : this->list.instances)
@@ -64,7 +66,7 @@
     for (const auto& [ends, count] : pairs_between)
         CHECK(count == pairs_per_data_centre);
     MESSAGE("most links of one entry: ", max_links);
-    // What send_intervals.hpp reckons with.
+    // The budget computed in send_intervals.hpp.
     CHECK(max_links <= 26);
     const send_intervals slowest = send_intervals_for(max_links, 20);
     const double seconds =
@@ -72,9 +74,9 @@
     CHECK(static_cast<double>(max_links) * 207.0 / seconds <= 6144.0);
 }
 
-// The two ends of a pair across are lost one after another: the data centres
-// must find other pairs rather than lose sight of each other.
-TEST_CASE_FIXTURE(fleet_fixture, "links_across_pass_over_entries_that_are_gone")
+// Both ends of the chosen pairs fail, round after round. Other pairs must be
+// chosen, or the two data centres lose contact.
+TEST_CASE_FIXTURE(fleet_fixture, "links_remote_ends_gone_other_pairs_chosen")
 {
     std::set<base::slot_id> gone;
     const auto usable = [&gone](base::slot_id slot) {
@@ -111,7 +113,7 @@
     }
 }
 
-TEST_CASE("pace_few_links_quick_many_links_bounded")
+TEST_CASE("send_intervals_few_links_minimum_many_links_bounded")
 {
     CHECK(send_intervals_for(2, 2).heartbeat == base::duration(400'000));
     CHECK(send_intervals_for(25, 20).heartbeat == base::duration(1'000'000));
--- a/src/greengagedrum/membership/test/roster_fixture.hpp
+++ b/src/greengagedrum/membership/test/roster_fixture.hpp
@@ -1,4 +1,4 @@
-// A roster in virtual time, with two data centres of three slots each.
+// A roster on a simulated clock, with two data centres of three slots each.
 #pragma once
 
 #include <greengagedrum/membership/roster.hpp>
@@ -81,7 +81,7 @@
         this->tested.link_down(base::slot_id(slot), this->now);
     }
 
-    // Time goes by in ticks; those named are heard in each.
+    // Advances the clock in ticks. `senders` send a heartbeat in each tick.
     void advance(base::duration time,
                  const std::vector<std::string>& senders = {})
     {
--- a/src/greengagedrum/membership/test/roster_test.cpp
+++ b/src/greengagedrum/membership/test/roster_test.cpp
@@ -23,11 +23,10 @@
     CHECK(this->tested.take_changes().empty());
 }
 
-// The process is stopped for ten seconds (a paused machine) and woken. Peers
-// have given it up and may have handed on what it held; it still believes the
-// heartbeats that lie in its sockets.
-TEST_CASE_FIXTURE(roster_fixture,
-                  "roster_paused_past_lease_waits_for_fresh_link")
+// The process is stopped for ten seconds (a paused machine) and resumed. Peers
+// consider it gone and may have taken over what it held. The heartbeats waiting
+// in its sockets must not count as current.
+TEST_CASE_FIXTURE(roster_fixture, "roster_paused_past_lease_requires_new_link")
 {
     this->link("zona-4-b", 20);
     this->receive("zona-4-b", 20);
@@ -37,7 +36,8 @@
     CHECK(this->tested.pause_count() == 1);
     this->advance(400ms);
     CHECK(this->tested.paused());
-    CHECK(this->state("zona-4-b") != peer_state::gone); // we slept, not it
+    CHECK(this->state("zona-4-b") !=
+          peer_state::gone); // this process paused, the peer did not
     this->link("zona-4-b", 20);
     CHECK(this->tested.paused());
     CHECK(this->receive("zona-4-b", 20));
@@ -45,7 +45,7 @@
     CHECK(this->state("zona-4-b") == peer_state::alive);
 }
 
-TEST_CASE_FIXTURE(roster_fixture, "roster_short_stop_is_no_pause")
+TEST_CASE_FIXTURE(roster_fixture, "roster_stopped_within_lease_not_paused")
 {
     this->tested.tick(this->now);
     this->now += 2900ms;
@@ -53,9 +53,10 @@
     CHECK(!this->tested.paused());
 }
 
-// An entry without any peer has nobody to hear after a pause; only an answer
-// of the platform to what was asked since the wake tells that time has passed.
-TEST_CASE_FIXTURE(roster_fixture, "roster_alone_paused_until_platform_answers")
+// An entry without peers receives no heartbeat after a pause. Only a response
+// of the platform to a request sent after the pause ends the paused state.
+TEST_CASE_FIXTURE(roster_fixture,
+                  "roster_single_entry_paused_until_platform_answers")
 {
     roster only_entry(options("zona-4-a", 10));
     instance_list list;
@@ -72,8 +73,10 @@
 }
 
 // While this process was paused, the platform started another one in its slot.
-// A peer that has met the new one tells; from then on nothing may be granted.
-TEST_CASE_FIXTURE(roster_fixture, "roster_higher_life_in_own_slot_superseded")
+// A peer that knows the new incarnation reports it. From then on this process
+// must not grant anything.
+TEST_CASE_FIXTURE(roster_fixture,
+                  "roster_higher_incarnation_in_own_slot_superseded")
 {
     heartbeat received = this->heartbeat_from("zona-4-b", 20);
     received.known_incarnations = {
@@ -90,23 +93,23 @@
     CHECK(this->tested.superseded());
 }
 
-// A peer restarts. Heartbeats of its old process, delayed on the way, come
-// after the first of the new one: they must not bring the old facts back.
+// A peer restarts. Delayed heartbeats of its old process arrive after the first
+// one of the new process and must not restore the old state.
 TEST_CASE_FIXTURE(roster_fixture,
-                  "roster_restart_late_beat_of_old_life_ignored")
+                  "roster_peer_restarted_heartbeat_of_old_process_ignored")
 {
     this->link("zona-4-b", 20);
     this->receive("zona-4-b", 20);
     const heartbeat delayed = this->heartbeat_from("zona-4-b", 20);
     this->sequences["zona-4-b"] = 0;
-    CHECK(this->receive("zona-4-b", 21)); // counts from one again
+    CHECK(this->receive("zona-4-b", 21)); // sequence restarts at one
     CHECK(!this->tested.receive_heartbeat(delayed, this->now));
     CHECK(this->view("zona-4-b").incarnation.value == 21);
     CHECK(this->tested.highest_incarnation(base::slot_id("zona-4-b")).value ==
           21);
 }
 
-TEST_CASE_FIXTURE(roster_fixture, "roster_repeated_beat_ignored")
+TEST_CASE_FIXTURE(roster_fixture, "roster_repeated_heartbeat_ignored")
 {
     this->link("zona-4-b", 20);
     const heartbeat first = this->heartbeat_from("zona-4-b", 20);
@@ -116,8 +119,8 @@
     CHECK(!this->tested.receive_heartbeat(second, this->now));
 }
 
-// A life heard of from one peer must reach those that did not meet it.
-TEST_CASE_FIXTURE(roster_fixture, "roster_new_life_is_passed_on")
+// An incarnation reported by one peer must reach peers that have no link to it.
+TEST_CASE_FIXTURE(roster_fixture, "roster_new_incarnation_forwarded")
 {
     const base::slot_id slot("zona-9-c");
     this->tested.learn_incarnation(slot, base::incarnation{70});
@@ -135,16 +138,16 @@
     };
     CHECK(carries_new(this->tested.next_heartbeat(0)));
     CHECK(!this->tested.heartbeat_is_urgent());
-    // Later in turn as well, for a peer that was away.
+    // Repeated later as well, for a peer that missed it.
     int carried = 0;
     for (int round = 0; round < 40; ++round)
         carried += carries_new(this->tested.next_heartbeat(0)) ? 1 : 0;
     CHECK(carried >= 4);
 }
 
-// The service fails over to a copy that lags: it answers a list in which an
-// upstream that has left is live again.
-TEST_CASE_FIXTURE(roster_fixture, "roster_list_going_back_ignored")
+// The platform's service fails over to a lagging replica and returns a list in
+// which an instance that has left is live again.
+TEST_CASE_FIXTURE(roster_fixture, "roster_older_list_ignored")
 {
     instance_list newer = two_data_centres(7);
     newer.instances.pop_back();
@@ -156,9 +159,10 @@
     CHECK(this->tested.next_heartbeat(0).list_revision == 7);
 }
 
-// An upstream is listed leaving; the platform tells this entry first, others
-// only seconds later. Work must stop going there everywhere within 2 s.
-TEST_CASE_FIXTURE(roster_fixture, "roster_newer_list_passed_to_those_behind")
+// The list changes, say an upstream is leaving. The platform notifies this
+// entry first and the others seconds later. All entries must stop dispatching
+// to the upstream within 2 s.
+TEST_CASE_FIXTURE(roster_fixture, "roster_newer_list_forwarded_to_peers_behind")
 {
     for (const char* slot : {"zona-4-b", "zona-4-c", "zona-9-a"}) {
         this->link(slot, 20);
@@ -181,7 +185,7 @@
     CHECK(this->tested.list_receivers(this->now).empty());
 }
 
-TEST_CASE_FIXTURE(roster_fixture, "roster_peer_leaving_out_of_rank_then_gone")
+TEST_CASE_FIXTURE(roster_fixture, "roster_peer_leaving_not_counted_then_gone")
 {
     this->link("zona-4-b", 20);
     this->receive("zona-4-b", 20);
@@ -195,13 +199,15 @@
     CHECK(this->state("zona-4-b") == peer_state::gone);
 }
 
-// The other data centre is cut off. Its entries fall silent together: that is
-// told apart from the death of one, and ends when the cut heals.
+// The other data centre is partitioned, so all its entries become silent. The
+// roster must distinguish this from the failure of one entry, until the
+// partition heals.
 TEST_CASE_FIXTURE(roster_fixture,
-                  "roster_partition_data_centre_silent_then_heals")
+                  "roster_partition_data_centre_silent_until_healed")
 {
     const base::data_centre_id remote("zona-9");
-    CHECK(!this->tested.data_centre_silent(remote)); // never heard: not known
+    // Never heard, so not known to be silent.
+    CHECK(!this->tested.data_centre_silent(remote));
     for (const char* slot : {"zona-4-b", "zona-9-a", "zona-9-b"}) {
         this->link(slot, 20);
         this->receive(slot, 20);
@@ -222,7 +228,7 @@
     CHECK(!this->tested.data_centre_silent(remote));
 }
 
-TEST_CASE_FIXTURE(roster_fixture, "roster_rank_follows_live_lower_slots")
+TEST_CASE_FIXTURE(roster_fixture, "roster_lower_slots_live_rank_counts_them")
 {
     std::vector<std::string> names = {"zona-4-a", "zona-4-b", "zona-4-c"};
     std::sort(names.begin(), names.end(), [](const auto& x, const auto& y) {
@@ -230,7 +236,7 @@
     });
     roster last(options(names[2], 10));
     last.update_list(two_data_centres(5), this->now);
-    CHECK(last.rank() == 0U); // nobody else heard yet
+    CHECK(last.rank() == 0U); // no heartbeat received yet
     for (const std::string& slot : {names[0], names[1]}) {
         last.link_up(base::slot_id(slot), base::incarnation{20}, this->now);
         last.receive_heartbeat(this->heartbeat_from(slot, 20), this->now);
