--- a/src/greengagedrum/daemon/peer_duty_hearing.cpp
+++ b/src/greengagedrum/daemon/peer_duty_hearing.cpp
@@ -21,12 +21,12 @@
 
 void peer_duty::on(const peers::message& from, membership::heartbeat& beat)
 {
-    const bool own = beat.slot == from.sender && beat.life == from.life;
-    if (!own || !this->roster.hear(beat, clock_now()))
+    const bool own = beat.slot == from.sender && beat.incarnation == from.life;
+    if (!own || !this->roster.receive_heartbeat(beat, clock_now()))
         return;
     this->is_paused = this->roster.paused();
     if (beat.config_revision > this->documents.revision() ||
-        beat.contact == base::platform_reachability::unreachable)
+        beat.platform == base::platform_reachability::unreachable)
         this->next_publish = {}; // now: a spreader waits for it
     this->pull(from.sender, beat.config_revision);
     this->push_or_drop(delivery::peer_heartbeat{std::move(beat), from.answers});
--- a/src/greengagedrum/daemon/status_text.cpp
+++ b/src/greengagedrum/daemon/status_text.cpp
@@ -91,7 +91,7 @@
 std::string_view to_string(membership::peer_state state)
 {
     switch (state) {
-    case membership::peer_state::unheard:
+    case membership::peer_state::never_heard:
         return "unheard";
     case membership::peer_state::alive:
         return "alive";
@@ -124,7 +124,7 @@
                         {"state", to_string(one.state)},
                         {"listed", one.listed},
                         {"linked", one.linked},
-                        {"incarnation", one.life.value},
+                        {"incarnation", one.incarnation.value},
                         {"config_revision", one.config_revision},
                         {"list_revision", one.list_revision}});
     return list;
--- a/src/programs/bench_state/sections.hpp
+++ b/src/programs/bench_state/sections.hpp
@@ -369,13 +369,13 @@
             const double before = allocated_kib();
             membership::roster_options options;
             options.slot = base::slot_id("instance-0");
-            options.life = base::incarnation{1};
+            options.incarnation = base::incarnation{1};
             options.data_centre = base::data_centre_id("zona-0");
             membership::roster tested(options);
             base::instant now(std::chrono::seconds(1));
             membership::instance_list copy = list;
             const double start = processor_now();
-            tested.adopt(std::move(copy), now);
+            tested.update_list(std::move(copy), now);
             adopt_us.push_back((processor_now() - start) * million);
             kib.push_back(allocated_kib() - before);
             const double ticked = processor_now();
