--- a/src/greengagedrum/traffic/test/data_centre_constraint_test.cpp
+++ b/src/greengagedrum/traffic/test/data_centre_constraint_test.cpp
@@ -29,7 +29,7 @@
     static request_facts bound_facts()
     {
         request_facts out = stream_facts();
-        out.homes = {true, {base::data_centre_id("home")}};
+        out.allowed_data_centres = {true, {base::data_centre_id("home")}};
         out.retry = routing::retry_policy::resumable;
         out.attempts_max = 3;
         return out;
--- a/src/greengagedrum/traffic/upstream_pool.cpp
+++ b/src/greengagedrum/traffic/upstream_pool.cpp
@@ -379,7 +379,7 @@
         return 0;
     std::uint32_t sum = 0;
     for (const base::upstream_id id : found->second.members)
-        sum += this->upstreams.at(id).others;
+        sum += this->upstreams.at(id).peer_requests;
     return sum;
 }
 
