--- a/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.hpp
@@ -29,10 +29,9 @@
     std::uint32_t unanswered = 0;
     // Share of what the limit allows in the whole run.
     double admitted_share = 0;
-    double peak_window_share =
-        // The highest usage of a window, as a share of its bound, and its time
-        // in seconds.
-        0;
+    // The highest usage of a window, as a share of its bound, and its time in
+    // seconds.
+    double peak_window_share = 0;
     double peak_at = 0;
     // The largest share of the limit that any entry still reserves for absent
     // entries at the end of the run.
--- a/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
+++ b/src/greengagedrum/entry/fleet_test/virtual_fleet.hpp
@@ -15,7 +15,7 @@
 namespace greengagedrum::entry::fleet_test
 {
 
-// Address of the entry with number 0; the others follow.
+// Address of entry 0; the other entries have the following addresses.
 inline constexpr gossip::ipv4_address first_address = 0x0a000001; // 10.0.0.1
 
 struct fault_plan {
@@ -116,7 +116,7 @@
     std::vector<std::unique_ptr<node>> nodes; // null: down
     // Restart times of entries that are down.
     std::vector<base::instant> restart_at;
-    std::deque<datagram> near_queue;
+    std::deque<datagram> near_queue; // within a data centre
     std::deque<datagram> far_queue;
     std::vector<std::uint64_t> sent_bytes; // by entry number
     std::size_t next_restart = 0;
