--- a/src/greengagedrum/delivery/claims.cpp
+++ b/src/greengagedrum/delivery/claims.cpp
@@ -105,9 +105,9 @@
         this->desk.failed(item.id, run, this->now, this->desk_outputs);
         return run;
     }
-    const base::run_state told =
+    const base::run_state desk_state =
         this->desk.give_up(item.id, this->now, this->desk_outputs);
-    return told == base::run_state::may_have_run ? told : run;
+    return desk_state == base::run_state::may_have_run ? desk_state : run;
 }
 
 // True when outputs were applied, which may have freed or taken slots.
--- a/src/greengagedrum/delivery/preemption.cpp
+++ b/src/greengagedrum/delivery/preemption.cpp
@@ -59,11 +59,12 @@
     const admission::running* run = this->running_requests.find(item.id);
     if (item.tokens_received > 0 || run == nullptr)
         return prompt;
-    const double had = static_cast<double>((this->now - run->since).count());
-    const double whole = static_cast<double>(
+    const double elapsed =
+        static_cast<double>((this->now - run->since).count());
+    const double full_time = static_cast<double>(
         std::max(this->estimator.prefill(item.spec), base::duration{1})
             .count());
-    return prompt * std::min(1.0, had / whole);
+    return prompt * std::min(1.0, elapsed / full_time);
 }
 
 // The cancelled dispatch does not count as an attempt, as it did not fail.
--- a/src/greengagedrum/delivery/scheduler.cpp
+++ b/src/greengagedrum/delivery/scheduler.cpp
@@ -181,16 +181,16 @@
     static_cast<void>(what);
 }
 
-void scheduler::end_with_answer(request& item, base::answer_ptr whole)
+void scheduler::end_with_answer(request& item, base::answer_ptr answer)
 {
     this->planner.ended(item.dispatch, this->now);
     if (const auto* ran = this->running_requests.find(item.id))
         this->estimator.observe(item.spec, this->now - ran->since);
     if (item.holds_claim)
-        this->desk.answered(item.id, whole, this->now, this->desk_outputs);
+        this->desk.answered(item.id, answer, this->now, this->desk_outputs);
     item.holds_claim = false;
     this->count.answered += 1;
-    this->out->push_back(end_answered{item.id, std::move(whole)});
+    this->out->push_back(end_answered{item.id, std::move(answer)});
     this->remove(item);
 }
 
--- a/src/greengagedrum/delivery/scheduler.hpp
+++ b/src/greengagedrum/delivery/scheduler.hpp
@@ -142,7 +142,7 @@
     void resume(request& item);
     void break_stream(const request& item, bool cancel);
     void retry_or_end(request& item, base::reason why);
-    void end_with_answer(request& item, base::answer_ptr whole);
+    void end_with_answer(request& item, base::answer_ptr answer);
     void end_with_verdict(request& item, base::verdict verdict);
     void end_without_upstream(request& item);
     void remove(request& item);
--- a/src/greengagedrum/delivery/waiting.cpp
+++ b/src/greengagedrum/delivery/waiting.cpp
@@ -15,9 +15,9 @@
 constexpr base::duration retry_after_min = std::chrono::milliseconds(100);
 constexpr base::duration retry_after_max = std::chrono::minutes(5);
 
-base::duration scaled(base::duration whole, double part)
+base::duration scaled(base::duration duration, double factor)
 {
-    const double ticks = static_cast<double>(whole.count()) * part;
+    const double ticks = static_cast<double>(duration.count()) * factor;
     return base::duration(static_cast<base::duration::rep>(ticks));
 }
 
