--- a/src/greengagedrum/delivery/phase.hpp
+++ b/src/greengagedrum/delivery/phase.hpp
@@ -7,9 +7,9 @@
 //      |           |           |
 //      +--> ended <+--- backing_off (before the next dispatch)
 //
-// request::run_state() gives the run state that a caller may be told. It
-// becomes may_have_run with the transition to `dispatched`, which is made
-// before the first byte is written to an upstream.
+// A request may have run from the transition to `dispatched` on, which is made
+// before the first byte is written to an upstream, unless the connect is
+// refused.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +24,7 @@
     queued,      // waits for a slot of an upstream
     dispatched,  // sent to an upstream, its stream is being read
     resuming,    // lost its connection, waits to resume the stream
-    backing_off, // failed, waits for its next dispatch
+    backing_off, // connect refused or failed; waits before it is queued again
     ended        // answered, or ended with a verdict
 };
 
--- a/src/greengagedrum/delivery/request.hpp
+++ b/src/greengagedrum/delivery/request.hpp
@@ -18,7 +18,8 @@
     base::request_id id;
     base::request_spec spec;
     delivery::phase phase = delivery::phase::queued;
-    bool may_have_run = false; // a dispatch may have written to an upstream
+    bool may_have_run =
+        false; // a past dispatch may have written to an upstream
     bool caller_present = true;
     bool holds_claim = false; // the desk has a claim open for it
     std::uint64_t body_digest = 0;
@@ -40,7 +41,7 @@
     // When its timer fires, if one is set.
     std::optional<base::instant> timer;
 
-    // The run state to report if the request ended now.
+    // The run state to report when the request ends while it is not running.
     base::run_state run_state() const
     {
         return this->may_have_run ? base::run_state::may_have_run
