--- a/src/greengagedrum/delivery/request.hpp
+++ b/src/greengagedrum/delivery/request.hpp
@@ -18,8 +18,7 @@
     base::request_id id;
     base::request_spec spec;
     delivery::phase phase = delivery::phase::queued;
-    bool may_have_run =
-        false; // a past dispatch may have written to an upstream
+    bool may_have_run = false; // a past dispatch may have run
     bool caller_present = true;
     bool holds_claim = false; // the desk has a claim open for it
     std::uint64_t body_digest = 0;
@@ -35,8 +34,8 @@
     std::uint32_t dispatches = 0; // connect refusals and preemptions excluded
     std::uint32_t connect_refusals = 0; // nothing was written
     std::uint32_t preemptions = 0;      // dispatches cancelled for higher tiers
-    std::vector<base::upstream_id>
-        avoided_upstreams; // failed this request before
+    // Upstreams that failed this request before.
+    std::vector<base::upstream_id> avoided_upstreams;
 
     // When its timer fires, if one is set.
     std::optional<base::instant> timer;
--- a/src/greengagedrum/delivery/scheduler.hpp
+++ b/src/greengagedrum/delivery/scheduler.hpp
@@ -33,9 +33,10 @@
     base::data_centre_id data_centre;
     std::uint64_t seed = 1;
     admission::options admission;
-    idempotency::desk_options
-        desk; // slot, data centre and incarnation are overwritten
-    placement::options placement;  // slot and seed are overwritten
+    // Their slot, data centre, incarnation and seed are overwritten by those
+    // above.
+    idempotency::desk_options desk;
+    placement::options placement;
     std::uint32_t resumes_max = 5; // attempts in a row without progress
     // For how long after its last progress the stream of an at-most-once
     // request is resumed while its upstream can't be reached.
