--- a/src/greengagedrum/admission/controller.cpp
+++ b/src/greengagedrum/admission/controller.cpp
@@ -33,12 +33,12 @@
 
 void controller::insert(const entry& item, base::instant now)
 {
-    queue& own = item.held ? this->held_queues[limit_key_of(item.work)]
-                           : this->queue_of(item.work);
-    if (own.order.empty())
-        own.stalled_since = now;
-    own.order.insert(item.position);
-    own.expected += item.expected;
+    queue& waiting = item.held ? this->held_queues[limit_key_of(item.work)]
+                               : this->queue_of(item.work);
+    if (waiting.order.empty())
+        waiting.stalled_since = now;
+    waiting.order.insert(item.position);
+    waiting.expected += item.expected;
 }
 
 controller::queue& controller::queue_of(const base::request_spec& item)
@@ -64,10 +64,11 @@
         return;
     const entry& item = found->second;
     const limit_key key = limit_key_of(item.work);
-    queue& own = item.held ? this->held_queues[key] : this->queue_of(item.work);
-    own.order.erase(item.position);
-    own.expected -= item.expected;
-    if (item.held && own.order.empty())
+    queue& waiting =
+        item.held ? this->held_queues[key] : this->queue_of(item.work);
+    waiting.order.erase(item.position);
+    waiting.expected -= item.expected;
+    if (item.held && waiting.order.empty())
         this->held_queues.erase(key);
     this->entries.erase(found);
 }
@@ -82,18 +83,18 @@
 {
     for (std::size_t tier = base::tier_count; tier-- > 0;) {
         std::optional<queue_position> evicted;
-        const auto consider = [&](const queue& own) {
-            const auto last = this->evictable_entry(own);
+        const auto consider = [&](const queue& waiting) {
+            const auto last = this->evictable_entry(waiting);
             if (last && (!evicted || *evicted < *last))
                 evicted = last;
         };
         for (const auto& [id, model_queues] : this->classes)
             for (const auto& [model, queues] : model_queues)
                 consider(queues[tier]);
-        for (const auto& [key, own] : this->held_queues) {
-            const base::request_id first = own.order.begin()->request;
+        for (const auto& [key, waiting] : this->held_queues) {
+            const base::request_id first = waiting.order.begin()->request;
             if (base::index_of(this->entries.at(first).work.tier) == tier)
-                consider(own);
+                consider(waiting);
         }
         if (!evicted)
             continue;
@@ -104,15 +105,15 @@
 }
 
 std::optional<controller::queue_position>
-controller::evictable_entry(const queue& own) const
+controller::evictable_entry(const queue& waiting) const
 {
     const auto last = std::find_if(
-        own.order.rbegin(),
-        own.order.rend(),
+        waiting.order.rbegin(),
+        waiting.order.rend(),
         [this](const queue_position& one) {
             return !this->entries.at(one.request).dispatched_before;
         });
-    return last == own.order.rend() ? std::nullopt : std::optional(*last);
+    return last == waiting.order.rend() ? std::nullopt : std::optional(*last);
 }
 
 void controller::offer(base::instant now, const dispatch_callback& try_dispatch)
@@ -128,9 +129,9 @@
 
 void controller::release_held_queues(base::instant now)
 {
-    for (auto own = this->held_queues.begin();
-         own != this->held_queues.end();) {
-        queue& held = own->second;
+    for (auto position = this->held_queues.begin();
+         position != this->held_queues.end();) {
+        queue& held = position->second;
         while (!held.order.empty()) {
             const base::request_id first = held.order.begin()->request;
             entry& item = this->entries.at(first);
@@ -141,22 +142,22 @@
             item.held = false;
             this->insert(item, now);
         }
-        if (const auto refill = this->limiter.refill(own->first, now);
+        if (const auto refill = this->limiter.refill(position->first, now);
             refill && !held.order.empty())
             this->schedule_wake(now, now + *refill);
-        own =
-            held.order.empty() ? this->held_queues.erase(own) : std::next(own);
+        position = held.order.empty() ? this->held_queues.erase(position)
+                                      : std::next(position);
     }
 }
 
 // The queue that has been due for longest goes first; otherwise the queue of a
 // higher tier would repeatedly take the floor grant of a lower one.
-void controller::offer_floor(model_queues& own,
+void controller::offer_floor(model_queues& queues_by_model,
                              base::instant now,
                              const dispatch_callback& try_dispatch)
 {
     std::vector<std::pair<base::instant, queue*>> due;
-    for (auto& [model, queues] : own) {
+    for (auto& [model, queues] : queues_by_model) {
         for (std::size_t tier = 0; tier < base::tier_count; ++tier) {
             const base::instant since =
                 queues[tier].stalled_since + this->limits.floor_age[tier];
@@ -175,13 +176,13 @@
 // Goes tier by tier over all models of the class, because different models may
 // share upstreams. When a tier of a model finds no free slot, the lower tiers
 // of that model are not offered.
-void controller::offer_ordinary(model_queues& own,
+void controller::offer_ordinary(model_queues& queues_by_model,
                                 base::instant now,
                                 const dispatch_callback& try_dispatch)
 {
     std::set<base::model_id> blocked;
     for (std::size_t tier = 0; tier < base::tier_count; ++tier) {
-        for (auto& [model, queues] : own) {
+        for (auto& [model, queues] : queues_by_model) {
             if (blocked.contains(model))
                 continue;
             while (!queues[tier].order.empty()) {
@@ -195,19 +196,19 @@
     }
 }
 
-bool controller::offer_first(queue& own,
+bool controller::offer_first(queue& waiting,
                              base::instant now,
                              const dispatch_callback& try_dispatch,
                              grant how)
 {
-    const base::request_id first = own.order.begin()->request;
+    const base::request_id first = waiting.order.begin()->request;
     // `try_dispatch` may queue other requests, so no reference into the entries
     // is kept across the call.
     const base::request_spec item = this->entries.at(first).work;
     if (!try_dispatch(first, item, how))
         return false;
     this->remove(first);
-    own.stalled_since = now;
+    waiting.stalled_since = now;
     return true;
 }
 
@@ -249,7 +250,7 @@
         queues->begin() + 1 +
             static_cast<std::ptrdiff_t>(base::index_of(item.tier)),
         queues->end(),
-        [](const queue& own) { return !own.order.empty(); });
+        [](const queue& waiting) { return !waiting.order.empty(); });
 }
 
 bool controller::is_held(base::request_id request) const
--- a/src/greengagedrum/admission/controller.hpp
+++ b/src/greengagedrum/admission/controller.hpp
@@ -136,7 +136,7 @@
     std::array<std::uint32_t, base::tier_count>
     waiting_by_tier(base::upstream_class_id upstream_class) const;
 
-    const admission::limiter& limits_in_use() const { return this->limiter; }
+    const admission::limiter& request_limiter() const { return this->limiter; }
 
 private:
     struct queue_position {
@@ -163,18 +163,18 @@
     const tier_queues* tier_queues_of(const base::request_spec& item) const;
     void insert(const entry& item, base::instant now);
     void release_held_queues(base::instant now);
-    void offer_floor(model_queues& own,
+    void offer_floor(model_queues& queues_by_model,
                      base::instant now,
                      const dispatch_callback& try_dispatch);
-    void offer_ordinary(model_queues& own,
+    void offer_ordinary(model_queues& queues_by_model,
                         base::instant now,
                         const dispatch_callback& try_dispatch);
-    bool offer_first(queue& own,
+    bool offer_first(queue& waiting,
                      base::instant now,
-                     const dispatch_callback& try_dispatch,
+                     const dispatch_callback&,
                      grant how);
     std::optional<base::request_id> evict_lowest();
-    std::optional<queue_position> evictable_entry(const queue& own) const;
+    std::optional<queue_position> evictable_entry(const queue& waiting) const;
     void schedule_wake(base::instant now, base::instant at);
     void schedule_floor_wakes(base::instant now);
 
--- a/src/greengagedrum/admission/limiter.cpp
+++ b/src/greengagedrum/admission/limiter.cpp
@@ -64,7 +64,7 @@
     this->acquired.emplace(request, key);
     this->in_flight_by_key[key] += 1;
     if (found != this->buckets.end())
-        this->spent_tokens[key] += base::tokens_of(item);
+        this->admitted_tokens_by_key[key] += base::tokens_of(item);
     return true;
 }
 
@@ -96,10 +96,10 @@
                                   seconds * base::microseconds_per_second)));
 }
 
-std::uint64_t limiter::spent(const limit_key& key) const
+std::uint64_t limiter::admitted_tokens(const limit_key& key) const
 {
-    const auto found = this->spent_tokens.find(key);
-    return found == this->spent_tokens.end() ? 0 : found->second;
+    const auto found = this->admitted_tokens_by_key.find(key);
+    return found == this->admitted_tokens_by_key.end() ? 0 : found->second;
 }
 
 std::uint32_t limiter::in_flight(const limit_key& key) const
--- a/src/greengagedrum/admission/limiter.hpp
+++ b/src/greengagedrum/admission/limiter.hpp
@@ -63,7 +63,7 @@
     }
 
     // Tokens of all requests admitted since the start of the process.
-    std::uint64_t spent(const limit_key& key) const;
+    std::uint64_t admitted_tokens(const limit_key& key) const;
 
     std::uint32_t in_flight(const limit_key& key) const;
     const limit* find(const limit_key& key) const; // null: unlimited
@@ -79,7 +79,7 @@
 
     std::map<limit_key, bucket> buckets;
     std::map<limit_key, std::uint32_t> in_flight_by_key;
-    std::map<limit_key, std::uint64_t> spent_tokens;
+    std::map<limit_key, std::uint64_t> admitted_tokens_by_key;
     std::unordered_map<base::request_id, limit_key> acquired;
 };
 
--- a/src/greengagedrum/capacity/shares.cpp
+++ b/src/greengagedrum/capacity/shares.cpp
@@ -103,7 +103,7 @@
     }
     if (known.sequence != 0 && digest.sequence <= known.sequence)
         return; // out of order or duplicate
-    known.at = now;
+    known.updated_at = now;
     apply(known, digest);
 }
 
@@ -170,7 +170,7 @@
                    !this->last_sent.limits.contains(limit_usage_key(usage));
         });
     }
-    this->last_sent.at = now;
+    this->last_sent.updated_at = now;
     apply(this->last_sent, out);
     return out;
 }
@@ -182,7 +182,7 @@
         return this->last_sent.sequence == 0 ? nullptr : &this->last_sent;
     const auto found = this->peers.find(slot);
     if (found == this->peers.end() ||
-        now - found->second.at > peer_view_lifetime)
+        now - found->second.updated_at > peer_view_lifetime)
         return nullptr;
     return &found->second;
 }
--- a/src/greengagedrum/capacity/shares.hpp
+++ b/src/greengagedrum/capacity/shares.hpp
@@ -83,7 +83,7 @@
     struct load_view {
         base::incarnation incarnation;
         std::uint64_t sequence = 0;
-        base::instant at;
+        base::instant updated_at;
         std::map<base::upstream_id, upstream_usage> uses;
         std::map<base::upstream_class_id, class_demand> demands;
         std::map<limit_id, limit_usage> limits;
--- a/src/greengagedrum/delivery/sharing.cpp
+++ b/src/greengagedrum/delivery/sharing.cpp
@@ -158,10 +158,10 @@
             capacity::limit_usage use;
             use.workspace = workspace.id;
             use.kind = kind.id;
-            use.in_flight = this->admission.limits_in_use().in_flight(key) +
+            use.in_flight = this->admission.request_limiter().in_flight(key) +
                             this->admission.held_count(key);
             const std::uint64_t spent =
-                this->admission.limits_in_use().spent(key);
+                this->admission.request_limiter().admitted_tokens(key);
             const std::uint64_t fresh =
                 spent - std::exchange(this->tokens_told[key], spent);
             if (kind.tokens_per_second > 0 && passed > 0)
