--- a/src/greengagedrum/admission/controller.hpp
+++ b/src/greengagedrum/admission/controller.hpp
@@ -2,13 +2,14 @@
 // evict when the queues are full.
 //
 // There is one queue per upstream class, model and tier, for requests of the
-// same class and model share their candidate upstreams. Within a queue the
-// request with the least slack goes first: the one with the earliest latest
-// start that still meets its deadline. Across tiers the higher tier goes first,
-// except for the floor: a queue without a grant for its `floor_age` is offered
-// ahead of all others, so that long-running work advances during an endless
-// burst of higher tiers. The caller decides on any further conditions for a
-// floor grant and on whether an upstream has a free slot.
+// same class and model share their candidate upstreams. A request's latest
+// start is its deadline minus its expected run time; within a queue the request
+// with the least slack, that is, the earliest latest start, goes first. Across
+// tiers the higher tier goes first, except for the floor: a queue without a
+// grant for its `floor_age` is offered ahead of all others, so that
+// long-running work advances during an endless burst of higher tiers. The
+// caller decides on any further conditions for a floor grant and on whether an
+// upstream has a free slot.
 //
 // A request held back by a limit of its workspace waits in a separate queue per
 // limit and does not block requests under other limits.
@@ -49,8 +50,8 @@
     // the allowance; at least one slot, or none when zero.
     double overdraft_share = 0.5;
 
-    // Ratio of requests in flight to allowance above which nothing is
-    // dispatched, whatever the tier.
+    // Requests in flight on an upstream, as a multiple of the allowance, at
+    // which nothing more is dispatched there, whatever the tier.
     std::uint32_t hard_factor = 4;
 
     // Maximum number of times one request is cancelled for a higher tier.
--- a/src/greengagedrum/admission/limiter.hpp
+++ b/src/greengagedrum/admission/limiter.hpp
@@ -62,7 +62,7 @@
         return this->acquired.contains(request);
     }
 
-    // Tokens of all requests admitted since the start of the process.
+    // Tokens of all requests admitted under a limit since the process started.
     std::uint64_t admitted_tokens(const limit_key& key) const;
 
     std::uint32_t in_flight(const limit_key& key) const;
--- a/src/greengagedrum/capacity/test/shares_test.cpp
+++ b/src/greengagedrum/capacity/test/shares_test.cpp
@@ -110,8 +110,8 @@
     CHECK(this->split_now(9) == std::vector<std::uint32_t>{3, 3, 3});
 }
 
-// The last request of a burst ends and the next burst begins shortly after: the
-// share must not be given up and regained in between.
+// The last request of a burst ends and the next request arrives 100 ms later:
+// the share must not be given up and regained in between.
 TEST_CASE_FIXTURE(shares_fixture, "demand_drops_briefly_share_kept")
 {
     this->exchange({demand_of(0, 100), demand_of(0, 0), demand_of(0, 0)});
