--- a/src/greengagedrum/admission/controller.hpp
+++ b/src/greengagedrum/admission/controller.hpp
@@ -2,13 +2,14 @@
 // evict when the queues are full.
 //
 // There is one queue per upstream class, model and tier, for requests of the
-// same class and model share their candidate upstreams. Within a queue the
-// request with the least slack goes first: the one with the earliest latest
-// start that still meets its deadline. Across tiers the higher tier goes first,
-// except for the floor: a queue without a grant for its `floor_age` is offered
-// ahead of all others, so that long-running work advances during an endless
-// burst of higher tiers. The caller decides on any further conditions for a
-// floor grant and on whether an upstream has a free slot.
+// same class and model share their candidate upstreams. A request's latest
+// start is its deadline minus its expected run time; within a queue the request
+// with the least slack, that is, the earliest latest start, goes first. Across
+// tiers the higher tier goes first, except for the floor: a queue without a
+// grant for its `floor_age` is offered ahead of all others, so that
+// long-running work advances during an endless burst of higher tiers. The
+// caller decides on any further conditions for a floor grant and on whether an
+// upstream has a free slot.
 //
 // A request held back by a limit of its workspace waits in a separate queue per
 // limit and does not block requests under other limits.
@@ -49,8 +50,8 @@
     // the allowance; at least one slot, or none when zero.
     double overdraft_share = 0.5;
 
-    // Ratio of requests in flight to allowance above which nothing is
-    // dispatched, whatever the tier.
+    // Requests in flight on an upstream, as a multiple of the allowance, at
+    // which nothing more is dispatched there, whatever the tier.
     std::uint32_t hard_factor = 4;
 
     // Maximum number of times one request is cancelled for a higher tier.
@@ -136,7 +137,7 @@
     std::array<std::uint32_t, base::tier_count>
     waiting_by_tier(base::upstream_class_id upstream_class) const;
 
-    const admission::limiter& limits_in_use() const { return this->limiter; }
+    const admission::limiter& request_limiter() const { return this->limiter; }
 
 private:
     struct queue_position {
@@ -163,18 +164,18 @@
     const tier_queues* tier_queues_of(const base::request_spec& item) const;
     void insert(const entry& item, base::instant now);
     void release_held_queues(base::instant now);
-    void offer_floor(model_queues& own,
+    void offer_floor(model_queues& queues_by_model,
                      base::instant now,
                      const dispatch_callback& try_dispatch);
-    void offer_ordinary(model_queues& own,
+    void offer_ordinary(model_queues& queues_by_model,
                         base::instant now,
                         const dispatch_callback& try_dispatch);
-    bool offer_first(queue& own,
+    bool offer_first(queue& waiting,
                      base::instant now,
-                     const dispatch_callback& try_dispatch,
+                     const dispatch_callback&,
                      grant how);
     std::optional<base::request_id> evict_lowest();
-    std::optional<queue_position> evictable_entry(const queue& own) const;
+    std::optional<queue_position> evictable_entry(const queue& waiting) const;
     void schedule_wake(base::instant now, base::instant at);
     void schedule_floor_wakes(base::instant now);
 
