--- a/src/greengagedrum/daemon/peer_duty.cpp
+++ b/src/greengagedrum/daemon/peer_duty.cpp
@@ -299,8 +299,7 @@
 
 membership::heartbeat peer_duty::compose()
 {
-    return this->roster.next_heartbeat(this->documents.revision(),
-                                       this->contact);
+    return this->roster.next_message(this->documents.revision(), this->contact);
 }
 
 bool peer_duty::has_news() const
--- a/src/greengagedrum/membership/roster.cpp
+++ b/src/greengagedrum/membership/roster.cpp
@@ -193,8 +193,8 @@
     this->changes.push_back({slot, next});
 }
 
-heartbeat roster::next_heartbeat(std::uint64_t config_revision,
-                                 base::platform_reachability platform)
+heartbeat roster::next_message(std::uint64_t config_revision,
+                               base::platform_reachability platform)
 {
     heartbeat out;
     out.slot = this->options.slot;
--- a/src/greengagedrum/membership/roster.hpp
+++ b/src/greengagedrum/membership/roster.hpp
@@ -87,10 +87,11 @@
 
     void start_leaving() { this->is_leaving = true; }
 
-    // The next heartbeat to send, with the next sequence number.
-    heartbeat next_heartbeat(std::uint64_t config_revision,
-                             base::platform_reachability platform =
-                                 base::platform_reachability::unknown);
+    // The next message to send to peers: a heartbeat with the next sequence
+    // number.
+    heartbeat next_message(std::uint64_t config_revision,
+                           base::platform_reachability platform =
+                               base::platform_reachability::unknown);
 
     // Whether to send the next heartbeat now rather than after the interval.
     bool heartbeat_is_urgent() const
--- a/src/greengagedrum/membership/test/roster_test.cpp
+++ b/src/greengagedrum/membership/test/roster_test.cpp
@@ -124,7 +124,7 @@
 {
     const base::slot_id slot("zona-9-c");
     this->tested.learn_incarnation(slot, base::incarnation{70});
-    this->tested.next_heartbeat(0);
+    this->tested.next_message(0);
     CHECK(!this->tested.heartbeat_is_urgent());
     this->tested.learn_incarnation(slot, base::incarnation{77});
     CHECK(this->tested.heartbeat_is_urgent());
@@ -136,12 +136,12 @@
                                       known.incarnation.value == 77;
                            });
     };
-    CHECK(carries_new(this->tested.next_heartbeat(0)));
+    CHECK(carries_new(this->tested.next_message(0)));
     CHECK(!this->tested.heartbeat_is_urgent());
     // Repeated later as well, for a peer that missed it.
     int carried = 0;
     for (int round = 0; round < 40; ++round)
-        carried += carries_new(this->tested.next_heartbeat(0)) ? 1 : 0;
+        carried += carries_new(this->tested.next_message(0)) ? 1 : 0;
     CHECK(carried >= 4);
 }
 
@@ -156,7 +156,7 @@
     CHECK(!this->tested.update_list(two_data_centres(7), this->now));
     CHECK(this->tested.list().revision == 7);
     CHECK(this->tested.list().instances.size() == 5);
-    CHECK(this->tested.next_heartbeat(0).list_revision == 7);
+    CHECK(this->tested.next_message(0).list_revision == 7);
 }
 
 // The list changes, say an upstream is leaving. The platform notifies this
@@ -248,7 +248,7 @@
     CHECK(last.rank() == 1U);
     last.start_leaving();
     CHECK(!last.rank().has_value());
-    CHECK(last.next_heartbeat(0).leaving);
+    CHECK(last.next_message(0).leaving);
 }
 
 } // namespace greengagedrum::membership
