--- a/src/greengagedrum/delivery/preemption.cpp
+++ b/src/greengagedrum/delivery/preemption.cpp
@@ -18,7 +18,7 @@
     for (const placement::room& room : rooms) {
         for (const admission::running_request* lower :
              this->running_requests.lower_tier_requests(room.upstream,
-                                                   item.spec.tier)) {
+                                                        item.spec.tier)) {
             request& one = this->requests.at(lower->request);
             if (!this->may_be_preempted(one))
                 continue;
@@ -56,12 +56,15 @@
 double scheduler::lost_prefill_tokens(const request& item) const
 {
     const double prompt = item.spec.prompt_tokens;
-    const admission::running_request* run = this->running_requests.find(item.id);
+    const admission::running_request* run =
+        this->running_requests.find(item.id);
     if (item.tokens_received > 0 || run == nullptr)
         return prompt;
-    const double elapsed = static_cast<double>((this->now - run->dispatched_at).count());
+    const double elapsed =
+        static_cast<double>((this->now - run->dispatched_at).count());
     const double full_time = static_cast<double>(
-        std::max(this->estimator.expected_prefill_time(item.spec), base::duration{1})
+        std::max(this->estimator.expected_prefill_time(item.spec),
+                 base::duration{1})
             .count());
     return prompt * std::min(1.0, elapsed / full_time);
 }
--- a/src/greengagedrum/delivery/sharing.cpp
+++ b/src/greengagedrum/delivery/sharing.cpp
@@ -21,7 +21,8 @@
     if (what.digest.complete)
         this->planner.peer_lost(what.sender);
     this->planner.peer_use(what.sender, what.digest.uses, this->now);
-    this->shares.on_load_digest(what.sender, what.incarnation, what.digest, this->now);
+    this->shares.on_load_digest(
+        what.sender, what.incarnation, what.digest, this->now);
     this->update_shares();
 }
 
@@ -71,10 +72,10 @@
             continue;
         const std::uint32_t share =
             this->shares.upstream_share(entry.id,
-                                     entry.upstream_class,
-                                     entry.max_in_flight,
-                                     totals[entry.upstream_class],
-                                     this->now);
+                                        entry.upstream_class,
+                                        entry.max_in_flight,
+                                        totals[entry.upstream_class],
+                                        this->now);
         this->planner.set_allowance(entry.id, share);
     }
     this->set_own_limits();
@@ -127,7 +128,8 @@
         capacity::upstream_usage use;
         use.upstream = entry.id;
         use.in_flight = this->running_requests.in_flight(entry.id);
-        use.tokens_in_flight = this->running_requests.tokens_in_flight(entry.id);
+        use.tokens_in_flight =
+            this->running_requests.tokens_in_flight(entry.id);
         use.overdraft = use.in_flight > this->planner.allowance(entry.id);
         digest.uses.push_back(use);
     }
--- a/src/greengagedrum/delivery/test/policy_run.hpp
+++ b/src/greengagedrum/delivery/test/policy_run.hpp
@@ -45,7 +45,8 @@
 
 double run_seconds(const workload& load)
 {
-    return load.prompt / prefill_tokens_per_second + load.output / decode_tokens_per_second;
+    return load.prompt / prefill_tokens_per_second +
+           load.output / decode_tokens_per_second;
 }
 
 struct tier_result {
@@ -122,7 +123,8 @@
             load = 2.0;
         if (in_burst && this->shape == burst::urgent_over_capacity && tier == 0)
             load = 8.0; // 1.6 of the capacity
-        if (in_burst && this->shape == burst::urgent_within_capacity && tier == 0)
+        if (in_burst && this->shape == burst::urgent_within_capacity &&
+            tier == 0)
             load = 4.25; // 0.85 of it
         return load * workloads[tier].share * slots * upstream_count /
                run_seconds(workloads[tier]);
@@ -191,7 +193,8 @@
             const double relative_speed = std::min(
                 1.0, static_cast<double>(slots) / loads[record.upstream]);
             record.remaining_seconds -=
-                relative_speed * std::chrono::duration<double>(tick_length).count();
+                relative_speed *
+                std::chrono::duration<double>(tick_length).count();
             if (record.remaining_seconds <= 0)
                 done.push_back(id);
             else
@@ -203,9 +206,12 @@
                 continue;
             stream& record = found->second;
             const auto tokens = static_cast<std::uint32_t>(
-                std::max(0.0, (record.decode_seconds - record.remaining_seconds) * decode_tokens_per_second));
+                std::max(0.0,
+                         (record.decode_seconds - record.remaining_seconds) *
+                             decode_tokens_per_second));
             if (tokens > record.reported_tokens)
-                this->step(stream_progressed{id, record.reported_tokens = tokens});
+                this->step(
+                    stream_progressed{id, record.reported_tokens = tokens});
         }
         for (const base::dispatch_id id : done)
             if (this->streams.erase(id) > 0)
@@ -218,7 +224,8 @@
         std::vector<action> actions;
         this->core.step(input, this->now, actions);
         for (const action& one : actions)
-            std::visit([this](const auto& order) { this->execute(order); }, one);
+            std::visit([this](const auto& order) { this->execute(order); },
+                       one);
     }
 
     void execute(const start_dispatch& order)
@@ -227,10 +234,14 @@
         const workload& load = workloads[record.tier];
         if (!record.dispatched)
             this->results[record.tier].waits.push_back(
-                std::chrono::duration<double>(this->now - record.arrived).count());
+                std::chrono::duration<double>(this->now - record.arrived)
+                    .count());
         record.dispatched = true;
-        this->streams[order.dispatch] = stream{
-            order.upstream, run_seconds(load), load.output / decode_tokens_per_second, 0};
+        this->streams[order.dispatch] =
+            stream{order.upstream,
+                   run_seconds(load),
+                   load.output / decode_tokens_per_second,
+                   0};
     }
     void execute(const stop_stream& order)
     {
@@ -254,8 +265,9 @@
         // By what the caller's kind is, also where the policy does not know.
         bool lower = false;
         for (const auto& [id, running] : this->streams)
-            lower = lower || running.decode_seconds >
-                                 workloads[record.tier].output / decode_tokens_per_second;
+            lower = lower ||
+                    running.decode_seconds > workloads[record.tier].output /
+                                                 decode_tokens_per_second;
         if (admission::counts_as_shed(order.verdict) && lower)
             this->shed_before_lower += 1;
     }
--- a/src/greengagedrum/delivery/test/random_run.hpp
+++ b/src/greengagedrum/delivery/test/random_run.hpp
@@ -40,7 +40,8 @@
 
     bool chance(double probability)
     {
-        return std::uniform_real_distribution<double>()(this->generator) < probability;
+        return std::uniform_real_distribution<double>()(this->generator) <
+               probability;
     }
 
     void publish_config()
@@ -54,7 +55,8 @@
             upstream.upstream_class =
                 base::upstream_class_id(i < 3 ? "photo" : "counter");
             upstream.models = {i == 0 ? "old" : "compliance", "crop"};
-            upstream.max_in_flight = 2 + static_cast<std::uint32_t>(this->random_below(4));
+            upstream.max_in_flight =
+                2 + static_cast<std::uint32_t>(this->random_below(4));
             snapshot.fleet.upstreams.push_back(upstream);
         }
         config::workspace_rules workspace;
@@ -105,10 +107,12 @@
         spec.repetition = this->chance(0.5) ? base::repetition::idempotent
                                             : base::repetition::at_most_once;
         spec.preemptible = this->chance(0.5);
-        spec.prompt_tokens = 1 + static_cast<std::uint32_t>(this->random_below(5000));
-        spec.output_tokens = 1 + static_cast<std::uint32_t>(this->random_below(500));
-        arrival.deadline_after =
-            base::duration(static_cast<std::int64_t>(this->random_below(20'000'000)));
+        spec.prompt_tokens =
+            1 + static_cast<std::uint32_t>(this->random_below(5000));
+        spec.output_tokens =
+            1 + static_cast<std::uint32_t>(this->random_below(500));
+        arrival.deadline_after = base::duration(
+            static_cast<std::int64_t>(this->random_below(20'000'000)));
         request_record added;
         added.spec = spec;
         this->requests.emplace(arrival.request, added);
@@ -117,9 +121,10 @@
 
     void step_stream()
     {
-        const auto chosen = std::next(
-            this->streams.begin(),
-            static_cast<std::ptrdiff_t>(this->random_below(this->streams.size())));
+        const auto chosen =
+            std::next(this->streams.begin(),
+                      static_cast<std::ptrdiff_t>(
+                          this->random_below(this->streams.size())));
         const base::dispatch_id id = chosen->first;
         stream& record = chosen->second;
         const std::uint64_t roll = this->random_below(100);
@@ -129,7 +134,8 @@
             this->step(connect_refused{id, connection});
         } else if (roll < 60) {
             record.has_started = true;
-            record.tokens += 1 + static_cast<std::uint32_t>(this->random_below(20));
+            record.tokens +=
+                1 + static_cast<std::uint32_t>(this->random_below(20));
             this->step(stream_progressed{id, record.tokens});
         } else if (roll < 85) {
             this->step(stream_finished{
@@ -162,8 +168,8 @@
 
     void step_random_event()
     {
-        this->now += base::duration(
-            static_cast<std::int64_t>(this->random_below(this->short_intervals ? 5000 : 80000)));
+        this->now += base::duration(static_cast<std::int64_t>(
+            this->random_below(this->short_intervals ? 5000 : 80000)));
         const std::uint64_t roll = this->random_below(1000);
         if (roll < 3)
             return this->list_upstreams();
@@ -224,8 +230,9 @@
         if (record.spec.repetition == base::repetition::at_most_once)
             CHECK_MESSAGE(record.dispatches == 1, this->failure_context());
         // Dispatched by its timer, and its caller left in the same step.
-        CHECK_MESSAGE((record.caller_left || this->core.find(order.request) != nullptr),
-                      this->failure_context());
+        CHECK_MESSAGE(
+            (record.caller_left || this->core.find(order.request) != nullptr),
+            this->failure_context());
         this->streams[order.dispatch] = stream{order.request, order.connection};
     }
 
@@ -257,7 +264,8 @@
     {
         const request_record& record = this->requests.at(order.request);
         const bool handed_over =
-            record.dispatches > (this->refused.contains(record.last_dispatch) ? 1 : 0);
+            record.dispatches >
+            (this->refused.contains(record.last_dispatch) ? 1 : 0);
         if (order.verdict.run == base::run_state::not_run)
             CHECK_MESSAGE(!handed_over, this->failure_context());
         if (!record.caller_left && admission::counts_as_shed(order.verdict))
@@ -294,16 +302,17 @@
     {
         for (const base::request_spec& spec : this->shed_specs) {
             this->shed_count += 1;
-            const auto violated_by =
-                admission::find_invariant_violation(spec,
-                                     this->core.running(),
-                                     this->core.rooms(spec),
-                                     admission::options{}.hard_factor);
+            const auto violated_by = admission::find_invariant_violation(
+                spec,
+                this->core.running(),
+                this->core.rooms(spec),
+                admission::options{}.hard_factor);
             CHECK_MESSAGE(!violated_by.has_value(), this->failure_context());
         }
         this->shed_specs.clear();
         for (const base::request_id id : this->ended) {
-            CHECK_MESSAGE(this->core.find(id) == nullptr, this->failure_context());
+            CHECK_MESSAGE(this->core.find(id) == nullptr,
+                          this->failure_context());
             this->requests.erase(id);
         }
         this->ended_count += this->ended.size();
@@ -334,8 +343,10 @@
                 break;
         }
         CHECK_MESSAGE(this->requests.empty(), this->failure_context());
-        CHECK_MESSAGE(this->core.running().size() == 0, this->failure_context());
-        CHECK_MESSAGE(this->ended_count == this->last_request, this->failure_context());
+        CHECK_MESSAGE(this->core.running().size() == 0,
+                      this->failure_context());
+        CHECK_MESSAGE(this->ended_count == this->last_request,
+                      this->failure_context());
     }
 
     struct request_record {
@@ -367,7 +378,7 @@
     std::map<base::dispatch_id, stream> streams;
     std::set<base::dispatch_id> refused;
     std::set<std::uint64_t> tickets;
-    std::set<base::request_id> ended;     // in this step
+    std::set<base::request_id> ended;           // in this step
     std::vector<base::request_spec> shed_specs; // in this step
 };
 
--- a/src/greengagedrum/delivery/test/simulated_cluster.cpp
+++ b/src/greengagedrum/delivery/test/simulated_cluster.cpp
@@ -39,7 +39,8 @@
 
 } // namespace
 
-simulated_cluster::simulated_cluster(std::uint64_t seed) : seed(seed), generator(seed)
+simulated_cluster::simulated_cluster(std::uint64_t seed)
+    : seed(seed), generator(seed)
 {
     for (const char* name : cluster_slots)
         this->start(base::slot_id(name));
@@ -47,8 +48,8 @@
 
 // Short spans, so that keys are granted again soon after a restart.
 scheduler_options simulated_cluster::options_for(base::slot_id slot,
-                                              base::incarnation incarnation,
-                                              std::uint64_t seed)
+                                                 base::incarnation incarnation,
+                                                 std::uint64_t seed)
 {
     scheduler_options out;
     out.slot = slot;
@@ -66,8 +67,8 @@
     auto item = std::make_unique<simulated_entry>();
     item->slot = slot;
     item->incarnation.value = ++this->last_incarnation;
-    scheduler_options options =
-        options_for(slot, item->incarnation, this->seed + this->last_incarnation);
+    scheduler_options options = options_for(
+        slot, item->incarnation, this->seed + this->last_incarnation);
     options.desk.started = this->now;
     options.desk.started_wall = idempotency::wall_time(
         std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -105,7 +106,8 @@
     item.dead = true;
 }
 
-void simulated_cluster::cut_link(const simulated_entry& left, const simulated_entry& right)
+void simulated_cluster::cut_link(const simulated_entry& left,
+                                 const simulated_entry& right)
 {
     this->cut_links.insert({&left, &right});
     this->cut_links.insert({&right, &left});
@@ -127,7 +129,8 @@
 
 bool simulated_cluster::chance(double probability)
 {
-    return std::uniform_real_distribution<double>()(this->generator) < probability;
+    return std::uniform_real_distribution<double>()(this->generator) <
+           probability;
 }
 
 std::string simulated_cluster::failure_context() const
@@ -208,8 +211,8 @@
 }
 
 void simulated_cluster::send_message(simulated_entry& from,
-                             simulated_entry& to,
-                             scheduled_event item)
+                                     simulated_entry& to,
+                                     scheduled_event item)
 {
     if (this->cut_links.contains({&from, &to}) || this->chance(this->faults))
         return;
@@ -225,7 +228,8 @@
     this->now += step;
     if (this->now >= this->next_heartbeat_at)
         this->send_heartbeats();
-    while (!this->scheduled.empty() && this->scheduled.begin()->first <= this->now) {
+    while (!this->scheduled.empty() &&
+           this->scheduled.begin()->first <= this->now) {
         const scheduled_event item = this->scheduled.begin()->second;
         this->scheduled.erase(this->scheduled.begin());
         if (item.to->dead)
@@ -247,10 +251,12 @@
         this->now - entry.last_run_at > idempotency::desk_options{}.lease;
     if (was_paused)
         this->step(entry, process_paused{});
-    for (const scheduled_event& item : std::exchange(this->undelivered[&entry], {}))
+    for (const scheduled_event& item :
+         std::exchange(this->undelivered[&entry], {}))
         this->deliver(item);
     const auto wake = entry.core->next_wake();
-    if ((wake && *wake <= this->now) || this->now - entry.last_run_at >= longest_sleep)
+    if ((wake && *wake <= this->now) ||
+        this->now - entry.last_run_at >= longest_sleep)
         this->step(entry, tick{});
     entry.last_run_at = this->now;
     if (this->now >= entry.forced_stop_at)
@@ -271,13 +277,15 @@
     this->step(*item.to, std::get<event>(item.payload));
 }
 
-void simulated_cluster::on_heartbeat(simulated_entry& entry, const heartbeat_message& message)
+void simulated_cluster::on_heartbeat(simulated_entry& entry,
+                                     const heartbeat_message& message)
 {
     for (const auto& known : message.body.known_incarnations) {
         base::incarnation& highest = entry.known_incarnations[known.slot];
         highest = std::max(highest, known.incarnation);
     }
-    entry.received_heartbeats[message.body.slot] = {message.body.incarnation, message.sent_at};
+    entry.received_heartbeats[message.body.slot] = {message.body.incarnation,
+                                                    message.sent_at};
     std::optional<base::instant> as_of;
     if (message.echo_incarnation == entry.incarnation)
         as_of = message.echoed_sent_at;
--- a/src/greengagedrum/delivery/waiting.cpp
+++ b/src/greengagedrum/delivery/waiting.cpp
@@ -57,8 +57,10 @@
 void scheduler::enqueue(request& item)
 {
     item.phase = phase::queued;
-    const base::duration expected = this->estimator.expected_run_time(item.spec);
-    const base::duration run = scaled(expected, this->options.admission.shed_estimate_factor);
+    const base::duration expected =
+        this->estimator.expected_run_time(item.spec);
+    const base::duration run =
+        scaled(expected, this->options.admission.shed_estimate_factor);
     this->timers.set(item, std::max(this->now, item.spec.deadline - run));
     const bool fresh = item.dispatches == 0 && item.connect_refusals == 0 &&
                        item.preemptions == 0 && !item.may_have_run;
@@ -103,11 +105,12 @@
 {
     std::vector<base::upstream_id> avoid = item.avoided_upstreams;
     for (const placement::room& room : this->planner.rooms(item.spec))
-        if (this->distress.is_higher_tier_marked(room.upstream, item.spec.tier, this->now))
+        if (this->distress.is_higher_tier_marked(
+                room.upstream, item.spec.tier, this->now))
             avoid.push_back(room.upstream);
     const auto choice = this->planner.choose(item.spec, avoid, this->now);
-    if (!choice ||
-        this->distress.is_higher_tier_marked(choice->upstream, item.spec.tier, this->now))
+    if (!choice || this->distress.is_higher_tier_marked(
+                       choice->upstream, item.spec.tier, this->now))
         return false;
     this->dispatch(item, choice->upstream);
     return true;
@@ -161,7 +164,8 @@
         return true;
     const bool at_risk = std::any_of(
         rooms.begin(), rooms.end(), [&](const placement::room& room) {
-            return this->distress.is_marked(room.upstream, item.spec.tier, this->now);
+            return this->distress.is_marked(
+                room.upstream, item.spec.tier, this->now);
         });
     return at_risk && this->preempt_lower_tier(item, rooms);
 }
@@ -176,7 +180,8 @@
     bool best_avoided = true;
     for (const placement::room& room : rooms) {
         if (room.in_flight >= overdraft_limit(room, share) ||
-            this->distress.is_higher_tier_marked(room.upstream, item.spec.tier, this->now))
+            this->distress.is_higher_tier_marked(
+                room.upstream, item.spec.tier, this->now))
             continue;
         const bool avoided =
             std::find(item.avoided_upstreams.begin(),
@@ -203,8 +208,10 @@
     const std::uint32_t factor = this->options.admission.hard_factor;
     return std::any_of(
         rooms.begin(), rooms.end(), [&](const placement::room& room) {
-            return room.in_flight < admission::in_flight_ceiling(room, factor) &&
-                   this->running_requests.has_lower_tier_on(room.upstream, item.tier);
+            return room.in_flight <
+                       admission::in_flight_ceiling(room, factor) &&
+                   this->running_requests.has_lower_tier_on(room.upstream,
+                                                            item.tier);
         });
 }
 
@@ -234,8 +241,8 @@
         return true;
     const placement::room* best = nullptr;
     for (const placement::room& room : rooms) {
-        const std::uint32_t bound =
-            admission::in_flight_ceiling(room, this->options.admission.hard_factor);
+        const std::uint32_t bound = admission::in_flight_ceiling(
+            room, this->options.admission.hard_factor);
         if (room.in_flight < bound &&
             (best == nullptr || less_loaded(room, *best)))
             best = &room;
@@ -367,7 +374,8 @@
 base::duration scheduler::retry_after_for(const base::request_spec& item) const
 {
     const base::duration wait = this->expected_wait(item);
-    const base::duration needed = wait + this->estimator.expected_run_time(item);
+    const base::duration needed =
+        wait + this->estimator.expected_run_time(item);
     const base::duration allowed = item.deadline - item.arrived;
     return std::clamp(
         std::min(needed - allowed, wait), retry_after_min, retry_after_max);
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -124,7 +124,9 @@
     };
     out.member_lost = [this, &process](base::slot_id member) {
         for (const dispatch::limit_charge& cost :
-             this->state_of(process).member_requests.remove_member(member).refunds)
+             this->state_of(process)
+                 .member_requests.remove_member(member)
+                 .refunds)
             process.state.limiter.refund_unsent(
                 cost.workspace, cost.amount, this->fleet.time());
     };
@@ -133,8 +135,8 @@
             this->fleet.time());
     };
     out.make_reply = [this, &process](base::slot_id member) {
-        return this->state_of(process).member_requests.build_reply(member,
-                                                        this->fleet.time());
+        return this->state_of(process).member_requests.build_reply(
+            member, this->fleet.time());
     };
     return out;
 }
@@ -212,7 +214,8 @@
                               const gossip::message& received)
 {
     quota::usage_limiter& limiter = dispatcher.state.limiter;
-    dispatch::member_request_table& member_requests = this->state_of(dispatcher).member_requests;
+    dispatch::member_request_table& member_requests =
+        this->state_of(dispatcher).member_requests;
     const dispatch::request_changes changes = member_requests.on_report(
         member, received.incarnation, received.report, received.upstream_loads);
     for (const dispatch::limit_charge& cost : changes.refunds)
@@ -221,8 +224,8 @@
         const auto retry_after = limiter.try_acquire(
             busy_workspace, wanted.cost, 0, this->fleet.time());
         if (retry_after) {
-            member_requests.on_denied(id,
-                           base::not_run(base::reason::limit_reached, *retry_after));
+            member_requests.on_denied(
+                id, base::not_run(base::reason::limit_reached, *retry_after));
             continue;
         }
         traffic::send_request order;
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -13,10 +13,11 @@
     for (auto& [id, request] : this->requests) {
         if (request.sent_at)
             continue;
-        const auto retry_after = this->state.limiter.try_acquire(request.workspace,
-                                                          request.cost,
-                                                          request.priority,
-                                                          this->state.clock());
+        const auto retry_after =
+            this->state.limiter.try_acquire(request.workspace,
+                                            request.cost,
+                                            request.priority,
+                                            this->state.clock());
         request.counted_here = !retry_after;
         if (!retry_after)
             continue;
--- a/src/greengagedrum/entry/member_requests.cpp
+++ b/src/greengagedrum/entry/member_requests.cpp
@@ -17,7 +17,8 @@
         if (found == this->requests.end())
             continue;
         const active_request& request = found->second;
-        // The dispatcher that counted this entry's usage may be gone; the limit state
+        // The dispatcher that counted this entry's usage may be gone; the limit
+        // state
         const bool counted = request.counted_here || request.sent_at;
         out.slot_requests.push_back({{one.request, one.send},
                                      one.facts,
@@ -51,8 +52,8 @@
     for (const dispatch::slot_denial& one : reply.denials)
         this->submit_event(
             traffic::slot_denied{one.id.request,
-                                   one.id.send,
-                                   base::not_run(one.reason, one.retry_after)});
+                                 one.id.send,
+                                 base::not_run(one.reason, one.retry_after)});
 }
 
 void request_handler::start_delegating()
@@ -130,7 +131,8 @@
                              wanted.cost,
                              wanted.facts.priority,
                              *retry_after);
-        // Uses the configuration in force on this entry: members name only the route
+        // Uses the configuration in force on this entry: members name only the
+        // route
         this->members.on_denied(
             id, base::not_run(base::reason::limit_reached, retry_after));
         return;
--- a/src/greengagedrum/entry/peer_protocol.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -133,7 +133,7 @@
             now,
             "peers",
             update == gossip::peer_update::found ? "peer_found"
-                                               : "peer_restarted",
+                                                 : "peer_restarted",
             {{"peer", message->instance},
              {"config_revision", message->configuration_revision},
              {"store_revision", message->store_revision}});
@@ -252,7 +252,8 @@
     return out;
 }
 
-gossip::message peer_protocol::make_load_message(gossip::recipient_group recipients)
+gossip::message
+peer_protocol::make_load_message(gossip::recipient_group recipients)
 {
     const base::instant now = this->state.clock();
     gossip::message out = this->make_message(
@@ -262,11 +263,11 @@
     out.queue_reports = this->state.scheduler.own_queue_reports(now);
     out.workspace_usage = this->state.limiter.own_usage(now);
     out.known_entries = this->table.select_known_entries(recipients, now);
-    out.suspects =
-        this->suspects_to_send(recipients == gossip::recipient_group::own_data_centre
-                                   ? this->near_suspects_sent_at
-                                   : this->far_suspects_sent_at,
-                               now);
+    out.suspects = this->suspects_to_send(
+        recipients == gossip::recipient_group::own_data_centre
+            ? this->near_suspects_sent_at
+            : this->far_suspects_sent_at,
+        now);
     return out;
 }
 
@@ -291,7 +292,8 @@
         this->table.select_recipients(recipients, now);
     if (to_tell.empty())
         return;
-    const std::string bytes = gossip::encode(this->make_load_message(recipients));
+    const std::string bytes =
+        gossip::encode(this->make_load_message(recipients));
     for (const gossip::ipv4_address address : to_tell)
         this->transport.send(bytes, address);
 }
@@ -366,7 +368,9 @@
                 "peers",
                 "peer_gave_no_items",
                 {{"peer", to.ip},
-                 {"why", got ? std::string("unexpected status or undecodable items") : got.error()}});
+                 {"why",
+                  got ? std::string("unexpected status or undecodable items")
+                      : got.error()}});
         });
 }
 
--- a/src/greengagedrum/entry/peer_sending.cpp
+++ b/src/greengagedrum/entry/peer_sending.cpp
@@ -180,7 +180,8 @@
         out.known_entries = known;
         out.suspects = suspects;
         out.reply = this->events.make_reply(slot);
-        if (std::find(standby.begin(), standby.end(), one.address) != standby.end())
+        if (std::find(standby.begin(), standby.end(), one.address) !=
+            standby.end())
             out.workspace_usage = this->state.limiter.window_usage(now);
         this->transport.send(gossip::encode(out), one.address);
     }
--- a/src/greengagedrum/entry/test/limit_test.cpp
+++ b/src/greengagedrum/entry/test/limit_test.cpp
@@ -40,7 +40,8 @@
             const auto received =
                 gossip::decode_message({this->buffer.data(), count});
             REQUIRE(received);
-            for (const quota::workspace_usage& one : received->workspace_usage) {
+            for (const quota::workspace_usage& one :
+                 received->workspace_usage) {
                 if (matches(one))
                     return true;
             }
--- a/src/greengagedrum/gossip/dispatch_codec.cpp
+++ b/src/greengagedrum/gossip/dispatch_codec.cpp
@@ -55,7 +55,8 @@
     for (const base::upstream_id id : request.tried_upstreams)
         tried.push_back(id.value);
     const traffic::request_facts& facts = request.facts;
-    const bool at_most_once = facts.retry == routing::retry_policy::at_most_once;
+    const bool at_most_once =
+        facts.retry == routing::retry_policy::at_most_once;
     return wire::CreateWanted(builder,
                               request.id.request.value,
                               request.id.send,
@@ -90,7 +91,7 @@
     facts.output_tokens = from.output_tokens();
     facts.stream = from.stream();
     facts.retry = from.at_most_once() ? routing::retry_policy::at_most_once
-                                     : routing::retry_policy::idempotent;
+                                      : routing::retry_policy::idempotent;
     facts.latency_objective = base::duration(from.objective_us());
     facts.event_gap_objective = base::duration(from.gap_objective_us());
     facts.time_left = base::duration(from.time_left_us());
--- a/src/greengagedrum/trace/part_fields.hpp
+++ b/src/greengagedrum/trace/part_fields.hpp
@@ -112,8 +112,9 @@
 
 template <>
 inline constexpr auto fields_of<membership::heartbeat::known_incarnation> =
-    std::tuple{named("slot", &membership::heartbeat::known_incarnation::slot),
-               named("life", &membership::heartbeat::known_incarnation::incarnation)};
+    std::tuple{
+        named("slot", &membership::heartbeat::known_incarnation::slot),
+        named("life", &membership::heartbeat::known_incarnation::incarnation)};
 
 template <>
 inline constexpr auto fields_of<membership::heartbeat> = std::tuple{
--- a/src/programs/bench_state/sections.hpp
+++ b/src/programs/bench_state/sections.hpp
@@ -248,7 +248,8 @@
                     digest.demands.push_back({base::upstream_class_id("photo"),
                                               {1, 2, 3, 4},
                                               {4, 3, 2, 1}});
-                    tested.on_load_digest(peer, base::incarnation{1}, digest, now);
+                    tested.on_load_digest(
+                        peer, base::incarnation{1}, digest, now);
                     ++number;
                 }
             }
@@ -259,10 +260,10 @@
             std::uint64_t sum = 0;
             for (int at = 0; at < asks; ++at)
                 sum += tested.upstream_share(base::upstream_id("engine-7"),
-                                          base::upstream_class_id("photo"),
-                                          8,
-                                          8 * upstreams,
-                                          now);
+                                             base::upstream_class_id("photo"),
+                                             8,
+                                             8 * upstreams,
+                                             now);
             ask_us.push_back((processor_now() - asked) * million / asks);
             if (sum == 0 && size < 64)
                 std::fputs("no places\n", stderr);
