--- a/src/programs/bench_state/sections.hpp
+++ b/src/programs/bench_state/sections.hpp
@@ -316,7 +316,7 @@
                 told.sender = base::slot_id(
                     "peer-" +
                     std::to_string(static_cast<std::size_t>(at) % peers));
-                told.life = base::incarnation{1};
+                told.incarnation = base::incarnation{1};
                 told.digest.sequence = static_cast<std::uint64_t>(at) + 1;
                 told.digest.complete = true;
                 told.digest.demands.push_back({base::upstream_class_id("photo"),
