--- a/src/greengagedrum/delivery/test/joined_actions.cpp
+++ b/src/greengagedrum/delivery/test/joined_actions.cpp
@@ -4,15 +4,17 @@
 namespace greengagedrum::delivery
 {
 
-void joined_entries::step(joined_entry& at, const event& what)
+void simulated_cluster::step(simulated_entry& entry, const event& input)
 {
     std::vector<action> actions;
-    at.core->step(what, this->now, actions);
+    entry.core->step(input, this->now, actions);
     for (const action& one : actions)
-        std::visit([&](const auto& done) { this->carry_out(at, done); }, one);
+        std::visit([&](const auto& order) { this->execute(entry, order); },
+                   one);
 }
 
-base::answer_ptr joined_entries::answer_of(base::dispatch_id dispatch) const
+base::answer_ptr
+simulated_cluster::make_answer(base::dispatch_id dispatch) const
 {
     const std::string text = std::to_string(dispatch.life.value) + "-" +
                              std::to_string(dispatch.sequence);
@@ -20,119 +22,133 @@
         base::answer{"application/json", text, 20, true});
 }
 
-void joined_entries::carry_out(joined_entry& at, const start_dispatch& what)
+void simulated_cluster::execute(simulated_entry& entry,
+                                const start_dispatch& order)
 {
     const auto wait =
-        base::duration(static_cast<std::int64_t>(this->below(600'000)));
+        base::duration(static_cast<std::int64_t>(this->random_below(600'000)));
     if (this->chance(this->faults)) {
-        this->refused.insert(what.dispatch);
-        return this->later(
+        this->refused_dispatches.insert(order.dispatch);
+        return this->schedule(
             wait / 8,
-            {&at,
+            {&entry,
              nullptr,
-             event(connect_refused{what.dispatch, what.connection})});
+             event(connect_refused{order.dispatch, order.connection})});
     }
-    joined_subject& own = this->subjects[at.requests.at(what.request).subject];
-    own.written += 1;
-    own.written_as = what.dispatch;
+    subject_record& subject =
+        this->subjects[entry.requests.at(order.request).subject];
+    subject.dispatch_count += 1;
+    subject.last_dispatch = order.dispatch;
     this->dispatches += 1;
-    CHECK_MESSAGE(own.written == 1, this->where());
+    CHECK_MESSAGE(subject.dispatch_count == 1, this->failure_context());
     if (this->chance(this->faults))
         return; // silent for good
     if (this->chance(this->faults))
-        return this->later(
+        return this->schedule(
             wait / 2,
-            {&at,
+            {&entry,
              nullptr,
-             event(stream_broken{what.dispatch,
-                                 what.connection,
+             event(stream_broken{order.dispatch,
+                                 order.connection,
                                  break_cause::connection_lost})});
-    this->later(wait,
-                {&at,
-                 nullptr,
-                 event(stream_finished{
-                     what.dispatch, this->answer_of(what.dispatch), 0})});
+    this->schedule(
+        wait,
+        {&entry,
+         nullptr,
+         event(stream_finished{
+             order.dispatch, this->make_answer(order.dispatch), 0})});
 }
 
-void joined_entries::carry_out(joined_entry& at, const start_resume& what)
+void simulated_cluster::execute(simulated_entry& entry,
+                                const start_resume& order)
 {
-    const bool known =
-        !this->refused.contains(what.dispatch) && !this->chance(this->faults);
+    const bool known = !this->refused_dispatches.contains(order.dispatch) &&
+                       !this->chance(this->faults);
     const event end =
-        known
-            ? event(stream_finished{
-                  what.dispatch, this->answer_of(what.dispatch), 0})
-            : event(stream_broken{
-                  what.dispatch, what.connection, break_cause::unknown_stream});
-    this->later(50ms, {&at, nullptr, end});
+        known ? event(stream_finished{
+                    order.dispatch, this->make_answer(order.dispatch), 0})
+              : event(stream_broken{order.dispatch,
+                                    order.connection,
+                                    break_cause::unknown_stream});
+    this->schedule(50ms, {&entry, nullptr, end});
 }
 
-void joined_entries::carry_out(joined_entry& at, const stop_stream& what)
+void simulated_cluster::execute(simulated_entry& entry,
+                                const stop_stream& order)
 {
-    static_cast<void>(at);
-    CHECK_MESSAGE(!what.cancel, this->where()); // all is at most once
+    static_cast<void>(entry);
+    CHECK_MESSAGE(!order.cancel,
+                  this->failure_context()); // all is at most once
 }
 
-joined_subject& joined_entries::end(joined_entry& at, base::request_id request)
+subject_record& simulated_cluster::end_request(simulated_entry& entry,
+                                               base::request_id id)
 {
-    auto& asked = at.requests.at(request);
-    CHECK_MESSAGE(!asked.ended, this->where());
-    asked.ended = true;
-    return this->subjects[asked.subject];
+    auto& request = entry.requests.at(id);
+    CHECK_MESSAGE(!request.ended, this->failure_context());
+    request.ended = true;
+    return this->subjects[request.subject];
 }
 
-void joined_entries::carry_out(joined_entry& at, const end_answered& what)
+void simulated_cluster::execute(simulated_entry& entry,
+                                const end_answered& order)
 {
-    joined_subject& own = this->end(at, what.request);
-    own.answered += 1;
-    CHECK_MESSAGE(own.written == 1, this->where());
-    REQUIRE(what.answer);
-    const auto made = this->answer_of(own.written_as);
-    CHECK_MESSAGE(what.answer->body == made->body, this->where());
-    if (own.written_as.life != at.life || own.answered > 1)
-        own.recalled += 1;
+    subject_record& subject = this->end_request(entry, order.request);
+    subject.answered += 1;
+    CHECK_MESSAGE(subject.dispatch_count == 1, this->failure_context());
+    REQUIRE(order.answer);
+    const auto expected = this->make_answer(subject.last_dispatch);
+    CHECK_MESSAGE(order.answer->body == expected->body,
+                  this->failure_context());
+    if (subject.last_dispatch.life != entry.incarnation || subject.answered > 1)
+        subject.replayed += 1;
 }
 
-void joined_entries::carry_out(joined_entry& at, const end_failed& what)
+void simulated_cluster::execute(simulated_entry& entry, const end_failed& order)
 {
-    joined_subject& own = this->end(at, what.request);
-    if (what.verdict.run == base::run_state::may_have_run) {
-        own.may_have_run += 1;
+    subject_record& subject = this->end_request(entry, order.request);
+    if (order.verdict.run == base::run_state::may_have_run) {
+        subject.may_have_run += 1;
         return;
     }
-    own.not_run += 1;
-    CHECK_MESSAGE(own.written == 0,
-                  this->where(),
+    subject.not_run += 1;
+    CHECK_MESSAGE(subject.dispatch_count == 0,
+                  this->failure_context(),
                   ", ",
-                  base::to_string(what.verdict.why));
+                  base::to_string(order.verdict.why));
 }
 
-void joined_entries::carry_out(joined_entry& at, const assign_ticket& what)
+void simulated_cluster::execute(simulated_entry& entry,
+                                const assign_ticket& order)
 {
-    static_cast<void>(at);
-    this->minted = what.ticket;
+    static_cast<void>(entry);
+    this->assigned_ticket = order.ticket;
 }
 
-void joined_entries::carry_out(joined_entry& at, const send_claim_message& what)
+void simulated_cluster::execute(simulated_entry& entry,
+                                const send_claim_message& order)
 {
     // A link leads to one process of the slot, the former or its successor.
-    std::vector<joined_entry*> reached;
-    for (joined_entry* to : this->living())
-        if (to->slot == what.to && to != &at)
+    std::vector<simulated_entry*> reached;
+    for (simulated_entry* to : this->live_entries())
+        if (to->slot == order.to && to != &entry)
             reached.push_back(to);
     if (reached.empty())
         return;
-    this->between(
-        at,
-        *reached[this->below(reached.size())],
-        {nullptr, nullptr, event(claim_message{at.slot, at.life, what.body})});
+    this->send_message(
+        entry,
+        *reached[this->random_below(reached.size())],
+        {nullptr,
+         nullptr,
+         event(claim_message{entry.slot, entry.incarnation, order.body})});
 }
 
 // Loads are not part of these runs.
-void joined_entries::carry_out(joined_entry& at, const send_load_digest& what)
+void simulated_cluster::execute(simulated_entry& entry,
+                                const send_load_digest& order)
 {
-    static_cast<void>(at);
-    static_cast<void>(what);
+    static_cast<void>(entry);
+    static_cast<void>(order);
 }
 
 } // namespace greengagedrum::delivery
--- a/src/greengagedrum/delivery/test/joined_entries.cpp
+++ b/src/greengagedrum/delivery/test/joined_entries.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-constexpr base::duration beat_period = 500ms;
-constexpr base::duration turn_period = 100ms; // the longest sleep of a daemon
+constexpr base::duration heartbeat_interval = 500ms;
+constexpr base::duration longest_sleep = 100ms; // the longest sleep of a daemon
 
-config::upstream_entry engine(const std::string& name)
+config::upstream_entry make_upstream(const std::string& name)
 {
     config::upstream_entry out;
     out.name = name;
@@ -24,14 +24,14 @@
     return out;
 }
 
-config::snapshot_ptr published()
+config::snapshot_ptr make_config()
 {
     config::snapshot out;
-    out.fleet.upstreams = {engine("photo-1"), engine("photo-2")};
+    out.fleet.upstreams = {make_upstream("photo-1"), make_upstream("photo-2")};
     config::data_centre centre;
     centre.name = "zona-4";
     centre.id = base::data_centre_id("zona-4");
-    for (const char* name : joined_slots)
+    for (const char* name : cluster_slots)
         centre.slots.push_back({name, base::slot_id(name)});
     out.fleet.data_centres = {centre};
     return std::make_shared<const config::snapshot>(out);
@@ -39,20 +39,21 @@
 
 } // namespace
 
-joined_entries::joined_entries(std::uint64_t seed) : seed(seed), generator(seed)
+simulated_cluster::simulated_cluster(std::uint64_t seed)
+    : seed(seed), generator(seed)
 {
-    for (const char* name : joined_slots)
+    for (const char* name : cluster_slots)
         this->start(base::slot_id(name));
 }
 
 // Short spans, so that keys are granted again soon after a restart.
-scheduler_options joined_entries::options_for(base::slot_id slot,
-                                              base::incarnation life,
-                                              std::uint64_t seed)
+scheduler_options simulated_cluster::options_for(base::slot_id slot,
+                                                 base::incarnation incarnation,
+                                                 std::uint64_t seed)
 {
     scheduler_options out;
     out.slot = slot;
-    out.incarnation = life;
+    out.incarnation = incarnation;
     out.data_centre = base::data_centre_id("zona-4");
     out.seed = seed;
     out.desk.retry_window = 10s;
@@ -61,35 +62,35 @@
     return out;
 }
 
-joined_entry& joined_entries::start(base::slot_id slot)
+simulated_entry& simulated_cluster::start(base::slot_id slot)
 {
-    auto item = std::make_unique<joined_entry>();
+    auto item = std::make_unique<simulated_entry>();
     item->slot = slot;
-    item->life.value = ++this->last_life;
-    scheduler_options options =
-        options_for(slot, item->life, this->seed + this->last_life);
+    item->incarnation.value = ++this->last_incarnation;
+    scheduler_options options = options_for(
+        slot, item->incarnation, this->seed + this->last_incarnation);
     options.desk.started = this->now;
     options.desk.started_wall = idempotency::wall_time(
         std::chrono::duration_cast<std::chrono::milliseconds>(
             this->now.time_since_epoch()));
     item->core = std::make_unique<scheduler>(options);
-    item->last_turn = this->now;
-    item->lives[slot] = item->life;
-    this->all.push_back(std::move(item));
-    this->publish(*this->all.back());
-    return *this->all.back();
+    item->last_run_at = this->now;
+    item->known_incarnations[slot] = item->incarnation;
+    this->entries.push_back(std::move(item));
+    this->publish_config(*this->entries.back());
+    return *this->entries.back();
 }
 
-void joined_entries::publish(joined_entry& to)
+void simulated_cluster::publish_config(simulated_entry& to)
 {
-    this->step(to, config_changed{published()});
-    this->list(to, true);
+    this->step(to, config_changed{make_config()});
+    this->list_upstreams(to, true);
 }
 
-void joined_entries::list(joined_entry& to, bool any)
+void simulated_cluster::list_upstreams(simulated_entry& to, bool listed)
 {
     membership::instance_list list;
-    if (!any)
+    if (!listed)
         return this->step(to, instances_listed{list});
     for (const char* name : {"photo-1", "photo-2"})
         list.instances.push_back({name,
@@ -100,37 +101,39 @@
     this->step(to, instances_listed{list});
 }
 
-void joined_entries::kill(joined_entry& item)
+void simulated_cluster::kill(simulated_entry& item)
 {
     item.dead = true;
 }
 
-void joined_entries::cut(const joined_entry& left, const joined_entry& right)
+void simulated_cluster::cut_link(const simulated_entry& left,
+                                 const simulated_entry& right)
 {
-    this->cuts.insert({&left, &right});
-    this->cuts.insert({&right, &left});
+    this->cut_links.insert({&left, &right});
+    this->cut_links.insert({&right, &left});
 }
 
-std::vector<joined_entry*> joined_entries::living()
+std::vector<simulated_entry*> simulated_cluster::live_entries()
 {
-    std::vector<joined_entry*> out;
-    for (const auto& item : this->all)
+    std::vector<simulated_entry*> out;
+    for (const auto& item : this->entries)
         if (!item->dead)
             out.push_back(item.get());
     return out;
 }
 
-std::uint64_t joined_entries::below(std::uint64_t bound)
+std::uint64_t simulated_cluster::random_below(std::uint64_t bound)
 {
     return this->generator() % bound;
 }
 
-bool joined_entries::chance(double part)
+bool simulated_cluster::chance(double probability)
 {
-    return std::uniform_real_distribution<double>()(this->generator) < part;
+    return std::uniform_real_distribution<double>()(this->generator) <
+           probability;
 }
 
-std::string joined_entries::where() const
+std::string simulated_cluster::failure_context() const
 {
     return "seed " + std::to_string(this->seed) + ", time " +
            std::to_string(this->now.time_since_epoch().count());
@@ -138,17 +141,17 @@
 
 // ---- Callers ----------------------------------------------------------------
 
-std::size_t joined_entries::add_key(const std::string& text)
+std::size_t simulated_cluster::add_key(const std::string& text)
 {
-    joined_subject fresh;
-    fresh.claim = idempotency::caller_key{base::workspace_id("booths"), text};
-    fresh.first_sent = this->now;
-    this->subjects.push_back(fresh);
+    subject_record added;
+    added.claim = idempotency::caller_key{base::workspace_id("booths"), text};
+    added.first_sent = this->now;
+    this->subjects.push_back(added);
     return this->subjects.size() - 1;
 }
 
 // A key that carries its issue time (UUIDv7).
-std::size_t joined_entries::add_dated_key()
+std::size_t simulated_cluster::add_dated_key()
 {
     const auto stamp = static_cast<unsigned long long>(
         std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -165,163 +168,168 @@
     return this->add_key(text.data());
 }
 
-std::size_t joined_entries::add_ticket(joined_entry& home)
+std::size_t simulated_cluster::add_ticket(simulated_entry& home)
 {
     this->step(home, ticket_wanted{base::request_id{++this->last_request}});
-    REQUIRE(this->minted);
-    joined_subject fresh;
-    fresh.claim = *this->minted;
-    fresh.first_sent = this->now;
-    this->subjects.push_back(fresh);
+    REQUIRE(this->assigned_ticket);
+    subject_record added;
+    added.claim = *this->assigned_ticket;
+    added.first_sent = this->now;
+    this->subjects.push_back(added);
     return this->subjects.size() - 1;
 }
 
-void joined_entries::send(joined_entry& at, std::size_t subject)
+void simulated_cluster::send(simulated_entry& entry, std::size_t subject)
 {
-    request_arrived what;
-    what.request = base::request_id{++this->last_request};
-    what.spec.workspace = base::workspace_id("booths");
-    what.spec.upstream_class = base::upstream_class_id("photo");
-    what.spec.model = base::model_id("compliance");
-    what.spec.repetition = base::repetition::at_most_once;
-    what.spec.prompt_tokens = 100;
-    what.spec.output_tokens = 20;
-    what.deadline_after = 5s;
-    what.body_digest = subject;
-    what.subject = this->subjects[subject].claim;
-    at.requests[what.request] = {subject, false};
-    this->step(at, what);
+    request_arrived arrival;
+    arrival.request = base::request_id{++this->last_request};
+    arrival.spec.workspace = base::workspace_id("booths");
+    arrival.spec.upstream_class = base::upstream_class_id("photo");
+    arrival.spec.model = base::model_id("compliance");
+    arrival.spec.repetition = base::repetition::at_most_once;
+    arrival.spec.prompt_tokens = 100;
+    arrival.spec.output_tokens = 20;
+    arrival.deadline_after = 5s;
+    arrival.body_digest = subject;
+    arrival.subject = this->subjects[subject].claim;
+    entry.requests[arrival.request] = {subject, false};
+    this->step(entry, arrival);
 }
 
 // ---- Time and messages ------------------------------------------------------
 
-void joined_entries::later(base::duration wait, happening what)
+void simulated_cluster::schedule(base::duration delay, scheduled_event item)
 {
-    this->due.emplace(this->now + wait, std::move(what));
+    this->scheduled.emplace(this->now + delay, std::move(item));
 }
 
-base::duration joined_entries::trip()
+base::duration simulated_cluster::random_latency()
 {
     const std::uint64_t most =
         this->chance(this->faults / 4) ? 4'000'000 : 3000;
-    return base::duration(static_cast<std::int64_t>(this->below(most)));
+    return base::duration(static_cast<std::int64_t>(this->random_below(most)));
 }
 
-void joined_entries::between(joined_entry& from,
-                             joined_entry& to,
-                             happening what)
+void simulated_cluster::send_message(simulated_entry& from,
+                                     simulated_entry& to,
+                                     scheduled_event item)
 {
-    if (this->cuts.contains({&from, &to}) || this->chance(this->faults))
+    if (this->cut_links.contains({&from, &to}) || this->chance(this->faults))
         return;
-    what.to = &to;
-    what.from = &from;
+    item.to = &to;
+    item.from = &from;
     if (this->chance(this->faults))
-        this->later(this->trip(), what);
-    this->later(this->trip(), std::move(what));
+        this->schedule(this->random_latency(), item);
+    this->schedule(this->random_latency(), std::move(item));
 }
 
-void joined_entries::pass(base::duration step)
+void simulated_cluster::advance(base::duration step)
 {
     this->now += step;
-    if (this->now >= this->next_beat)
-        this->send_beats();
-    while (!this->due.empty() && this->due.begin()->first <= this->now) {
-        const happening item = this->due.begin()->second;
-        this->due.erase(this->due.begin());
+    if (this->now >= this->next_heartbeat_at)
+        this->send_heartbeats();
+    while (!this->scheduled.empty() &&
+           this->scheduled.begin()->first <= this->now) {
+        const scheduled_event item = this->scheduled.begin()->second;
+        this->scheduled.erase(this->scheduled.begin());
         if (item.to->dead)
             continue;
         if (item.to->paused)
-            this->unread[item.to].push_back(item);
+            this->undelivered[item.to].push_back(item);
         else
-            this->take(item);
+            this->deliver(item);
     }
-    for (joined_entry* item : this->living())
+    for (simulated_entry* item : this->live_entries())
         if (!item->paused)
-            this->turn(*item);
+            this->run_once(*item);
 }
 
 // As the decision thread does: of a pause it hears before anything else.
-void joined_entries::turn(joined_entry& at)
+void simulated_cluster::run_once(simulated_entry& entry)
 {
-    const bool stood =
-        this->now - at.last_turn > idempotency::desk_options{}.lease;
-    if (stood)
-        this->step(at, process_paused{});
-    for (const happening& item : std::exchange(this->unread[&at], {}))
-        this->take(item);
-    const auto wake = at.core->next_wake();
-    if ((wake && *wake <= this->now) || this->now - at.last_turn >= turn_period)
-        this->step(at, tick{});
-    at.last_turn = this->now;
-    if (this->now >= at.stop_at)
-        this->step(at, stop_forced{});
-    if (at.core->stopping() && at.core->in_flight() == 0)
-        at.dead = true;
+    const bool was_paused =
+        this->now - entry.last_run_at > idempotency::desk_options{}.lease;
+    if (was_paused)
+        this->step(entry, process_paused{});
+    for (const scheduled_event& item :
+         std::exchange(this->undelivered[&entry], {}))
+        this->deliver(item);
+    const auto wake = entry.core->next_wake();
+    if ((wake && *wake <= this->now) ||
+        this->now - entry.last_run_at >= longest_sleep)
+        this->step(entry, tick{});
+    entry.last_run_at = this->now;
+    if (this->now >= entry.forced_stop_at)
+        this->step(entry, stop_forced{});
+    if (entry.core->stopping() && entry.core->in_flight() == 0)
+        entry.dead = true;
 }
 
-void joined_entries::take(const happening& item)
+void simulated_cluster::deliver(const scheduled_event& item)
 {
-    if (const auto* said = std::get_if<beat>(&item.what))
-        return this->hear(*item.to, *said);
+    if (const auto* message = std::get_if<heartbeat_message>(&item.payload))
+        return this->on_heartbeat(*item.to, *message);
     // A pause is noticed before whatever woke the thread.
-    if (this->now - item.to->last_turn > idempotency::desk_options{}.lease) {
-        item.to->last_turn = this->now;
+    if (this->now - item.to->last_run_at > idempotency::desk_options{}.lease) {
+        item.to->last_run_at = this->now;
         this->step(*item.to, process_paused{});
     }
-    this->step(*item.to, std::get<event>(item.what));
+    this->step(*item.to, std::get<event>(item.payload));
 }
 
-void joined_entries::hear(joined_entry& at, const beat& said)
+void simulated_cluster::on_heartbeat(simulated_entry& entry,
+                                     const heartbeat_message& message)
 {
-    for (const auto& known : said.said.lives) {
-        base::incarnation& highest = at.lives[known.slot];
+    for (const auto& known : message.body.lives) {
+        base::incarnation& highest = entry.known_incarnations[known.slot];
         highest = std::max(highest, known.life);
     }
-    at.beats[said.said.slot] = {said.said.life, said.sent};
+    entry.received_heartbeats[message.body.slot] = {message.body.life,
+                                                    message.sent_at};
     std::optional<base::instant> as_of;
-    if (said.echo_life == at.life)
-        as_of = said.echo;
-    this->step(at, peer_heartbeat{said.said, as_of});
+    if (message.echo_incarnation == entry.incarnation)
+        as_of = message.echoed_sent_at;
+    this->step(entry, peer_heartbeat{message.body, as_of});
 }
 
-void joined_entries::send_beats()
+void simulated_cluster::send_heartbeats()
 {
-    this->next_beat = this->now + beat_period;
-    const auto everyone = this->living();
-    for (joined_entry* from : everyone) {
-        for (joined_entry* to : everyone) {
+    this->next_heartbeat_at = this->now + heartbeat_interval;
+    const auto everyone = this->live_entries();
+    for (simulated_entry* from : everyone) {
+        for (simulated_entry* to : everyone) {
             if (from == to || from->paused || from->slot == to->slot)
                 continue;
-            beat out;
-            out.said.slot = from->slot;
-            out.said.life = from->life;
-            for (const auto& [slot, life] : from->lives)
-                out.said.lives.push_back({slot, life});
-            out.sent = this->now;
-            const auto heard = from->beats.find(to->slot);
-            if (heard != from->beats.end()) {
-                out.echo_life = heard->second.life;
-                out.echo = heard->second.sent;
+            heartbeat_message out;
+            out.body.slot = from->slot;
+            out.body.life = from->incarnation;
+            for (const auto& [slot, incarnation] : from->known_incarnations)
+                out.body.lives.push_back({slot, incarnation});
+            out.sent_at = this->now;
+            const auto heard = from->received_heartbeats.find(to->slot);
+            if (heard != from->received_heartbeats.end()) {
+                out.echo_incarnation = heard->second.incarnation;
+                out.echoed_sent_at = heard->second.sent_at;
             }
-            this->between(*from, *to, {nullptr, nullptr, out});
+            this->send_message(*from, *to, {nullptr, nullptr, out});
         }
     }
 }
 
-void joined_entries::settle(base::duration span)
+void simulated_cluster::drain(base::duration span)
 {
-    this->heal();
+    this->heal_links();
     this->faults = 0;
-    for (joined_entry* item : this->living())
+    for (simulated_entry* item : this->live_entries())
         item->paused = false;
     for (base::duration left = span; left > 0ms; left -= 20ms)
-        this->pass(20ms);
-    for (const auto& item : this->all) {
+        this->advance(20ms);
+    for (const auto& item : this->entries) {
         if (item->dead)
             continue;
-        CHECK_MESSAGE(item->core->in_flight() == 0, this->where());
-        for (const auto& [id, asked] : item->requests)
-            CHECK_MESSAGE(asked.ended, this->where());
+        CHECK_MESSAGE(item->core->in_flight() == 0, this->failure_context());
+        for (const auto& [id, request] : item->requests)
+            CHECK_MESSAGE(request.ended, this->failure_context());
     }
 }
 
--- a/src/greengagedrum/delivery/test/joined_entries.hpp
+++ b/src/greengagedrum/delivery/test/joined_entries.hpp
@@ -21,117 +21,123 @@
 
 using namespace std::chrono_literals;
 
-inline constexpr std::array<const char*, 3> joined_slots = {"a", "b", "d"};
+inline constexpr std::array<const char*, 3> cluster_slots = {"a", "b", "d"};
 
 // A process in a slot, with what its peer link and its sessions would keep.
-struct joined_entry {
-    struct asked_request {
+struct simulated_entry {
+    struct caller_request {
         std::size_t subject = 0;
         bool ended = false;
     };
-    struct peer_beat {
-        base::incarnation life;
-        base::instant sent; // by the peer, echoed to it
+    struct received_heartbeat {
+        base::incarnation incarnation;
+        base::instant sent_at; // by the peer, echoed to it
     };
 
     base::slot_id slot;
-    base::incarnation life;
+    base::incarnation incarnation;
     std::unique_ptr<scheduler> core;
-    base::instant last_turn;
+    base::instant last_run_at;
     bool paused = false;
     bool dead = false;
-    base::instant stop_at = base::instant::max(); // of a graceful stop
-    std::map<base::request_id, asked_request> requests;
-    std::map<base::slot_id, peer_beat> beats;
-    std::map<base::slot_id, base::incarnation> lives;
+    base::instant forced_stop_at = base::instant::max(); // of a graceful stop
+    std::map<base::request_id, caller_request> requests;
+    std::map<base::slot_id, received_heartbeat> received_heartbeats;
+    std::map<base::slot_id, base::incarnation> known_incarnations;
 };
 
 // What the world knows of one ticket or key.
-struct joined_subject {
+struct subject_record {
     idempotency::claim_subject claim;
     base::instant first_sent;
-    base::dispatch_id written_as; // the last dispatch
-    int written = 0;              // dispatches of which bytes left
+    base::dispatch_id last_dispatch; // the last dispatch
+    int dispatch_count = 0;          // dispatches of which bytes left
     int not_run = 0;
-    int recalled = 0;
+    int replayed = 0;
     int answered = 0;
     int may_have_run = 0;
 };
 
-class joined_entries
+class simulated_cluster
 {
 public:
-    explicit joined_entries(std::uint64_t seed);
-
-    joined_entry& start(base::slot_id slot);
-    void kill(joined_entry& item);
-    void pass(base::duration step);
-    void settle(base::duration span); // no faults, until all has ended
-    void send(joined_entry& at, std::size_t subject);
-    void step(joined_entry& at, const event& what);
-    void list(joined_entry& to, bool any); // the upstreams, or none
-    void cut(const joined_entry& left, const joined_entry& right);
-    void heal() { this->cuts.clear(); }
+    explicit simulated_cluster(std::uint64_t seed);
+
+    simulated_entry& start(base::slot_id slot);
+    void kill(simulated_entry& item);
+    void advance(base::duration step);
+    void drain(base::duration span); // no faults, until all has ended
+    void send(simulated_entry& entry, std::size_t subject);
+    void step(simulated_entry& entry, const event& input);
+    void list_upstreams(simulated_entry& to,
+                        bool listed); // the upstreams, or none
+    void cut_link(const simulated_entry& left, const simulated_entry& right);
+    void heal_links() { this->cut_links.clear(); }
     std::size_t add_key(const std::string& text);
     std::size_t add_dated_key();
-    std::size_t add_ticket(joined_entry& home);
-    std::vector<joined_entry*> living();
-    std::uint64_t below(std::uint64_t bound);
-    bool chance(double part);
-    std::string where() const;
+    std::size_t add_ticket(simulated_entry& home);
+    std::vector<simulated_entry*> live_entries();
+    std::uint64_t random_below(std::uint64_t bound);
+    bool chance(double probability);
+    std::string failure_context() const;
 
     base::instant now{1h};
     double faults = 0; // part of messages and streams that go wrong
     std::uint64_t dispatches = 0;
-    std::vector<joined_subject> subjects;
+    std::vector<subject_record> subjects;
 
 private:
-    struct beat {
-        membership::heartbeat said;
-        base::instant sent;
-        base::incarnation echo_life;
-        base::instant echo;
+    struct heartbeat_message {
+        membership::heartbeat body;
+        base::instant sent_at;
+        base::incarnation echo_incarnation;
+        base::instant echoed_sent_at;
     };
     // What happens to an entry later; for a message also from whom it comes.
-    struct happening {
-        joined_entry* to = nullptr;
-        joined_entry* from = nullptr;
-        std::variant<event, beat> what;
+    struct scheduled_event {
+        simulated_entry* to = nullptr;
+        simulated_entry* from = nullptr;
+        std::variant<event, heartbeat_message> payload;
     };
 
-    static scheduler_options
-    options_for(base::slot_id slot, base::incarnation life, std::uint64_t seed);
-    void publish(joined_entry& to);
-    void turn(joined_entry& at);
-    void take(const happening& item);
-    void hear(joined_entry& at, const beat& said);
-    void send_beats();
-    void later(base::duration wait, happening what);
-    void between(joined_entry& from, joined_entry& to, happening what);
-    base::duration trip();
-
-    void carry_out(joined_entry& at, const start_dispatch& what);
-    void carry_out(joined_entry& at, const start_resume& what);
-    void carry_out(joined_entry& at, const stop_stream& what);
-    void carry_out(joined_entry& at, const end_answered& what);
-    void carry_out(joined_entry& at, const end_failed& what);
-    void carry_out(joined_entry& at, const assign_ticket& what);
-    void carry_out(joined_entry& at, const send_claim_message& what);
-    static void carry_out(joined_entry& at, const send_load_digest& what);
-    joined_subject& end(joined_entry& at, base::request_id request);
-    base::answer_ptr answer_of(base::dispatch_id dispatch) const;
+    static scheduler_options options_for(base::slot_id slot,
+                                         base::incarnation incarnation,
+                                         std::uint64_t seed);
+    void publish_config(simulated_entry& to);
+    void run_once(simulated_entry& entry);
+    void deliver(const scheduled_event& item);
+    void on_heartbeat(simulated_entry& entry, const heartbeat_message& message);
+    void send_heartbeats();
+    void schedule(base::duration delay, scheduled_event item);
+    void send_message(simulated_entry& from,
+                      simulated_entry& to,
+                      scheduled_event item);
+    base::duration random_latency();
+
+    void execute(simulated_entry& entry, const start_dispatch& order);
+    void execute(simulated_entry& entry, const start_resume& order);
+    void execute(simulated_entry& entry, const stop_stream& order);
+    void execute(simulated_entry& entry, const end_answered& order);
+    void execute(simulated_entry& entry, const end_failed& order);
+    void execute(simulated_entry& entry, const assign_ticket& order);
+    void execute(simulated_entry& entry, const send_claim_message& order);
+    static void execute(simulated_entry& entry, const send_load_digest& order);
+    subject_record& end_request(simulated_entry& entry, base::request_id id);
+    base::answer_ptr make_answer(base::dispatch_id dispatch) const;
 
     std::uint64_t seed;
     std::mt19937_64 generator;
-    std::vector<std::unique_ptr<joined_entry>> all;
-    std::multimap<base::instant, happening> due;
-    std::map<joined_entry*, std::vector<happening>> unread; // while paused
-    std::set<std::pair<const joined_entry*, const joined_entry*>> cuts;
-    std::set<base::dispatch_id> refused; // of which no byte left
-    base::instant next_beat;
-    std::uint64_t last_life = 0;
+    std::vector<std::unique_ptr<simulated_entry>> entries;
+    std::multimap<base::instant, scheduled_event> scheduled;
+    std::map<simulated_entry*, std::vector<scheduled_event>>
+        undelivered; // while paused
+    std::set<std::pair<const simulated_entry*, const simulated_entry*>>
+        cut_links;
+    std::set<base::dispatch_id> refused_dispatches; // of which no byte left
+    base::instant next_heartbeat_at;
+    std::uint64_t last_incarnation = 0;
     std::uint64_t last_request = 0;
-    std::optional<idempotency::ticket> minted;
+    std::optional<idempotency::ticket> assigned_ticket;
 };
 
 } // namespace greengagedrum::delivery
--- a/src/greengagedrum/delivery/test/joined_entries_test.cpp
+++ b/src/greengagedrum/delivery/test/joined_entries_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-std::uint64_t number_from(const char* name, std::uint64_t otherwise)
+std::uint64_t environment_number(const char* name, std::uint64_t otherwise)
 {
     const char* text = std::getenv(name);
     return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
@@ -23,116 +23,117 @@
 class faulty_run
 {
 public:
-    explicit faulty_run(std::uint64_t seed) : world(seed)
+    explicit faulty_run(std::uint64_t seed) : cluster(seed)
     {
         for (int i = 0; i < 1200; ++i)
-            this->world.pass(25ms);
-        this->world.faults = 0.03;
+            this->cluster.advance(25ms);
+        this->cluster.faults = 0.03;
     }
 
-    void turn()
+    void run_step()
     {
-        if (this->world.chance(0.02))
-            this->fault();
-        if (this->world.chance(0.1))
-            this->call();
-        this->world.pass(base::duration(
-            1 + static_cast<std::int64_t>(this->world.below(40'000))));
+        if (this->cluster.chance(0.02))
+            this->inject_fault();
+        if (this->cluster.chance(0.1))
+            this->send_call();
+        this->cluster.advance(base::duration(
+            1 + static_cast<std::int64_t>(this->cluster.random_below(40'000))));
     }
 
-    joined_entries world;
+    simulated_cluster cluster;
 
 private:
-    joined_entry& any()
+    simulated_entry& random_entry()
     {
-        const auto living = this->world.living();
-        return *living[this->world.below(living.size())];
+        const auto living = this->cluster.live_entries();
+        return *living[this->cluster.random_below(living.size())];
     }
 
-    void fault()
+    void inject_fault()
     {
-        switch (this->world.below(10)) {
+        switch (this->cluster.random_below(10)) {
         case 0:
-            this->world.cut(this->any(), this->any());
+            this->cluster.cut_link(this->random_entry(), this->random_entry());
             return;
         case 1:
         case 2:
-            this->world.heal();
+            this->cluster.heal_links();
             return;
         case 3:
-            this->any().paused = true;
+            this->random_entry().paused = true;
             return;
         case 4:
         case 5:
         case 6:
-            for (joined_entry* item : this->world.living())
+            for (simulated_entry* item : this->cluster.live_entries())
                 item->paused = false;
             return;
         case 7:
-            this->world.list(this->any(), false);
+            this->cluster.list_upstreams(this->random_entry(), false);
             return;
         case 8:
-            for (joined_entry* item : this->world.living())
-                this->world.list(*item, true);
+            for (simulated_entry* item : this->cluster.live_entries())
+                this->cluster.list_upstreams(*item, true);
             return;
         default:
-            this->replace();
+            this->replace_entry();
             return;
         }
     }
 
     // Not two within a lease. The former process dies, stops gracefully, or
     // goes on beside its successor, cut off from it.
-    void replace()
+    void replace_entry()
     {
-        if (this->world.now < this->next_replacement ||
-            this->world.living().size() > 4)
+        if (this->cluster.now < this->next_replacement_at ||
+            this->cluster.live_entries().size() > 4)
             return;
-        this->next_replacement = this->world.now + 10s;
-        joined_entry& old = this->any();
-        const base::slot_id slot = old.slot;
-        switch (this->world.below(3)) {
+        this->next_replacement_at = this->cluster.now + 10s;
+        simulated_entry& replaced = this->random_entry();
+        const base::slot_id slot = replaced.slot;
+        switch (this->cluster.random_below(3)) {
         case 0:
-            this->world.kill(old);
+            this->cluster.kill(replaced);
             break;
         case 1:
-            this->world.step(old, stop_begun{});
-            old.stop_at = this->world.now + 3s;
+            this->cluster.step(replaced, stop_begun{});
+            replaced.forced_stop_at = this->cluster.now + 3s;
             break;
         default:
             break;
         }
-        this->world.start(slot);
+        this->cluster.start(slot);
     }
 
     // A key or ticket is repeated within the callers' retry window only.
-    void call()
+    void send_call()
     {
-        joined_entry& entry = this->any();
+        simulated_entry& entry = this->random_entry();
         if (entry.paused)
             return;
-        if (this->world.subjects.empty() || this->world.chance(0.3)) {
-            const std::size_t made = this->world.subjects.size();
-            if (this->world.chance(0.4))
-                this->world.add_ticket(entry);
-            else if (this->world.chance(0.5))
-                this->world.add_dated_key();
+        if (this->cluster.subjects.empty() || this->cluster.chance(0.3)) {
+            const std::size_t next_index = this->cluster.subjects.size();
+            if (this->cluster.chance(0.4))
+                this->cluster.add_ticket(entry);
+            else if (this->cluster.chance(0.5))
+                this->cluster.add_dated_key();
             else
-                this->world.add_key("receipt-" + std::to_string(made));
+                this->cluster.add_key("receipt-" + std::to_string(next_index));
         }
-        const std::size_t count = this->world.subjects.size();
+        const std::size_t count = this->cluster.subjects.size();
         const std::size_t chosen =
-            count - 1 - this->world.below(std::min<std::size_t>(count, 6));
-        const joined_subject& subject = this->world.subjects[chosen];
-        if (this->world.now - subject.first_sent > 9s)
+            count - 1 -
+            this->cluster.random_below(std::min<std::size_t>(count, 6));
+        const subject_record& subject = this->cluster.subjects[chosen];
+        if (this->cluster.now - subject.first_sent > 9s)
             return;
-        this->world.send(entry, chosen);
-        joined_entry& other = this->any();
-        if (!other.paused && this->world.chance(0.3))
-            this->world.send(other, chosen);
+        this->cluster.send(entry, chosen);
+        simulated_entry& other = this->random_entry();
+        if (!other.paused && this->cluster.chance(0.3))
+            this->cluster.send(other, chosen);
     }
 
-    base::instant next_replacement;
+    base::instant next_replacement_at;
 };
 
 } // namespace
@@ -143,41 +144,41 @@
 // ends once, not_run is true, and a repeated answer is the one that was made.
 TEST_CASE("joined_entries_under_faults_at_most_once")
 {
-    constexpr int turns = 3000;
-    const std::uint64_t one_seed = number_from("GGD_RANDOM_SEED", 0);
-    const std::uint64_t seeds = number_from("GGD_JOINED_SEEDS", 50);
-    const std::uint64_t first = one_seed == 0 ? 1 : one_seed;
-    const std::uint64_t last = one_seed == 0 ? seeds : one_seed;
-    joined_subject sum;
-    std::size_t asked = 0;
+    constexpr int run_length = 3000;
+    const std::uint64_t fixed_seed = environment_number("GGD_RANDOM_SEED", 0);
+    const std::uint64_t seeds = environment_number("GGD_JOINED_SEEDS", 50);
+    const std::uint64_t first = fixed_seed == 0 ? 1 : fixed_seed;
+    const std::uint64_t last = fixed_seed == 0 ? seeds : fixed_seed;
+    subject_record total;
+    std::size_t subject_count = 0;
     for (std::uint64_t seed = first; seed <= last; ++seed) {
         faulty_run run(seed);
-        for (int i = 0; i < turns; ++i)
-            run.turn();
-        run.world.settle(20s);
-        asked += run.world.subjects.size();
-        for (const joined_subject& one : run.world.subjects) {
-            sum.written += one.written;
-            sum.not_run += one.not_run;
-            sum.recalled += one.recalled;
-            sum.may_have_run += one.may_have_run;
+        for (int i = 0; i < run_length; ++i)
+            run.run_step();
+        run.cluster.drain(20s);
+        subject_count += run.cluster.subjects.size();
+        for (const subject_record& subject : run.cluster.subjects) {
+            total.dispatch_count += subject.dispatch_count;
+            total.not_run += subject.not_run;
+            total.replayed += subject.replayed;
+            total.may_have_run += subject.may_have_run;
         }
     }
     // The run must have met what it is about.
-    CHECK(sum.written > 0);
-    CHECK(sum.not_run > 0);
-    CHECK(sum.recalled > 0);
-    CHECK(sum.may_have_run > 0);
+    CHECK(total.dispatch_count > 0);
+    CHECK(total.not_run > 0);
+    CHECK(total.replayed > 0);
+    CHECK(total.may_have_run > 0);
     MESSAGE("subjects ",
-            asked,
+            subject_count,
             ", handed over ",
-            sum.written,
+            total.dispatch_count,
             ", recalled ",
-            sum.recalled,
+            total.replayed,
             ", told not_run ",
-            sum.not_run,
+            total.not_run,
             ", may_have_run ",
-            sum.may_have_run);
+            total.may_have_run);
 }
 
 } // namespace greengagedrum::delivery
--- a/src/greengagedrum/delivery/test/peer_tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/peer_tiers_test.cpp
@@ -22,7 +22,7 @@
         scheduler core;
         std::vector<start_dispatch> started;
         std::vector<end_failed> failed;
-        capacity::load_digest told; // as last composed
+        capacity::load_digest last_digest; // as last composed
     };
 
     entry a{"a"};
@@ -32,14 +32,15 @@
 
     two_entries_fixture()
     {
-        for (entry* one : {&this->a, &this->b}) {
-            this->step(*one, config_changed{published()});
+        for (entry* each : {&this->a, &this->b}) {
+            this->step(*each, config_changed{make_config()});
             membership::instance_list list;
-            list.instances = {line("a"), line("b"), line("photo-1")};
+            list.instances = {
+                listed_entry("a"), listed_entry("b"), listed_entry("photo-1")};
             list.instances.back().type = membership::instance_type::upstream;
-            this->step(*one, instances_listed{list});
+            this->step(*each, instances_listed{list});
         }
-        this->tell();
+        this->exchange_loads();
     }
 
     static scheduler_options options_for(const char* name)
@@ -51,7 +52,7 @@
         return out;
     }
 
-    static membership::listed_instance line(const std::string& name)
+    static membership::listed_instance listed_entry(const std::string& name)
     {
         return {name,
                 membership::instance_type::entry,
@@ -60,78 +61,78 @@
                 membership::listed_state::live};
     }
 
-    static config::snapshot_ptr published()
+    static config::snapshot_ptr make_config()
     {
-        config::upstream_entry engine;
-        engine.name = "photo-1";
-        engine.id = base::upstream_id("photo-1");
-        engine.data_centre = base::data_centre_id("zona-4");
-        engine.upstream_class = base::upstream_class_id("photo");
-        engine.models = {"compliance"};
-        engine.max_in_flight = 4;
+        config::upstream_entry upstream;
+        upstream.name = "photo-1";
+        upstream.id = base::upstream_id("photo-1");
+        upstream.data_centre = base::data_centre_id("zona-4");
+        upstream.upstream_class = base::upstream_class_id("photo");
+        upstream.models = {"compliance"};
+        upstream.max_in_flight = 4;
         config::snapshot out;
-        out.fleet.upstreams = {engine};
+        out.fleet.upstreams = {upstream};
         return std::make_shared<const config::snapshot>(out);
     }
 
-    void step(entry& at, const event& what)
+    void step(entry& at, const event& input)
     {
         std::vector<action> actions;
-        at.core.step(what, this->now, actions);
+        at.core.step(input, this->now, actions);
         for (const action& one : actions) {
             if (const auto* start = std::get_if<start_dispatch>(&one))
                 at.started.push_back(*start);
             if (const auto* end = std::get_if<end_failed>(&one))
                 at.failed.push_back(*end);
-            if (const auto* told = std::get_if<send_load_digest>(&one))
-                at.told = told->digest;
+            if (const auto* load = std::get_if<send_load_digest>(&one))
+                at.last_digest = load->digest;
         }
     }
 
-    void tell_one(entry& from, entry& to, const char* slot)
+    void send_load(entry& from, entry& to, const char* slot)
     {
-        peer_load what;
-        what.sender = base::slot_id(slot);
-        what.incarnation = base::incarnation{7};
+        peer_load message;
+        message.sender = base::slot_id(slot);
+        message.incarnation = base::incarnation{7};
         this->step(from, load_due{});
-        what.digest = from.told;
-        this->step(to, what);
+        message.digest = from.last_digest;
+        this->step(to, message);
     }
 
-    void tell()
+    void exchange_loads()
     {
-        this->tell_one(this->a, this->b, "a");
-        this->tell_one(this->b, this->a, "b");
+        this->send_load(this->a, this->b, "a");
+        this->send_load(this->b, this->a, "b");
     }
 
     // What runs makes progress all the time and never ends.
-    void pass(base::duration span)
+    void advance(base::duration span)
     {
-        for (base::duration past{0}; past < span; past += 250ms) {
+        for (base::duration elapsed{0}; elapsed < span; elapsed += 250ms) {
             this->now += 250ms;
-            this->tell();
-            for (entry* one : {&this->a, &this->b}) {
-                for (const start_dispatch& start : one->started)
-                    this->step(*one, stream_progressed{start.dispatch, 1});
-                this->step(*one, tick{});
+            this->exchange_loads();
+            for (entry* each : {&this->a, &this->b}) {
+                for (const start_dispatch& start : each->started)
+                    this->step(*each, stream_progressed{start.dispatch, 1});
+                this->step(*each, tick{});
             }
         }
     }
 
-    void ask(entry& at, base::tier tier, base::duration deadline_after)
+    void send(entry& at, base::tier tier, base::duration deadline_after)
     {
-        request_arrived what;
-        what.request = base::request_id{++this->last_request};
-        what.spec.upstream_class = base::upstream_class_id("photo");
-        what.spec.model = base::model_id("compliance");
-        what.spec.tier = tier;
-        what.spec.repetition = tier == base::tier::bulk
-                                   ? base::repetition::at_most_once
-                                   : base::repetition::idempotent;
-        what.spec.prompt_tokens = 100;
-        what.spec.output_tokens = 50;
-        what.deadline_after = deadline_after;
-        this->step(at, what);
+        request_arrived arrival;
+        arrival.request = base::request_id{++this->last_request};
+        arrival.spec.upstream_class = base::upstream_class_id("photo");
+        arrival.spec.model = base::model_id("compliance");
+        arrival.spec.tier = tier;
+        arrival.spec.repetition = tier == base::tier::bulk
+                                      ? base::repetition::at_most_once
+                                      : base::repetition::idempotent;
+        arrival.spec.prompt_tokens = 100;
+        arrival.spec.output_tokens = 50;
+        arrival.deadline_after = deadline_after;
+        this->step(at, arrival);
     }
 };
 
@@ -143,12 +144,12 @@
 TEST_CASE_FIXTURE(two_entries_fixture, "lower_runs_at_peer_urgent_not_shed")
 {
     for (int i = 0; i < 4; ++i)
-        this->ask(this->b, base::tier::bulk, 10min);
-    this->pass(3s);
+        this->send(this->b, base::tier::bulk, 10min);
+    this->advance(3s);
     REQUIRE(!this->b.started.empty());
     for (int i = 0; i < 7; ++i)
-        this->ask(this->a, base::tier::urgent, 6s);
-    this->pass(7s);
+        this->send(this->a, base::tier::urgent, 6s);
+    this->advance(7s);
     CHECK(this->a.failed.empty());
     CHECK(this->a.started.size() == 7);
 }
@@ -159,11 +160,11 @@
 TEST_CASE_FIXTURE(two_entries_fixture, "peer_silent_its_lower_work_forgotten")
 {
     for (int i = 0; i < 4; ++i)
-        this->ask(this->b, base::tier::bulk, 10min);
-    this->pass(3s);
+        this->send(this->b, base::tier::bulk, 10min);
+    this->advance(3s);
     this->now += 1min;
     for (int i = 0; i < 7; ++i)
-        this->ask(this->a, base::tier::urgent, 6s);
+        this->send(this->a, base::tier::urgent, 6s);
     for (int i = 0; i < 28; ++i) {
         this->now += 250ms;
         this->step(this->a, tick{});
--- a/src/greengagedrum/delivery/test/policy_run_test.cpp
+++ b/src/greengagedrum/delivery/test/policy_run_test.cpp
@@ -13,16 +13,16 @@
 {
 
 // Several runs of one policy over the same arrivals as another's.
-struct series {
-    std::array<result, base::tier_count> results;
-    std::uint64_t broken = 0; // shed while lower work ran
-    scheduler_counters count;
+struct run_series {
+    std::array<tier_result, base::tier_count> results;
+    std::uint64_t shed_before_lower = 0; // shed while lower work ran
+    scheduler_counters counters;
 
-    series(policy which, burst what)
+    run_series(policy which, burst shape)
     {
         constexpr std::uint64_t seeds = 8;
         for (std::uint64_t seed = 0; seed < seeds; ++seed) {
-            policy_run one(which, what, seed);
+            policy_run one(which, shape, seed);
             one.run();
             this->add(one);
         }
@@ -31,71 +31,73 @@
     void add(const policy_run& one)
     {
         for (std::size_t tier = 0; tier < base::tier_count; ++tier) {
-            result& own = this->results[tier];
-            const result& more = one.results[tier];
-            own.asked += more.asked;
-            own.in_time += more.in_time;
-            own.late += more.late;
-            own.not_run += more.not_run;
-            own.waits.insert(
-                own.waits.end(), more.waits.begin(), more.waits.end());
+            tier_result& total = this->results[tier];
+            const tier_result& added = one.results[tier];
+            total.arrivals += added.arrivals;
+            total.in_time += added.in_time;
+            total.late += added.late;
+            total.not_run += added.not_run;
+            total.waits.insert(
+                total.waits.end(), added.waits.begin(), added.waits.end());
         }
-        this->broken += one.shed_before_lower;
-        const scheduler_counters& more = one.core.counters();
-        this->count.prefill_wasted += more.prefill_wasted;
-        this->count.overdrafts += more.overdrafts;
-        this->count.forced += more.forced;
-        this->count.preempted += more.preempted;
+        this->shed_before_lower += one.shed_before_lower;
+        const scheduler_counters& added = one.core.counters();
+        this->counters.prefill_wasted += added.prefill_wasted;
+        this->counters.overdrafts += added.overdrafts;
+        this->counters.forced += added.forced;
+        this->counters.preempted += added.preempted;
     }
 
     std::string table()
     {
         std::string out;
         for (std::size_t tier = 0; tier < base::tier_count; ++tier) {
-            result& own = this->results[tier];
+            tier_result& total = this->results[tier];
             char line[160];
             std::snprintf(line,
                           sizeof(line),
                           "\n  %-12s asked %5lu in time %5lu late %5lu "
                           "not run %5lu wait p50 %6.2f p99 %6.2f s",
                           std::string(to_string(base::all_tiers[tier])).c_str(),
-                          own.asked,
-                          own.in_time,
-                          own.late,
-                          own.not_run,
-                          own.wait(0.5),
-                          own.wait(0.99));
+                          total.arrivals,
+                          total.in_time,
+                          total.late,
+                          total.not_run,
+                          total.wait_quantile(0.5),
+                          total.wait_quantile(0.99));
             out += line;
         }
         const auto number = [](std::uint64_t value) {
             return std::to_string(value);
         };
         return out + "\n  prefill wasted " +
-               number(this->count.prefill_wasted) + ", shed while lower ran " +
-               number(this->broken) + ", overdrafts " +
-               number(this->count.overdrafts) + ", forced " +
-               number(this->count.forced) + ", preempted " +
-               number(this->count.preempted);
+               number(this->counters.prefill_wasted) +
+               ", shed while lower ran " + number(this->shed_before_lower) +
+               ", overdrafts " + number(this->counters.overdrafts) +
+               ", forced " + number(this->counters.forced) + ", preempted " +
+               number(this->counters.preempted);
     }
 };
 
 struct comparison {
-    series ours;
-    series patient;
-    series first_come;
-    series strict;
+    run_series production;
+    run_series reject_at_deadline;
+    run_series first_come;
+    run_series strict;
 
-    explicit comparison(burst what)
-        : ours(policy::ours, what), patient(policy::patient, what),
-          first_come(policy::first_come, what), strict(policy::strict, what)
+    explicit comparison(burst shape)
+        : production(policy::production, shape),
+          reject_at_deadline(policy::reject_at_deadline, shape),
+          first_come(policy::first_come, shape), strict(policy::strict, shape)
     {
-        MESSAGE("ours", this->ours.table());
-        MESSAGE("ours, giving up only at deadlines", this->patient.table());
+        MESSAGE("ours", this->production.table());
+        MESSAGE("ours, giving up only at deadlines",
+                this->reject_at_deadline.table());
         MESSAGE("first come first served", this->first_come.table());
         MESSAGE("strict priority", this->strict.table());
     }
 
-    std::uint64_t urgent(const series& which) const
+    std::uint64_t urgent(const run_series& which) const
     {
         return which.results[0].in_time;
     }
@@ -108,12 +110,13 @@
 // dossier's end.
 TEST_CASE("burst_of_all_tiers_urgent_at_once")
 {
-    comparison run(burst::of_all);
-    CHECK(run.ours.broken == 0);
-    CHECK(run.urgent(run.ours) >= run.urgent(run.strict));
-    CHECK(run.urgent(run.ours) > run.urgent(run.first_come));
-    CHECK(run.ours.results[0].wait(0.5) < 0.1);
-    CHECK(run.ours.results[3].in_time == run.ours.results[3].asked);
+    comparison run(burst::all_tiers);
+    CHECK(run.production.shed_before_lower == 0);
+    CHECK(run.urgent(run.production) >= run.urgent(run.strict));
+    CHECK(run.urgent(run.production) > run.urgent(run.first_come));
+    CHECK(run.production.results[0].wait_quantile(0.5) < 0.1);
+    CHECK(run.production.results[3].in_time ==
+          run.production.results[3].arrivals);
 }
 
 // Pings alone ask for 1.6 of the capacity for a minute, so some of them must be
@@ -121,20 +124,22 @@
 // moment, most would start too late.
 TEST_CASE("burst_of_urgent_none_shed_before_lower")
 {
-    comparison run(burst::of_urgent);
-    CHECK(run.ours.broken == 0);
-    CHECK(run.urgent(run.ours) > 2 * run.urgent(run.strict));
-    CHECK(run.ours.results[3].in_time == run.ours.results[3].asked);
+    comparison run(burst::urgent_over_capacity);
+    CHECK(run.production.shed_before_lower == 0);
+    CHECK(run.urgent(run.production) > 2 * run.urgent(run.strict));
+    CHECK(run.production.results[3].in_time ==
+          run.production.results[3].arrivals);
 }
 
 // Pings ask for 0.85 of the capacity for a minute and the rest for more than
 // what is left.
 TEST_CASE("urgent_within_capacity_all_in_time")
 {
-    comparison run(burst::of_urgent_within);
-    CHECK(run.ours.broken == 0);
-    CHECK(run.urgent(run.ours) >= run.urgent(run.strict));
-    CHECK(run.ours.results[3].in_time == run.ours.results[3].asked);
+    comparison run(burst::urgent_within_capacity);
+    CHECK(run.production.shed_before_lower == 0);
+    CHECK(run.urgent(run.production) >= run.urgent(run.strict));
+    CHECK(run.production.results[3].in_time ==
+          run.production.results[3].arrivals);
 }
 
 } // namespace greengagedrum::delivery
--- a/src/greengagedrum/delivery/test/random_run.hpp
+++ b/src/greengagedrum/delivery/test/random_run.hpp
@@ -18,8 +18,8 @@
     explicit random_run(std::uint64_t seed)
         : seed(seed), generator(seed), core(options_for(seed))
     {
-        this->publish();
-        this->list();
+        this->publish_config();
+        this->list_upstreams();
     }
 
     static scheduler_options options_for(std::uint64_t seed)
@@ -33,29 +33,31 @@
         return out;
     }
 
-    std::uint64_t below(std::uint64_t bound)
+    std::uint64_t random_below(std::uint64_t bound)
     {
         return this->generator() % bound;
     }
 
-    bool chance(double part)
+    bool chance(double probability)
     {
-        return std::uniform_real_distribution<double>()(this->generator) < part;
+        return std::uniform_real_distribution<double>()(this->generator) <
+               probability;
     }
 
-    void publish()
+    void publish_config()
     {
         config::snapshot snapshot;
         for (int i = 0; i < 4; ++i) {
-            config::upstream_entry one;
-            one.name = "engine-" + std::to_string(i);
-            one.id = base::upstream_id(one.name);
-            one.data_centre = base::data_centre_id("zona-4");
-            one.upstream_class =
+            config::upstream_entry upstream;
+            upstream.name = "engine-" + std::to_string(i);
+            upstream.id = base::upstream_id(upstream.name);
+            upstream.data_centre = base::data_centre_id("zona-4");
+            upstream.upstream_class =
                 base::upstream_class_id(i < 3 ? "photo" : "counter");
-            one.models = {i == 0 ? "old" : "compliance", "crop"};
-            one.max_in_flight = 2 + static_cast<std::uint32_t>(this->below(4));
-            snapshot.fleet.upstreams.push_back(one);
+            upstream.models = {i == 0 ? "old" : "compliance", "crop"};
+            upstream.max_in_flight =
+                2 + static_cast<std::uint32_t>(this->random_below(4));
+            snapshot.fleet.upstreams.push_back(upstream);
         }
         config::workspace_rules workspace;
         workspace.name = "mall";
@@ -71,7 +73,7 @@
             config_changed{std::make_shared<const config::snapshot>(snapshot)});
     }
 
-    void list()
+    void list_upstreams()
     {
         membership::instance_list list;
         for (int i = 0; i < 4; ++i) {
@@ -90,190 +92,196 @@
 
     // ---- One random event ----
 
-    void arrive()
+    void send_request()
     {
-        request_arrived what;
-        what.request = base::request_id{++this->last_request};
-        base::request_spec& work = what.spec;
-        work.workspace =
+        request_arrived arrival;
+        arrival.request = base::request_id{++this->last_request};
+        base::request_spec& spec = arrival.spec;
+        spec.workspace =
             base::workspace_id(this->chance(0.2) ? "mall" : "yard");
-        work.kind = base::kind_id(this->chance(0.5) ? "caption" : "review");
-        work.upstream_class =
+        spec.kind = base::kind_id(this->chance(0.5) ? "caption" : "review");
+        spec.upstream_class =
             base::upstream_class_id(this->chance(0.8) ? "photo" : "counter");
-        work.model = base::model_id(this->chance(0.5) ? "compliance" : "crop");
-        work.tier = base::all_tiers[this->below(base::tier_count)];
-        work.repetition = this->chance(0.5) ? base::repetition::idempotent
+        spec.model = base::model_id(this->chance(0.5) ? "compliance" : "crop");
+        spec.tier = base::all_tiers[this->random_below(base::tier_count)];
+        spec.repetition = this->chance(0.5) ? base::repetition::idempotent
                                             : base::repetition::at_most_once;
-        work.preemptible = this->chance(0.5);
-        work.prompt_tokens = 1 + static_cast<std::uint32_t>(this->below(5000));
-        work.output_tokens = 1 + static_cast<std::uint32_t>(this->below(500));
-        what.deadline_after =
-            base::duration(static_cast<std::int64_t>(this->below(20'000'000)));
-        known fresh;
-        fresh.work = work;
-        this->requests.emplace(what.request, fresh);
-        this->step(what);
+        spec.preemptible = this->chance(0.5);
+        spec.prompt_tokens =
+            1 + static_cast<std::uint32_t>(this->random_below(5000));
+        spec.output_tokens =
+            1 + static_cast<std::uint32_t>(this->random_below(500));
+        arrival.deadline_after = base::duration(
+            static_cast<std::int64_t>(this->random_below(20'000'000)));
+        request_record added;
+        added.spec = spec;
+        this->requests.emplace(arrival.request, added);
+        this->step(arrival);
     }
 
-    void tell_of_dispatch()
+    void step_stream()
     {
-        const auto chosen = std::next(
-            this->streams.begin(),
-            static_cast<std::ptrdiff_t>(this->below(this->streams.size())));
+        const auto chosen =
+            std::next(this->streams.begin(),
+                      static_cast<std::ptrdiff_t>(
+                          this->random_below(this->streams.size())));
         const base::dispatch_id id = chosen->first;
-        stream& own = chosen->second;
-        const std::uint64_t dice = this->below(100);
-        if (own.resumes == 0 && !own.begun && dice < 8) {
-            const auto connection = own.connection;
+        stream& record = chosen->second;
+        const std::uint64_t roll = this->random_below(100);
+        if (record.resume_count == 0 && !record.has_started && roll < 8) {
+            const auto connection = record.connection;
             this->refused.insert(id);
             this->step(connect_refused{id, connection});
-        } else if (dice < 60) {
-            own.begun = true;
-            own.tokens += 1 + static_cast<std::uint32_t>(this->below(20));
-            this->step(stream_progressed{id, own.tokens});
-        } else if (dice < 85) {
+        } else if (roll < 60) {
+            record.has_started = true;
+            record.tokens +=
+                1 + static_cast<std::uint32_t>(this->random_below(20));
+            this->step(stream_progressed{id, record.tokens});
+        } else if (roll < 85) {
             this->step(stream_finished{
                 id,
                 std::make_shared<const base::answer>(
                     base::answer{"application/json", "text", 1, true})});
-        } else if (dice < 95) {
-            const auto cause = static_cast<break_cause>(this->below(6));
-            own.begun = true;
-            this->step(stream_broken{id, own.connection, cause});
+        } else if (roll < 95) {
+            const auto cause = static_cast<break_cause>(this->random_below(6));
+            record.has_started = true;
+            this->step(stream_broken{id, record.connection, cause});
         }
         // else: silent
     }
 
-    void peer_speaks()
+    void step_peer_load()
     {
-        peer_load what;
-        what.sender = base::slot_id("zona-4-b");
-        what.incarnation = base::incarnation{9};
-        what.digest.sequence = ++this->peer_sequence;
+        peer_load message;
+        message.sender = base::slot_id("zona-4-b");
+        message.incarnation = base::incarnation{9};
+        message.digest.sequence = ++this->peer_sequence;
         capacity::class_demand demand;
         demand.upstream_class = base::upstream_class_id("photo");
         for (auto& waiting : demand.waiting)
-            waiting = static_cast<std::uint32_t>(this->below(10));
+            waiting = static_cast<std::uint32_t>(this->random_below(10));
         for (auto& running : demand.running)
-            running = static_cast<std::uint32_t>(this->below(3));
-        what.digest.demands.push_back(demand);
-        this->step(what);
+            running = static_cast<std::uint32_t>(this->random_below(3));
+        message.digest.demands.push_back(demand);
+        this->step(message);
     }
 
-    void random_event()
+    void step_random_event()
     {
-        this->now += base::duration(
-            static_cast<std::int64_t>(this->below(this->busy ? 5000 : 80000)));
-        const std::uint64_t dice = this->below(1000);
-        if (dice < 3)
-            return this->list();
-        if (dice < 4)
-            return this->publish();
-        if (dice < 6)
-            return this->peer_speaks();
-        if (dice < 8) {
-            this->busy = !this->busy;
+        this->now += base::duration(static_cast<std::int64_t>(
+            this->random_below(this->short_intervals ? 5000 : 80000)));
+        const std::uint64_t roll = this->random_below(1000);
+        if (roll < 3)
+            return this->list_upstreams();
+        if (roll < 4)
+            return this->publish_config();
+        if (roll < 6)
+            return this->step_peer_load();
+        if (roll < 8) {
+            this->short_intervals = !this->short_intervals;
             return;
         }
-        if (dice < 20 && !this->requests.empty()) {
-            const base::request_id gone = this->requests.rbegin()->first;
-            this->requests.at(gone).gone = true;
-            return this->step(caller_gone{gone});
+        if (roll < 20 && !this->requests.empty()) {
+            const base::request_id id = this->requests.rbegin()->first;
+            this->requests.at(id).caller_left = true;
+            return this->step(caller_gone{id});
         }
-        if (dice < 60)
+        if (roll < 60)
             return this->step(load_due{});
-        if (dice < 100)
+        if (roll < 100)
             return this->step(tick{});
-        if (dice < 450 || this->streams.empty())
-            return this->arrive();
-        this->tell_of_dispatch();
+        if (roll < 450 || this->streams.empty())
+            return this->send_request();
+        this->step_stream();
     }
 
     // ---- What must hold ----
 
-    void step(const event& what)
+    void step(const event& input)
     {
         std::map<base::request_id, phase> before;
-        for (const auto& [id, own] : this->requests)
+        for (const auto& [id, record] : this->requests)
             if (const request* item = this->core.find(id))
                 before.emplace(id, item->phase);
         this->actions.clear();
-        this->core.step(what, this->now, this->actions);
+        this->core.step(input, this->now, this->actions);
         for (const action& one : this->actions)
-            std::visit([this](const auto& done) { this->check(done); }, one);
+            std::visit([this](const auto& order) { this->check(order); }, one);
         for (const auto& [id, from] : before)
             this->check_phase(id, from);
-        this->check_ends();
+        this->check_after_step();
     }
 
-    void check(const assign_ticket& done)
+    void check(const assign_ticket& order)
     {
-        const bool fresh = this->tickets.insert(done.ticket.sequence).second;
-        CHECK_MESSAGE(fresh, this->where());
+        const bool is_new = this->tickets.insert(order.ticket.sequence).second;
+        CHECK_MESSAGE(is_new, this->failure_context());
     }
 
-    void check(const start_dispatch& done)
+    void check(const start_dispatch& order)
     {
-        known& own = this->requests.at(done.request);
+        request_record& record = this->requests.at(order.request);
         // A dispatch whose connect was refused did not happen.
-        if (this->refused.contains(own.last))
-            own.dispatches -= 1;
-        this->streams.erase(own.last);
-        own.last = done.dispatch;
-        own.dispatches += 1;
-        if (own.work.repetition == base::repetition::at_most_once)
-            CHECK_MESSAGE(own.dispatches == 1, this->where());
+        if (this->refused.contains(record.last_dispatch))
+            record.dispatches -= 1;
+        this->streams.erase(record.last_dispatch);
+        record.last_dispatch = order.dispatch;
+        record.dispatches += 1;
+        if (record.spec.repetition == base::repetition::at_most_once)
+            CHECK_MESSAGE(record.dispatches == 1, this->failure_context());
         // Dispatched by its timer, and its caller left in the same step.
-        CHECK_MESSAGE((own.gone || this->core.find(done.request) != nullptr),
-                      this->where());
-        this->streams[done.dispatch] = stream{done.request, done.connection};
+        CHECK_MESSAGE(
+            (record.caller_left || this->core.find(order.request) != nullptr),
+            this->failure_context());
+        this->streams[order.dispatch] = stream{order.request, order.connection};
     }
 
-    void check(const start_resume& done)
+    void check(const start_resume& order)
     {
-        stream& own = this->streams.at(done.dispatch);
-        own.connection = done.connection;
-        own.resumes += 1;
+        stream& record = this->streams.at(order.dispatch);
+        record.connection = order.connection;
+        record.resume_count += 1;
     }
 
-    void check(const stop_stream& done)
+    void check(const stop_stream& order)
     {
-        if (!done.cancel)
+        if (!order.cancel)
             return;
-        const known& own = this->requests.at(done.request);
-        CHECK_MESSAGE(own.work.repetition == base::repetition::idempotent,
-                      this->where());
-        this->streams.erase(done.dispatch);
+        const request_record& record = this->requests.at(order.request);
+        CHECK_MESSAGE(record.spec.repetition == base::repetition::idempotent,
+                      this->failure_context());
+        this->streams.erase(order.dispatch);
     }
 
-    void check(const end_answered& done)
+    void check(const end_answered& order)
     {
-        CHECK_MESSAGE(this->requests.at(done.request).dispatches > 0,
-                      this->where());
-        this->end(done.request);
+        CHECK_MESSAGE(this->requests.at(order.request).dispatches > 0,
+                      this->failure_context());
+        this->end_request(order.request);
     }
 
-    void check(const end_failed& done)
+    void check(const end_failed& order)
     {
-        const known& own = this->requests.at(done.request);
+        const request_record& record = this->requests.at(order.request);
         const bool handed_over =
-            own.dispatches > (this->refused.contains(own.last) ? 1 : 0);
-        if (done.verdict.run == base::run_state::not_run)
-            CHECK_MESSAGE(!handed_over, this->where());
-        if (!own.gone && admission::counts_as_shed(done.verdict))
-            this->shed.push_back(own.work);
-        this->end(done.request);
+            record.dispatches >
+            (this->refused.contains(record.last_dispatch) ? 1 : 0);
+        if (order.verdict.run == base::run_state::not_run)
+            CHECK_MESSAGE(!handed_over, this->failure_context());
+        if (!record.caller_left && admission::counts_as_shed(order.verdict))
+            this->shed_specs.push_back(record.spec);
+        this->end_request(order.request);
     }
 
-    void check(const send_claim_message& done) { static_cast<void>(done); }
+    void check(const send_claim_message& order) { static_cast<void>(order); }
 
-    void check(const send_load_digest& done) { static_cast<void>(done); }
+    void check(const send_load_digest& order) { static_cast<void>(order); }
 
-    void end(base::request_id id)
+    void end_request(base::request_id id)
     {
-        CHECK_MESSAGE(!this->ended.contains(id), this->where());
+        CHECK_MESSAGE(!this->ended.contains(id), this->failure_context());
         this->ended.insert(id);
-        this->streams.erase(this->requests.at(id).last);
+        this->streams.erase(this->requests.at(id).last_dispatch);
     }
 
     void check_phase(base::request_id id, phase from)
@@ -287,32 +295,33 @@
         for (int middle = 0; middle < phase_count && !legal; ++middle)
             legal = is_transition_allowed(from, static_cast<phase>(middle)) &&
                     is_transition_allowed(static_cast<phase>(middle), to);
-        CHECK_MESSAGE(legal, this->where());
+        CHECK_MESSAGE(legal, this->failure_context());
     }
 
-    void check_ends()
+    void check_after_step()
     {
-        for (const base::request_spec& work : this->shed) {
-            this->sheds += 1;
-            const auto broken =
-                admission::broken_by(work,
+        for (const base::request_spec& spec : this->shed_specs) {
+            this->shed_count += 1;
+            const auto violated_by =
+                admission::broken_by(spec,
                                      this->core.running(),
-                                     this->core.rooms(work),
+                                     this->core.rooms(spec),
                                      admission::options{}.hard_factor);
-            CHECK_MESSAGE(!broken.has_value(), this->where());
+            CHECK_MESSAGE(!violated_by.has_value(), this->failure_context());
         }
-        this->shed.clear();
+        this->shed_specs.clear();
         for (const base::request_id id : this->ended) {
-            CHECK_MESSAGE(this->core.find(id) == nullptr, this->where());
+            CHECK_MESSAGE(this->core.find(id) == nullptr,
+                          this->failure_context());
             this->requests.erase(id);
         }
         this->ended_count += this->ended.size();
         this->ended.clear();
         CHECK_MESSAGE(this->core.in_flight() == this->requests.size(),
-                      this->where());
+                      this->failure_context());
     }
 
-    std::string where() const
+    std::string failure_context() const
     {
         return "seed " + std::to_string(this->seed) + ", step " +
                std::to_string(this->steps);
@@ -333,23 +342,25 @@
             } else
                 break;
         }
-        CHECK_MESSAGE(this->requests.empty(), this->where());
-        CHECK_MESSAGE(this->core.running().size() == 0, this->where());
-        CHECK_MESSAGE(this->ended_count == this->last_request, this->where());
+        CHECK_MESSAGE(this->requests.empty(), this->failure_context());
+        CHECK_MESSAGE(this->core.running().size() == 0,
+                      this->failure_context());
+        CHECK_MESSAGE(this->ended_count == this->last_request,
+                      this->failure_context());
     }
 
-    struct known {
-        base::request_spec work;
+    struct request_record {
+        base::request_spec spec;
         int dispatches = 0;
-        base::dispatch_id last;
-        bool gone = false;
+        base::dispatch_id last_dispatch;
+        bool caller_left = false;
     };
     struct stream {
         base::request_id request;
         std::uint32_t connection = 0;
         std::uint32_t tokens = 0;
-        int resumes = 0;
-        bool begun = false;
+        int resume_count = 0;
+        bool has_started = false;
     };
 
     std::uint64_t seed;
@@ -360,15 +371,15 @@
     std::uint64_t last_request = 0;
     std::uint64_t peer_sequence = 0;
     std::uint64_t ended_count = 0;
-    std::uint64_t sheds = 0;
-    bool busy = false;
+    std::uint64_t shed_count = 0;
+    bool short_intervals = false;
     std::vector<action> actions;
-    std::map<base::request_id, known> requests; // not ended
+    std::map<base::request_id, request_record> requests; // not ended
     std::map<base::dispatch_id, stream> streams;
     std::set<base::dispatch_id> refused;
     std::set<std::uint64_t> tickets;
-    std::set<base::request_id> ended;     // in this step
-    std::vector<base::request_spec> shed; // in this step
+    std::set<base::request_id> ended;           // in this step
+    std::vector<base::request_spec> shed_specs; // in this step
 };
 
 } // namespace greengagedrum::delivery
--- a/src/greengagedrum/delivery/test/random_run_test.cpp
+++ b/src/greengagedrum/delivery/test/random_run_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-std::uint64_t number_from(const char* name, std::uint64_t otherwise)
+std::uint64_t environment_number(const char* name, std::uint64_t otherwise)
 {
     const char* text = std::getenv(name);
     return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
@@ -27,42 +27,42 @@
 TEST_CASE("random_run_every_step_promises_hold")
 {
     constexpr std::uint64_t steps_per_seed = 5000;
-    const std::uint64_t steps = number_from("GGD_RANDOM_STEPS", 200'000);
-    const std::uint64_t one_seed = number_from("GGD_RANDOM_SEED", 0);
-    const std::uint64_t first = one_seed == 0 ? 1 : one_seed;
+    const std::uint64_t steps = environment_number("GGD_RANDOM_STEPS", 200'000);
+    const std::uint64_t fixed_seed = environment_number("GGD_RANDOM_SEED", 0);
+    const std::uint64_t first = fixed_seed == 0 ? 1 : fixed_seed;
     const std::uint64_t last =
-        one_seed == 0 ? std::max<std::uint64_t>(1, steps / steps_per_seed)
-                      : one_seed;
-    std::uint64_t sheds = 0;
-    scheduler_counters sum;
+        fixed_seed == 0 ? std::max<std::uint64_t>(1, steps / steps_per_seed)
+                        : fixed_seed;
+    std::uint64_t shed_count = 0;
+    scheduler_counters total;
     for (std::uint64_t seed = first; seed <= last; ++seed) {
         random_run run(seed);
         for (run.steps = 0; run.steps < steps_per_seed; ++run.steps)
-            run.random_event();
+            run.step_random_event();
         run.drain();
-        sheds += run.sheds;
-        const scheduler_counters& own = run.core.counters();
-        sum.answered += own.answered;
-        sum.overdrafts += own.overdrafts;
-        sum.forced += own.forced;
-        sum.preempted += own.preempted;
+        shed_count += run.shed_count;
+        const scheduler_counters& counters = run.core.counters();
+        total.answered += counters.answered;
+        total.overdrafts += counters.overdrafts;
+        total.forced += counters.forced;
+        total.preempted += counters.preempted;
     }
     // The run must have met what it is about.
-    CHECK(sheds > 0);
-    CHECK(sum.answered > 0);
-    CHECK(sum.overdrafts > 0);
-    CHECK(sum.forced > 0);
-    CHECK(sum.preempted > 0);
+    CHECK(shed_count > 0);
+    CHECK(total.answered > 0);
+    CHECK(total.overdrafts > 0);
+    CHECK(total.forced > 0);
+    CHECK(total.preempted > 0);
     MESSAGE("answered ",
-            sum.answered,
+            total.answered,
             ", shed ",
-            sheds,
+            shed_count,
             ", overdrafts ",
-            sum.overdrafts,
+            total.overdrafts,
             ", forced ",
-            sum.forced,
+            total.forced,
             ", preempted ",
-            sum.preempted);
+            total.preempted);
 }
 
 } // namespace greengagedrum::delivery
--- a/src/greengagedrum/delivery/test/recovery_test.cpp
+++ b/src/greengagedrum/delivery/test/recovery_test.cpp
@@ -12,12 +12,12 @@
                   "at_most_once_connect_refused_dispatched_elsewhere")
 {
     const auto id = this->arrive(repetition::at_most_once);
-    REQUIRE(this->get<start_dispatch>() != nullptr);
-    const start_dispatch first = *this->get<start_dispatch>();
+    REQUIRE(this->first_action<start_dispatch>() != nullptr);
+    const start_dispatch first = *this->first_action<start_dispatch>();
     this->step(connect_refused{first.dispatch, first.connection});
     CHECK(this->core.find(id)->run_state() == base::run_state::not_run);
     REQUIRE(this->run_until<start_dispatch>(std::chrono::seconds(1)));
-    CHECK(this->get<start_dispatch>()->upstream != first.upstream);
+    CHECK(this->first_action<start_dispatch>()->upstream != first.upstream);
 }
 
 // A clerk's receipt runs through one entry and its answer is lost. The repeat
@@ -26,27 +26,29 @@
 TEST_CASE_FIXTURE(scheduler_fixture, "repeat_at_stopping_entry_may_have_run")
 {
     this->step(stop_begun{});
-    this->repeat("receipt-1");
-    REQUIRE(this->get<end_failed>() != nullptr);
-    const base::verdict told = this->get<end_failed>()->verdict;
-    CHECK(told.run == base::run_state::may_have_run);
-    CHECK(told.why == base::reason::stopping);
-    CHECK(told.retry_after);
+    this->arrive_with_key("receipt-1");
+    REQUIRE(this->first_action<end_failed>() != nullptr);
+    const base::verdict verdict = this->first_action<end_failed>()->verdict;
+    CHECK(verdict.run == base::run_state::may_have_run);
+    CHECK(verdict.why == base::reason::stopping);
+    CHECK(verdict.retry_after);
     this->arrive(repetition::at_most_once); // bears neither ticket nor key
-    CHECK(this->get<end_failed>()->verdict.run == base::run_state::not_run);
+    CHECK(this->first_action<end_failed>()->verdict.run ==
+          base::run_state::not_run);
 }
 
 // The same repeat reaches an entry that knows of no server that takes it. Its
 // key's home is away, so nobody there can tell whether it ran before.
 TEST_CASE_FIXTURE(scheduler_fixture, "repeat_without_upstream_may_have_run")
 {
-    this->list({});
-    this->repeat("receipt-1");
-    REQUIRE(this->get<end_failed>() != nullptr);
-    CHECK(this->get<end_failed>()->verdict.run ==
+    this->list_upstreams({});
+    this->arrive_with_key("receipt-1");
+    REQUIRE(this->first_action<end_failed>() != nullptr);
+    CHECK(this->first_action<end_failed>()->verdict.run ==
           base::run_state::may_have_run);
     this->arrive(repetition::at_most_once); // bears neither ticket nor key
-    CHECK(this->get<end_failed>()->verdict.run == base::run_state::not_run);
+    CHECK(this->first_action<end_failed>()->verdict.run ==
+          base::run_state::not_run);
 }
 
 // The bound of a graceful stop passes while servers work for a ping and for a
@@ -54,17 +56,17 @@
 // receipt's must run to its end.
 TEST_CASE_FIXTURE(scheduler_fixture, "forced_stop_cancels_idempotent_only")
 {
-    const auto ping = this->arrive(repetition::idempotent);
+    const auto idempotent = this->arrive(repetition::idempotent);
     this->arrive(repetition::at_most_once);
     this->step(stop_forced{});
-    std::size_t stopped = 0;
+    std::size_t stopped_streams = 0;
     for (const action& one : this->actions) {
         if (const auto* stop = std::get_if<stop_stream>(&one)) {
-            CHECK(stop->cancel == (stop->request == ping));
-            stopped += 1;
+            CHECK(stop->cancel == (stop->request == idempotent));
+            stopped_streams += 1;
         }
     }
-    CHECK(stopped == 2);
+    CHECK(stopped_streams == 2);
 }
 
 // A counter server takes long over a receipt. A plain service has no stream
@@ -73,12 +75,12 @@
 TEST_CASE_FIXTURE(scheduler_fixture, "service_call_slow_not_broken")
 {
     this->call_service(repetition::at_most_once);
-    REQUIRE(this->get<start_dispatch>() != nullptr);
-    const start_dispatch sent = *this->get<start_dispatch>();
+    REQUIRE(this->first_action<start_dispatch>() != nullptr);
+    const start_dispatch dispatch = *this->first_action<start_dispatch>();
     CHECK_FALSE(this->run_until<stop_stream>(std::chrono::seconds(50)));
     this->now += std::chrono::seconds(1);
-    this->step(stream_finished{sent.dispatch, whole(), 0});
-    CHECK(this->get<end_answered>() != nullptr);
+    this->step(stream_finished{dispatch.dispatch, make_answer(), 0});
+    CHECK(this->first_action<end_answered>() != nullptr);
 }
 
 // The same server never answers: at the deadline the clerk is told so, and the
@@ -87,12 +89,12 @@
 {
     this->call_service(repetition::at_most_once);
     CHECK(this->run_until<end_failed>(std::chrono::seconds(61)));
-    REQUIRE(this->get<end_failed>() != nullptr);
-    CHECK(this->get<end_failed>()->verdict.run ==
+    REQUIRE(this->first_action<end_failed>() != nullptr);
+    CHECK(this->first_action<end_failed>()->verdict.run ==
           base::run_state::may_have_run);
-    CHECK(this->get<end_failed>()->verdict.why ==
+    CHECK(this->first_action<end_failed>()->verdict.why ==
           base::reason::upstream_silent);
-    CHECK(this->get<stop_stream>() != nullptr);
+    CHECK(this->first_action<stop_stream>() != nullptr);
     CHECK(this->core.in_flight() == 0);
 }
 
@@ -102,10 +104,11 @@
 TEST_CASE_FIXTURE(scheduler_fixture, "idempotent_service_call_silent_repeated")
 {
     this->call_service(repetition::idempotent);
-    REQUIRE(this->get<start_dispatch>() != nullptr);
-    const base::upstream_id first = this->get<start_dispatch>()->upstream;
+    REQUIRE(this->first_action<start_dispatch>() != nullptr);
+    const base::upstream_id first =
+        this->first_action<start_dispatch>()->upstream;
     REQUIRE(this->run_until<start_dispatch>(std::chrono::seconds(30)));
-    CHECK(this->get<start_dispatch>()->upstream != first);
+    CHECK(this->first_action<start_dispatch>()->upstream != first);
 }
 
 // Both servers are down for a minute: the caller is told not_run at its
@@ -113,10 +116,10 @@
 TEST_CASE_FIXTURE(scheduler_fixture, "every_connect_refused_not_run")
 {
     this->arrive(repetition::at_most_once);
-    std::size_t tries = 0;
-    while (this->get<end_failed>() == nullptr) {
-        if (const auto* start = this->get<start_dispatch>()) {
-            tries += 1;
+    std::size_t dispatch_count = 0;
+    while (this->first_action<end_failed>() == nullptr) {
+        if (const auto* start = this->first_action<start_dispatch>()) {
+            dispatch_count += 1;
             this->step(connect_refused{start->dispatch, start->connection});
             continue;
         }
@@ -124,8 +127,9 @@
         this->now = *this->core.next_wake();
         this->step(tick{});
     }
-    CHECK(this->get<end_failed>()->verdict.run == base::run_state::not_run);
-    CHECK(tries < 200);
+    CHECK(this->first_action<end_failed>()->verdict.run ==
+          base::run_state::not_run);
+    CHECK(dispatch_count < 200);
 }
 
 // A daemon starts and hears the instance list before its configuration: every
@@ -133,7 +137,7 @@
 // the list was not read again.
 TEST_CASE("list_before_fleet_served")
 {
-    scheduler core(scheduler_fixture::defaults());
+    scheduler core(scheduler_fixture::default_options());
     std::vector<action> actions;
     membership::instance_list list;
     list.instances.push_back({"photo-1",
@@ -143,17 +147,17 @@
                               membership::listed_state::live});
     core.step(instances_listed{list}, base::instant{}, actions);
     config::snapshot snapshot;
-    snapshot.fleet.upstreams = {scheduler_fixture::engine("photo-1")};
+    snapshot.fleet.upstreams = {scheduler_fixture::make_upstream("photo-1")};
     core.step(
         config_changed{std::make_shared<const config::snapshot>(snapshot)},
         base::instant{},
         actions);
-    request_arrived asked;
-    asked.request = base::request_id{1};
-    asked.spec.upstream_class = base::upstream_class_id("photo");
-    asked.spec.model = base::model_id("compliance");
-    asked.deadline_after = std::chrono::seconds(1);
-    core.step(asked, base::instant{}, actions);
+    request_arrived arrival;
+    arrival.request = base::request_id{1};
+    arrival.spec.upstream_class = base::upstream_class_id("photo");
+    arrival.spec.model = base::model_id("compliance");
+    arrival.deadline_after = std::chrono::seconds(1);
+    core.step(arrival, base::instant{}, actions);
     REQUIRE(actions.size() == 2); // its ticket, then its dispatch
     CHECK(std::holds_alternative<start_dispatch>(actions.back()));
 }
@@ -164,16 +168,16 @@
 TEST_CASE_FIXTURE(scheduler_fixture, "at_most_once_connection_lost_resumed")
 {
     this->arrive(repetition::at_most_once);
-    const start_dispatch first = *this->get<start_dispatch>();
+    const start_dispatch first = *this->first_action<start_dispatch>();
     this->step(stream_progressed{first.dispatch, 10});
     this->step(stream_broken{
         first.dispatch, first.connection, break_cause::connection_lost});
     REQUIRE(this->run_until<start_resume>(std::chrono::seconds(2)));
-    CHECK(this->get<start_resume>()->upstream == first.upstream);
-    CHECK(this->get<start_resume>()->offset == 10);
-    CHECK(this->get<start_dispatch>() == nullptr);
-    this->step(stream_finished{first.dispatch, whole()});
-    CHECK(this->get<end_answered>() != nullptr);
+    CHECK(this->first_action<start_resume>()->upstream == first.upstream);
+    CHECK(this->first_action<start_resume>()->offset == 10);
+    CHECK(this->first_action<start_dispatch>() == nullptr);
+    this->step(stream_finished{first.dispatch, make_answer()});
+    CHECK(this->first_action<end_answered>() != nullptr);
 }
 
 // A cut between entry and server lasts twenty seconds while a dossier is being
@@ -182,22 +186,22 @@
 TEST_CASE_FIXTURE(scheduler_fixture, "upstream_cut_off_asked_until_back")
 {
     this->arrive(repetition::at_most_once);
-    const start_dispatch first = *this->get<start_dispatch>();
+    const start_dispatch first = *this->first_action<start_dispatch>();
     this->step(stream_progressed{first.dispatch, 10});
     this->step(stream_broken{
         first.dispatch, first.connection, break_cause::connection_lost});
-    const base::instant healed = this->now + std::chrono::seconds(20);
-    while (this->now < healed) {
+    const base::instant reachable_at = this->now + std::chrono::seconds(20);
+    while (this->now < reachable_at) {
         REQUIRE(this->run_until<start_resume>(std::chrono::seconds(5)));
-        const start_resume again = *this->get<start_resume>();
+        const start_resume resume = *this->first_action<start_resume>();
         this->now += std::chrono::milliseconds(500);
         this->step(stream_broken{
-            again.dispatch, again.connection, break_cause::unreachable});
-        REQUIRE(this->get<end_failed>() == nullptr);
+            resume.dispatch, resume.connection, break_cause::unreachable});
+        REQUIRE(this->first_action<end_failed>() == nullptr);
     }
     REQUIRE(this->run_until<start_resume>(std::chrono::seconds(5)));
-    this->step(stream_finished{first.dispatch, whole()});
-    CHECK(this->get<end_answered>() != nullptr);
+    this->step(stream_finished{first.dispatch, make_answer()});
+    CHECK(this->first_action<end_answered>() != nullptr);
 }
 
 // The same cut never heals. After its bound the planner is told the truth.
@@ -205,20 +209,20 @@
 {
     this->arrive(repetition::at_most_once);
     start_resume last;
-    const start_dispatch first = *this->get<start_dispatch>();
+    const start_dispatch first = *this->first_action<start_dispatch>();
     this->step(stream_broken{
         first.dispatch, first.connection, break_cause::connection_lost});
     const base::instant bound = this->now + std::chrono::seconds(90);
-    while (this->get<end_failed>() == nullptr && this->now < bound) {
+    while (this->first_action<end_failed>() == nullptr && this->now < bound) {
         if (!this->run_until<start_resume>(std::chrono::seconds(5)))
             continue;
-        last = *this->get<start_resume>();
+        last = *this->first_action<start_resume>();
         this->now += std::chrono::milliseconds(500);
         this->step(stream_broken{
             last.dispatch, last.connection, break_cause::unreachable});
     }
-    REQUIRE(this->get<end_failed>() != nullptr);
-    CHECK(this->get<end_failed>()->verdict.run ==
+    REQUIRE(this->first_action<end_failed>() != nullptr);
+    CHECK(this->first_action<end_failed>()->verdict.run ==
           base::run_state::may_have_run);
 }
 
@@ -227,11 +231,11 @@
 TEST_CASE_FIXTURE(scheduler_fixture, "at_most_once_stream_unknown_may_have_run")
 {
     this->arrive(repetition::at_most_once);
-    const start_dispatch first = *this->get<start_dispatch>();
+    const start_dispatch first = *this->first_action<start_dispatch>();
     this->step(stream_broken{
         first.dispatch, first.connection, break_cause::unknown_stream});
-    REQUIRE(this->get<end_failed>() != nullptr);
-    CHECK(this->get<end_failed>()->verdict.run ==
+    REQUIRE(this->first_action<end_failed>() != nullptr);
+    CHECK(this->first_action<end_failed>()->verdict.run ==
           base::run_state::may_have_run);
     CHECK(this->core.counters().dispatched == 1);
 }
@@ -241,11 +245,11 @@
 TEST_CASE_FIXTURE(scheduler_fixture, "idempotent_stream_unknown_retried")
 {
     this->arrive(repetition::idempotent);
-    const start_dispatch first = *this->get<start_dispatch>();
+    const start_dispatch first = *this->first_action<start_dispatch>();
     this->step(stream_broken{
         first.dispatch, first.connection, break_cause::unknown_stream});
     REQUIRE(this->run_until<start_dispatch>(std::chrono::seconds(2)));
-    CHECK(this->get<start_dispatch>()->upstream != first.upstream);
+    CHECK(this->first_action<start_dispatch>()->upstream != first.upstream);
 }
 
 // A connection goes silent for good in mid-answer while the server works on.
@@ -254,16 +258,16 @@
 TEST_CASE_FIXTURE(scheduler_fixture, "stream_silent_resumed_on_fresh")
 {
     this->arrive(repetition::at_most_once);
-    const start_dispatch first = *this->get<start_dispatch>();
+    const start_dispatch first = *this->first_action<start_dispatch>();
     this->step(stream_progressed{first.dispatch, 3});
     REQUIRE(this->run_until<stop_stream>(std::chrono::seconds(30)));
-    CHECK_FALSE(this->get<stop_stream>()->cancel);
+    CHECK_FALSE(this->first_action<stop_stream>()->cancel);
     REQUIRE(this->run_until<start_resume>(std::chrono::seconds(2)));
     this->step(
         stream_broken{first.dispatch, first.connection, break_cause::stopped});
     CHECK(this->actions.empty());
-    this->step(stream_finished{first.dispatch, whole()});
-    CHECK(this->get<end_answered>() != nullptr);
+    this->step(stream_finished{first.dispatch, make_answer()});
+    CHECK(this->first_action<end_answered>() != nullptr);
 }
 
 // The bound of a graceful stop passes with one request in flight and one in
--- a/src/greengagedrum/delivery/test/scheduler_fixture.hpp
+++ b/src/greengagedrum/delivery/test/scheduler_fixture.hpp
@@ -18,17 +18,19 @@
     std::vector<action> actions; // of the last step
     std::uint64_t last_request = 0;
 
-    explicit scheduler_fixture(const scheduler_options& options = defaults())
+    explicit scheduler_fixture(
+        const scheduler_options& options = default_options())
         : core(options)
     {
         config::snapshot snapshot;
-        snapshot.fleet.upstreams = {engine("photo-1"), engine("photo-2")};
+        snapshot.fleet.upstreams = {make_upstream("photo-1"),
+                                    make_upstream("photo-2")};
         this->step(
             config_changed{std::make_shared<const config::snapshot>(snapshot)});
-        this->list({"photo-1", "photo-2"});
+        this->list_upstreams({"photo-1", "photo-2"});
     }
 
-    static scheduler_options defaults()
+    static scheduler_options default_options()
     {
         scheduler_options out;
         out.slot = base::slot_id("zona-4-a");
@@ -37,7 +39,7 @@
         return out;
     }
 
-    static config::upstream_entry engine(const std::string& name)
+    static config::upstream_entry make_upstream(const std::string& name)
     {
         config::upstream_entry out;
         out.name = name;
@@ -49,7 +51,7 @@
         return out;
     }
 
-    void list(const std::vector<std::string>& live)
+    void list_upstreams(const std::vector<std::string>& live)
     {
         membership::instance_list list;
         for (const std::string& name : live)
@@ -61,13 +63,13 @@
         this->step(instances_listed{list});
     }
 
-    void step(const event& what)
+    void step(const event& input)
     {
         this->actions.clear();
-        this->core.step(what, this->now, this->actions);
+        this->core.step(input, this->now, this->actions);
     }
 
-    void pass(base::duration time)
+    void advance(base::duration time)
     {
         this->now += time;
         this->step(tick{});
@@ -81,7 +83,7 @@
         while (this->core.next_wake() && *this->core.next_wake() <= limit) {
             this->now = std::max(this->now, *this->core.next_wake());
             this->step(tick{});
-            if (this->get<Wanted>() != nullptr)
+            if (this->first_action<Wanted>() != nullptr)
                 return true;
         }
         return false;
@@ -94,7 +96,7 @@
     }
 
     // At most once, under a key of its caller's.
-    base::request_id repeat(const std::string& key)
+    base::request_id arrive_with_key(const std::string& key)
     {
         return this->arrive(
             base::repetition::at_most_once,
@@ -106,35 +108,35 @@
                             base::tier tier,
                             std::optional<idempotency::claim_subject> subject)
     {
-        request_arrived what;
-        what.request = base::request_id{++this->last_request};
-        what.subject = std::move(subject);
-        what.spec.upstream_class = base::upstream_class_id("photo");
-        what.spec.model = base::model_id("compliance");
-        what.spec.repetition = repetition;
-        what.spec.tier = tier;
-        what.spec.prompt_tokens = 100;
-        what.spec.output_tokens = 50;
-        what.deadline_after = std::chrono::seconds(60);
-        this->step(what);
-        return what.request;
+        request_arrived arrival;
+        arrival.request = base::request_id{++this->last_request};
+        arrival.subject = std::move(subject);
+        arrival.spec.upstream_class = base::upstream_class_id("photo");
+        arrival.spec.model = base::model_id("compliance");
+        arrival.spec.repetition = repetition;
+        arrival.spec.tier = tier;
+        arrival.spec.prompt_tokens = 100;
+        arrival.spec.output_tokens = 50;
+        arrival.deadline_after = std::chrono::seconds(60);
+        this->step(arrival);
+        return arrival.request;
     }
 
     // A call to a plain service: it names no model.
     base::request_id call_service(base::repetition repetition)
     {
-        request_arrived what;
-        what.request = base::request_id{++this->last_request};
-        what.spec.upstream_class = base::upstream_class_id("photo");
-        what.spec.repetition = repetition;
-        what.deadline_after = std::chrono::seconds(60);
-        this->step(what);
-        return what.request;
+        request_arrived arrival;
+        arrival.request = base::request_id{++this->last_request};
+        arrival.spec.upstream_class = base::upstream_class_id("photo");
+        arrival.spec.repetition = repetition;
+        arrival.deadline_after = std::chrono::seconds(60);
+        this->step(arrival);
+        return arrival.request;
     }
 
     // The first action of this type in the last step, or null.
     template <class Wanted>
-    const Wanted* get() const
+    const Wanted* first_action() const
     {
         for (const action& one : this->actions) {
             if (const auto* found = std::get_if<Wanted>(&one))
@@ -143,7 +145,7 @@
         return nullptr;
     }
 
-    static base::answer_ptr whole()
+    static base::answer_ptr make_answer()
     {
         return std::make_shared<const base::answer>(
             base::answer{"application/json", "text", 1, true});
--- a/src/greengagedrum/delivery/test/tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/tiers_test.cpp
@@ -13,71 +13,72 @@
 
 // Two engines with two places each.
 struct tiers_fixture : scheduler_fixture {
-    explicit tiers_fixture(const scheduler_options& options = defaults())
+    explicit tiers_fixture(const scheduler_options& options = default_options())
         : scheduler_fixture(options)
     {
     }
 
-    static base::request_spec
-    work_of(tier level, repetition repeat, bool preemptible = false)
+    static base::request_spec make_spec(tier request_tier,
+                                        repetition allowed_repetition,
+                                        bool preemptible = false)
     {
         base::request_spec out;
         out.workspace = base::workspace_id("mall");
         out.kind = base::kind_id("review");
         out.upstream_class = base::upstream_class_id("photo");
         out.model = base::model_id("compliance");
-        out.tier = level;
-        out.repetition = repeat;
+        out.tier = request_tier;
+        out.repetition = allowed_repetition;
         out.preemptible = preemptible;
         out.prompt_tokens = 1000;
         out.output_tokens = 400;
         return out;
     }
 
-    base::request_id ask(const base::request_spec& work,
-                         base::duration deadline = std::chrono::seconds(60))
+    base::request_id send(const base::request_spec& spec,
+                          base::duration deadline = std::chrono::seconds(60))
     {
-        request_arrived what;
-        what.request = base::request_id{++this->last_request};
-        what.spec = work;
-        what.deadline_after = deadline;
-        this->step(what);
-        return what.request;
+        request_arrived arrival;
+        arrival.request = base::request_id{++this->last_request};
+        arrival.spec = spec;
+        arrival.deadline_after = deadline;
+        this->step(arrival);
+        return arrival.request;
     }
 
     // `count` requests, asked one by one.
-    void fill(std::size_t count, const base::request_spec& work)
+    void send_requests(std::size_t count, const base::request_spec& spec)
     {
         for (std::size_t i = 0; i < count; ++i)
-            this->ask(work);
+            this->send(spec);
     }
 
     void finish(base::request_id id)
     {
         const request* item = this->core.find(id);
         REQUIRE(item != nullptr);
-        this->step(stream_finished{item->dispatch, whole()});
+        this->step(stream_finished{item->dispatch, make_answer()});
     }
 
-    bool runs(base::request_id id) const
+    bool is_running(base::request_id id) const
     {
         return this->core.running().find(id) != nullptr;
     }
 };
 
 const base::request_spec bulk_dossier =
-    tiers_fixture::work_of(tier::bulk, repetition::at_most_once);
+    tiers_fixture::make_spec(tier::bulk, repetition::at_most_once);
 const base::request_spec bulk_caption =
-    tiers_fixture::work_of(tier::bulk, repetition::idempotent, true);
+    tiers_fixture::make_spec(tier::bulk, repetition::idempotent, true);
 const base::request_spec ping =
-    tiers_fixture::work_of(tier::urgent, repetition::idempotent);
+    tiers_fixture::make_spec(tier::urgent, repetition::idempotent);
 
-struct narrow_fixture : tiers_fixture {
-    narrow_fixture() : tiers_fixture(narrow()) {}
+struct short_queue_fixture : tiers_fixture {
+    short_queue_fixture() : tiers_fixture(short_queue_options()) {}
 
-    static scheduler_options narrow()
+    static scheduler_options short_queue_options()
     {
-        scheduler_options out = defaults();
+        scheduler_options out = default_options();
         out.admission.waiting_max = 2;
         return out;
     }
@@ -90,11 +91,11 @@
 // the allowance, and no dossier is touched.
 TEST_CASE_FIXTURE(tiers_fixture, "bulk_holds_all_urgent_overdraws_at_once")
 {
-    this->fill(6, bulk_dossier);
-    const base::request_id gate = this->ask(ping);
-    REQUIRE(this->get<start_dispatch>() != nullptr);
-    CHECK(this->get<start_dispatch>()->request == gate);
-    CHECK(this->get<stop_stream>() == nullptr);
+    this->send_requests(6, bulk_dossier);
+    const base::request_id urgent = this->send(ping);
+    REQUIRE(this->first_action<start_dispatch>() != nullptr);
+    CHECK(this->first_action<start_dispatch>()->request == urgent);
+    CHECK(this->first_action<stop_stream>() == nullptr);
     CHECK(this->core.counters().overdrafts == 1);
 }
 
@@ -102,17 +103,17 @@
 // allowance: the next dossier must not take the place that was lent.
 TEST_CASE_FIXTURE(tiers_fixture, "overdraft_open_lower_tier_not_filled")
 {
-    this->fill(6, bulk_dossier); // 1 to 4 run
-    const base::request_id gate = this->ask(ping);
-    const base::upstream_id lent = this->core.find(gate)->upstream;
-    std::vector<base::request_id> there;
+    this->send_requests(6, bulk_dossier); // 1 to 4 run
+    const base::request_id urgent = this->send(ping);
+    const base::upstream_id overdrawn = this->core.find(urgent)->upstream;
+    std::vector<base::request_id> running_there;
     for (std::uint64_t id = 1; id <= 4; ++id)
-        if (this->core.find(base::request_id{id})->upstream == lent)
-            there.push_back(base::request_id{id});
-    this->finish(there.at(0));
-    CHECK_FALSE(this->runs(base::request_id{5}));
-    this->finish(gate);
-    CHECK(this->runs(base::request_id{5}));
+        if (this->core.find(base::request_id{id})->upstream == overdrawn)
+            running_there.push_back(base::request_id{id});
+    this->finish(running_there.at(0));
+    CHECK_FALSE(this->is_running(base::request_id{5}));
+    this->finish(urgent);
+    CHECK(this->is_running(base::request_id{5}));
 }
 
 // Pings fill the overdraft too, and the next one's last chance comes. Then one
@@ -120,18 +121,18 @@
 // runs again, and its tries are intact.
 TEST_CASE_FIXTURE(tiers_fixture, "last_chance_least_prefill_preempted")
 {
-    this->fill(4, bulk_caption);
-    for (const std::uint64_t begun : {1, 2, 4}) {
-        const request* item = this->core.find(base::request_id{begun});
+    this->send_requests(4, bulk_caption);
+    for (const std::uint64_t id : {1, 2, 4}) {
+        const request* item = this->core.find(base::request_id{id});
         this->step(stream_progressed{item->dispatch, 5});
     }
-    this->fill(2, ping);
-    const base::request_id gate = this->ask(ping, std::chrono::seconds(3));
+    this->send_requests(2, ping);
+    const base::request_id urgent = this->send(ping, std::chrono::seconds(3));
     CHECK(this->core.counters().preempted == 0);
     REQUIRE(this->run_until<stop_stream>(std::chrono::seconds(3)));
-    CHECK(this->get<stop_stream>()->request == base::request_id{3});
-    CHECK(this->get<stop_stream>()->cancel);
-    CHECK(this->runs(gate));
+    CHECK(this->first_action<stop_stream>()->request == base::request_id{3});
+    CHECK(this->first_action<stop_stream>()->cancel);
+    CHECK(this->is_running(urgent));
     const request* caption = this->core.find(base::request_id{3});
     REQUIRE(caption != nullptr);
     CHECK(caption->phase == phase::queued);
@@ -145,26 +146,26 @@
 {
     base::request_spec dossier = bulk_dossier;
     dossier.preemptible = true; // an operator's mistake
-    this->fill(4, dossier);
-    this->fill(2, ping);
-    const base::request_id gate = this->ask(ping);
-    CHECK(this->get<stop_stream>() == nullptr);
-    CHECK_FALSE(this->runs(gate));
+    this->send_requests(4, dossier);
+    this->send_requests(2, ping);
+    const base::request_id urgent = this->send(ping);
+    CHECK(this->first_action<stop_stream>() == nullptr);
+    CHECK_FALSE(this->is_running(urgent));
     this->finish(base::request_id{1});
-    CHECK(this->runs(gate));
+    CHECK(this->is_running(urgent));
 }
 
 // And when no dossier ends before the ping's time is over: it goes out beyond
 // the overdraft rather than being told not_run while dossiers run.
 TEST_CASE_FIXTURE(tiers_fixture, "last_chance_urgent_forced_not_shed")
 {
-    this->fill(4, bulk_dossier);
-    this->fill(2, ping);
-    const base::request_id gate = this->ask(ping, std::chrono::seconds(3));
-    CHECK_FALSE(this->runs(gate));
+    this->send_requests(4, bulk_dossier);
+    this->send_requests(2, ping);
+    const base::request_id urgent = this->send(ping, std::chrono::seconds(3));
+    CHECK_FALSE(this->is_running(urgent));
     REQUIRE(this->run_until<start_dispatch>(std::chrono::seconds(3)));
-    CHECK(this->get<start_dispatch>()->request == gate);
-    CHECK(this->get<end_failed>() == nullptr);
+    CHECK(this->first_action<start_dispatch>()->request == urgent);
+    CHECK(this->first_action<end_failed>() == nullptr);
     CHECK(this->core.counters().forced == 1);
 }
 
@@ -172,32 +173,32 @@
 // within its floor's age of a second, though every place is wanted by pings.
 TEST_CASE_FIXTURE(tiers_fixture, "urgent_flood_bulk_starts_by_floor")
 {
-    this->fill(20, ping);
-    const base::request_id summary = this->ask(bulk_dossier);
-    base::instant since = this->now;
-    while (!this->runs(summary) && this->now - since < 2s) {
+    this->send_requests(20, ping);
+    const base::request_id summary = this->send(bulk_dossier);
+    base::instant queued_at = this->now;
+    while (!this->is_running(summary) && this->now - queued_at < 2s) {
         this->now += 10ms;
         std::optional<base::request_id> done;
         for (std::uint64_t id = 1; id <= this->last_request && !done; ++id)
-            if (this->runs(base::request_id{id}))
+            if (this->is_running(base::request_id{id}))
                 done = base::request_id{id};
         REQUIRE(done);
         this->finish(*done);
-        this->ask(ping);
+        this->send(ping);
     }
-    CHECK(this->runs(summary));
-    CHECK(this->now - since <= 1010ms);
+    CHECK(this->is_running(summary));
+    CHECK(this->now - queued_at <= 1010ms);
 }
 
 // The line is full of captions when a crop check comes: one caption is told
 // not_run with a time to come back, the crop check stays.
-TEST_CASE_FIXTURE(narrow_fixture, "line_full_lowest_tier_shed")
+TEST_CASE_FIXTURE(short_queue_fixture, "line_full_lowest_tier_shed")
 {
-    this->fill(4, bulk_dossier);
-    this->fill(2, bulk_caption);
+    this->send_requests(4, bulk_dossier);
+    this->send_requests(2, bulk_caption);
     const base::request_id check =
-        this->ask(work_of(tier::standard, repetition::idempotent));
-    const auto* end = this->get<end_failed>();
+        this->send(make_spec(tier::standard, repetition::idempotent));
+    const auto* end = this->first_action<end_failed>();
     REQUIRE(end != nullptr);
     CHECK(end->request != check);
     CHECK(end->verdict.why == base::reason::overloaded);
@@ -211,9 +212,9 @@
 // line will have become short enough.
 TEST_CASE_FIXTURE(tiers_fixture, "deadline_out_of_reach_told_at_once")
 {
-    this->fill(54, bulk_dossier);
-    this->ask(bulk_dossier, std::chrono::seconds(10));
-    const auto* end = this->get<end_failed>();
+    this->send_requests(54, bulk_dossier);
+    this->send(bulk_dossier, std::chrono::seconds(10));
+    const auto* end = this->first_action<end_failed>();
     REQUIRE(end != nullptr);
     CHECK(end->verdict.why == base::reason::deadline);
     REQUIRE(end->verdict.retry_after.has_value());
@@ -225,10 +226,11 @@
 // The same request in a higher tier stays: bulk work runs and would give way.
 TEST_CASE_FIXTURE(tiers_fixture, "higher_tier_never_refused_early")
 {
-    this->fill(54, bulk_dossier);
-    const auto id = this->ask(work_of(tier::standard, repetition::idempotent),
-                              std::chrono::milliseconds(1));
-    CHECK(this->get<end_failed>() == nullptr);
+    this->send_requests(54, bulk_dossier);
+    const auto id =
+        this->send(make_spec(tier::standard, repetition::idempotent),
+                   std::chrono::milliseconds(1));
+    CHECK(this->first_action<end_failed>() == nullptr);
     CHECK(this->core.find(id) != nullptr);
 }
 
@@ -238,7 +240,8 @@
 TEST_CASE_FIXTURE(tiers_fixture, "workspace_limit_reached_held_then_told")
 {
     config::snapshot snapshot;
-    snapshot.fleet.upstreams = {engine("photo-1"), engine("photo-2")};
+    snapshot.fleet.upstreams = {make_upstream("photo-1"),
+                                make_upstream("photo-2")};
     config::workspace_rules mall;
     mall.id = base::workspace_id("mall");
     config::kind_rules review;
@@ -248,12 +251,12 @@
     snapshot.workspaces.emplace("mall", mall);
     this->step(
         config_changed{std::make_shared<const config::snapshot>(snapshot)});
-    this->fill(2, bulk_dossier);
-    const auto third = this->ask(bulk_dossier, std::chrono::seconds(10));
-    CHECK_FALSE(this->runs(third));
+    this->send_requests(2, bulk_dossier);
+    const auto third = this->send(bulk_dossier, std::chrono::seconds(10));
+    CHECK_FALSE(this->is_running(third));
     base::request_spec other = bulk_dossier;
     other.workspace = base::workspace_id("counter");
-    CHECK(this->runs(this->ask(other)));
+    CHECK(this->is_running(this->send(other)));
     // The two that run make progress; only the third's time passes.
     while (this->now < base::instant{std::chrono::seconds(9)}) {
         for (const std::uint64_t id : {1, 2, 4}) {
@@ -261,13 +264,14 @@
             this->step(
                 stream_progressed{item->dispatch, item->tokens_received + 1});
         }
-        this->pass(std::chrono::seconds(1));
-        if (this->get<end_failed>() != nullptr)
+        this->advance(std::chrono::seconds(1));
+        if (this->first_action<end_failed>() != nullptr)
             break;
     }
-    REQUIRE(this->get<end_failed>() != nullptr);
-    CHECK(this->get<end_failed>()->request == third);
-    CHECK(this->get<end_failed>()->verdict.why == base::reason::limit_reached);
+    REQUIRE(this->first_action<end_failed>() != nullptr);
+    CHECK(this->first_action<end_failed>()->request == third);
+    CHECK(this->first_action<end_failed>()->verdict.why ==
+          base::reason::limit_reached);
 }
 
 } // namespace greengagedrum::delivery
