--- a/src/greengagedrum/delivery/test/random_run_test.cpp
+++ b/src/greengagedrum/delivery/test/random_run_test.cpp
@@ -1,7 +1,7 @@
 // The scheduler under random arrivals and failures, checked after every step.
 //
-// Steps: 200,000, or as many as the environment variable GGD_RANDOM_STEPS
-// says. A break prints the seed; GGD_RANDOM_SEED runs that one alone.
+// GGD_RANDOM_STEPS sets the number of steps (default 200,000). A failed check
+// prints the seed; GGD_RANDOM_SEED runs that seed alone.
 #include <greengagedrum/delivery/test/random_run.hpp>
 
 #include <cstdlib>
@@ -20,10 +20,10 @@
 
 } // namespace
 
-// Callers of all tiers keep asking while upstreams refuse, break, fall silent
-// and leave, peers come and go, and callers hang up. Whatever the order, each
-// request ends once, with a true verdict, and no higher tier is shed while a
-// lower one runs.
+// Callers of all tiers send requests while upstreams refuse connections, break
+// streams, go silent and leave, a peer reports its load, and callers
+// disconnect. For every order of events, each request ends once with a true
+// verdict, and no higher tier is shed while a lower tier runs.
 TEST_CASE("random_run_every_step_promises_hold")
 {
     constexpr std::uint64_t steps_per_seed = 5000;
@@ -47,7 +47,7 @@
         total.forced += counters.forced;
         total.preempted += counters.preempted;
     }
-    // The run must have met what it is about.
+    // Each outcome must have occurred at least once for the test to cover it.
     CHECK(shed_count > 0);
     CHECK(total.answered > 0);
     CHECK(total.overdrafts > 0);
