--- a/src/greengagedrum/delivery/test/joined_actions.cpp
+++ b/src/greengagedrum/delivery/test/joined_actions.cpp
@@ -26,12 +26,12 @@
 void simulated_cluster::execute(simulated_entry& entry,
                                 const start_dispatch& order)
 {
-    const auto wait =
+    const auto delay =
         base::duration(static_cast<std::int64_t>(this->random_below(600'000)));
     if (this->chance(this->faults)) {
         this->refused_dispatches.insert(order.dispatch);
         return this->schedule(
-            wait / 8,
+            delay / 8,
             {&entry,
              nullptr,
              event(connect_refused{order.dispatch, order.connection})});
@@ -46,14 +46,14 @@
         return; // the stream stays silent
     if (this->chance(this->faults))
         return this->schedule(
-            wait / 2,
+            delay / 2,
             {&entry,
              nullptr,
              event(stream_broken{order.dispatch,
                                  order.connection,
                                  break_cause::connection_lost})});
     this->schedule(
-        wait,
+        delay,
         {&entry,
          nullptr,
          event(stream_finished{
@@ -63,14 +63,16 @@
 void simulated_cluster::execute(simulated_entry& entry,
                                 const start_resume& order)
 {
-    const bool known = !this->refused_dispatches.contains(order.dispatch) &&
-                       !this->chance(this->faults);
+    const bool stream_known =
+        !this->refused_dispatches.contains(order.dispatch) &&
+        !this->chance(this->faults);
     const event end =
-        known ? event(stream_finished{
-                    order.dispatch, this->make_answer(order.dispatch), 0})
-              : event(stream_broken{order.dispatch,
-                                    order.connection,
-                                    break_cause::unknown_stream});
+        stream_known
+            ? event(stream_finished{
+                  order.dispatch, this->make_answer(order.dispatch), 0})
+            : event(stream_broken{order.dispatch,
+                                  order.connection,
+                                  break_cause::unknown_stream});
     this->schedule(50ms, {&entry, nullptr, end});
 }
 
@@ -131,15 +133,15 @@
 {
     // After a replacement two processes may run in the slot; the link leads to
     // one of them.
-    std::vector<simulated_entry*> reached;
+    std::vector<simulated_entry*> receivers;
     for (simulated_entry* to : this->live_entries())
         if (to->slot == order.to && to != &entry)
-            reached.push_back(to);
-    if (reached.empty())
+            receivers.push_back(to);
+    if (receivers.empty())
         return;
     this->send_message(
         entry,
-        *reached[this->random_below(reached.size())],
+        *receivers[this->random_below(receivers.size())],
         {nullptr,
          nullptr,
          event(claim_message{entry.slot, entry.incarnation, order.body})});
--- a/src/greengagedrum/delivery/test/joined_entries.cpp
+++ b/src/greengagedrum/delivery/test/joined_entries.cpp
@@ -143,7 +143,7 @@
 {
     subject_record added;
     added.claim = idempotency::caller_key{base::workspace_id("booths"), text};
-    added.first_sent = this->now;
+    added.first_sent_at = this->now;
     this->subjects.push_back(added);
     return this->subjects.size() - 1;
 }
@@ -172,7 +172,7 @@
     REQUIRE(this->assigned_ticket);
     subject_record added;
     added.claim = *this->assigned_ticket;
-    added.first_sent = this->now;
+    added.first_sent_at = this->now;
     this->subjects.push_back(added);
     return this->subjects.size() - 1;
 }
@@ -201,9 +201,9 @@
 
 base::duration simulated_cluster::random_latency()
 {
-    const std::uint64_t most =
+    const std::uint64_t bound =
         this->chance(this->faults / 4) ? 4'000'000 : 3000;
-    return base::duration(static_cast<std::int64_t>(this->random_below(most)));
+    return base::duration(static_cast<std::int64_t>(this->random_below(bound)));
 }
 
 void simulated_cluster::send_message(simulated_entry& from,
--- a/src/greengagedrum/delivery/test/joined_entries.hpp
+++ b/src/greengagedrum/delivery/test/joined_entries.hpp
@@ -49,7 +49,7 @@
 // cluster.
 struct subject_record {
     idempotency::claim_subject claim;
-    base::instant first_sent;
+    base::instant first_sent_at;
     base::dispatch_id last_dispatch;
     int dispatch_count = 0; // without dispatches whose connect was refused
     int not_run = 0;
--- a/src/greengagedrum/delivery/test/joined_entries_test.cpp
+++ b/src/greengagedrum/delivery/test/joined_entries_test.cpp
@@ -13,10 +13,10 @@
 namespace
 {
 
-std::uint64_t environment_number(const char* name, std::uint64_t otherwise)
+std::uint64_t environment_number(const char* name, std::uint64_t fallback)
 {
     const char* text = std::getenv(name);
-    return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+    return text == nullptr ? fallback : std::strtoull(text, nullptr, 10);
 }
 
 // Callers resend requests with the same ticket or key to any entry while
@@ -126,7 +126,7 @@
             count - 1 -
             this->cluster.random_below(std::min<std::size_t>(count, 6));
         const subject_record& subject = this->cluster.subjects[chosen];
-        if (this->cluster.now - subject.first_sent > 9s)
+        if (this->cluster.now - subject.first_sent_at > 9s)
             return;
         this->cluster.send(entry, chosen);
         simulated_entry& other = this->random_entry();
--- a/src/greengagedrum/delivery/test/policy_run.hpp
+++ b/src/greengagedrum/delivery/test/policy_run.hpp
@@ -195,8 +195,8 @@
         std::map<base::upstream_id, int> loads;
         for (const auto& [id, record] : this->streams)
             loads[record.upstream] += 1;
-        std::vector<base::dispatch_id> done;
-        std::vector<base::dispatch_id> alive;
+        std::vector<base::dispatch_id> finished;
+        std::vector<base::dispatch_id> running;
         for (auto& [id, record] : this->streams) {
             const double relative_speed = std::min(
                 1.0, static_cast<double>(slots) / loads[record.upstream]);
@@ -204,11 +204,11 @@
                 relative_speed *
                 std::chrono::duration<double>(tick_length).count();
             if (record.remaining_seconds <= 0)
-                done.push_back(id);
+                finished.push_back(id);
             else
-                alive.push_back(id);
+                running.push_back(id);
         }
-        for (const base::dispatch_id id : alive) {
+        for (const base::dispatch_id id : running) {
             const auto found = this->streams.find(id);
             if (found == this->streams.end())
                 continue;
@@ -221,7 +221,7 @@
                 this->step(
                     stream_progressed{id, record.reported_tokens = tokens});
         }
-        for (const base::dispatch_id id : done)
+        for (const base::dispatch_id id : finished)
             if (this->streams.erase(id) > 0)
                 this->step(stream_finished{
                     id, std::make_shared<const base::answer>()});
--- a/src/greengagedrum/delivery/test/random_run_test.cpp
+++ b/src/greengagedrum/delivery/test/random_run_test.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-std::uint64_t environment_number(const char* name, std::uint64_t otherwise)
+std::uint64_t environment_number(const char* name, std::uint64_t fallback)
 {
     const char* text = std::getenv(name);
-    return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+    return text == nullptr ? fallback : std::strtoull(text, nullptr, 10);
 }
 
 } // namespace
--- a/src/greengagedrum/delivery/test/scheduler_fixture.hpp
+++ b/src/greengagedrum/delivery/test/scheduler_fixture.hpp
@@ -70,9 +70,9 @@
         this->core.step(input, this->now, this->actions);
     }
 
-    void advance(base::duration time)
+    void advance(base::duration span)
     {
-        this->now += time;
+        this->now += span;
         this->step(tick{});
     }
 
--- a/src/greengagedrum/delivery/test/tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/tiers_test.cpp
@@ -67,11 +67,11 @@
     }
 };
 
-const base::request_spec bulk_dossier =
+const base::request_spec bulk_at_most_once =
     tiers_fixture::make_spec(tier::bulk, repetition::at_most_once);
-const base::request_spec bulk_caption =
+const base::request_spec bulk_preemptible =
     tiers_fixture::make_spec(tier::bulk, repetition::idempotent, true);
-const base::request_spec ping =
+const base::request_spec urgent_idempotent =
     tiers_fixture::make_spec(tier::urgent, repetition::idempotent);
 
 struct short_queue_fixture : tiers_fixture {
@@ -92,8 +92,8 @@
 // allowance, and no bulk request is cancelled.
 TEST_CASE_FIXTURE(tiers_fixture, "bulk_holds_all_urgent_overdraws_at_once")
 {
-    this->send_requests(6, bulk_dossier);
-    const base::request_id urgent = this->send(ping);
+    this->send_requests(6, bulk_at_most_once);
+    const base::request_id urgent = this->send(urgent_idempotent);
     REQUIRE(this->first_action<start_dispatch>() != nullptr);
     CHECK(this->first_action<start_dispatch>()->request == urgent);
     CHECK(this->first_action<stop_stream>() == nullptr);
@@ -104,8 +104,8 @@
 // its allowance. The next bulk request must not take the overdrawn slot.
 TEST_CASE_FIXTURE(tiers_fixture, "overdraft_open_lower_tier_not_filled")
 {
-    this->send_requests(6, bulk_dossier); // 1 to 4 run
-    const base::request_id urgent = this->send(ping);
+    this->send_requests(6, bulk_at_most_once); // 1 to 4 run
+    const base::request_id urgent = this->send(urgent_idempotent);
     const base::upstream_id overdrawn = this->core.find(urgent)->upstream;
     std::vector<base::request_id> running_there;
     for (std::uint64_t id = 1; id <= 4; ++id)
@@ -123,34 +123,35 @@
 // and the preemption does not count against its dispatches.
 TEST_CASE_FIXTURE(tiers_fixture, "last_chance_least_prefill_preempted")
 {
-    this->send_requests(4, bulk_caption);
+    this->send_requests(4, bulk_preemptible);
     for (const std::uint64_t id : {1, 2, 4}) {
         const request* item = this->core.find(base::request_id{id});
         this->step(stream_progressed{item->dispatch, 5});
     }
-    this->send_requests(2, ping);
-    const base::request_id urgent = this->send(ping, std::chrono::seconds(3));
+    this->send_requests(2, urgent_idempotent);
+    const base::request_id urgent =
+        this->send(urgent_idempotent, std::chrono::seconds(3));
     CHECK(this->core.counters().preempted == 0);
     REQUIRE(this->run_until<stop_stream>(std::chrono::seconds(3)));
     CHECK(this->first_action<stop_stream>()->request == base::request_id{3});
     CHECK(this->first_action<stop_stream>()->cancel);
     CHECK(this->is_running(urgent));
-    const request* caption = this->core.find(base::request_id{3});
-    REQUIRE(caption != nullptr);
-    CHECK(caption->phase == phase::queued);
-    CHECK(caption->dispatches == 0);
-    CHECK(caption->run_state() == base::run_state::may_have_run);
+    const request* preempted = this->core.find(base::request_id{3});
+    REQUIRE(preempted != nullptr);
+    CHECK(preempted->phase == phase::queued);
+    CHECK(preempted->dispatches == 0);
+    CHECK(preempted->run_state() == base::run_state::may_have_run);
 }
 
 // All bulk requests are at-most-once, so cancelling one would lose it for good.
 // The urgent request waits in the queue and takes the next free slot.
 TEST_CASE_FIXTURE(tiers_fixture, "only_at_most_once_runs_nothing_cancelled")
 {
-    base::request_spec dossier = bulk_dossier;
-    dossier.preemptible = true; // configuration error
-    this->send_requests(4, dossier);
-    this->send_requests(2, ping);
-    const base::request_id urgent = this->send(ping);
+    base::request_spec preemptible_at_most_once = bulk_at_most_once;
+    preemptible_at_most_once.preemptible = true; // configuration error
+    this->send_requests(4, preemptible_at_most_once);
+    this->send_requests(2, urgent_idempotent);
+    const base::request_id urgent = this->send(urgent_idempotent);
     CHECK(this->first_action<stop_stream>() == nullptr);
     CHECK_FALSE(this->is_running(urgent));
     this->finish(base::request_id{1});
@@ -162,9 +163,10 @@
 // not_run while a lower tier runs.
 TEST_CASE_FIXTURE(tiers_fixture, "last_chance_urgent_forced_not_shed")
 {
-    this->send_requests(4, bulk_dossier);
-    this->send_requests(2, ping);
-    const base::request_id urgent = this->send(ping, std::chrono::seconds(3));
+    this->send_requests(4, bulk_at_most_once);
+    this->send_requests(2, urgent_idempotent);
+    const base::request_id urgent =
+        this->send(urgent_idempotent, std::chrono::seconds(3));
     CHECK_FALSE(this->is_running(urgent));
     REQUIRE(this->run_until<start_dispatch>(std::chrono::seconds(3)));
     CHECK(this->first_action<start_dispatch>()->request == urgent);
@@ -176,20 +178,20 @@
 // still starts within its floor age of 1 s.
 TEST_CASE_FIXTURE(tiers_fixture, "urgent_flood_bulk_starts_by_floor")
 {
-    this->send_requests(20, ping);
-    const base::request_id summary = this->send(bulk_dossier);
+    this->send_requests(20, urgent_idempotent);
+    const base::request_id bulk = this->send(bulk_at_most_once);
     base::instant queued_at = this->now;
-    while (!this->is_running(summary) && this->now - queued_at < 2s) {
+    while (!this->is_running(bulk) && this->now - queued_at < 2s) {
         this->now += 10ms;
-        std::optional<base::request_id> done;
-        for (std::uint64_t id = 1; id <= this->last_request && !done; ++id)
+        std::optional<base::request_id> finished;
+        for (std::uint64_t id = 1; id <= this->last_request && !finished; ++id)
             if (this->is_running(base::request_id{id}))
-                done = base::request_id{id};
-        REQUIRE(done);
-        this->finish(*done);
-        this->send(ping);
+                finished = base::request_id{id};
+        REQUIRE(finished);
+        this->finish(*finished);
+        this->send(urgent_idempotent);
     }
-    CHECK(this->is_running(summary));
+    CHECK(this->is_running(bulk));
     CHECK(this->now - queued_at <= 1010ms);
 }
 
@@ -197,17 +199,17 @@
 // request ends with not_run and a retry time; the standard request stays.
 TEST_CASE_FIXTURE(short_queue_fixture, "line_full_lowest_tier_shed")
 {
-    this->send_requests(4, bulk_dossier);
-    this->send_requests(2, bulk_caption);
-    const base::request_id check =
+    this->send_requests(4, bulk_at_most_once);
+    this->send_requests(2, bulk_preemptible);
+    const base::request_id standard =
         this->send(make_spec(tier::standard, repetition::idempotent));
     const auto* end = this->first_action<end_failed>();
     REQUIRE(end != nullptr);
-    CHECK(end->request != check);
+    CHECK(end->request != standard);
     CHECK(end->verdict.why == base::reason::overloaded);
     CHECK(end->verdict.run == base::run_state::not_run);
     CHECK(end->verdict.retry_after.has_value());
-    CHECK(this->core.find(check) != nullptr);
+    CHECK(this->core.find(standard) != nullptr);
 }
 
 // Fifty bulk requests wait and another one has a deadline of 10 s, which it
@@ -215,8 +217,8 @@
 // time after which the queue will be short enough.
 TEST_CASE_FIXTURE(tiers_fixture, "deadline_out_of_reach_told_at_once")
 {
-    this->send_requests(54, bulk_dossier);
-    this->send(bulk_dossier, std::chrono::seconds(10));
+    this->send_requests(54, bulk_at_most_once);
+    this->send(bulk_at_most_once, std::chrono::seconds(10));
     const auto* end = this->first_action<end_failed>();
     REQUIRE(end != nullptr);
     CHECK(end->verdict.why == base::reason::deadline);
@@ -230,7 +232,7 @@
 // requests that run would give way to it.
 TEST_CASE_FIXTURE(tiers_fixture, "higher_tier_never_refused_early")
 {
-    this->send_requests(54, bulk_dossier);
+    this->send_requests(54, bulk_at_most_once);
     const auto id =
         this->send(make_spec(tier::standard, repetition::idempotent),
                    std::chrono::milliseconds(1));
@@ -246,21 +248,21 @@
     config::snapshot snapshot;
     snapshot.fleet.upstreams = {make_upstream("photo-1"),
                                 make_upstream("photo-2")};
-    config::workspace_rules mall;
-    mall.id = base::workspace_id("mall");
-    config::kind_rules review;
-    review.id = base::kind_id("review");
-    review.max_in_flight = 2;
-    mall.kinds = {review};
-    snapshot.workspaces.emplace("mall", mall);
+    config::workspace_rules workspace;
+    workspace.id = base::workspace_id("mall");
+    config::kind_rules kind;
+    kind.id = base::kind_id("review");
+    kind.max_in_flight = 2;
+    workspace.kinds = {kind};
+    snapshot.workspaces.emplace("mall", workspace);
     this->step(
         config_changed{std::make_shared<const config::snapshot>(snapshot)});
-    this->send_requests(2, bulk_dossier);
-    const auto third = this->send(bulk_dossier, std::chrono::seconds(10));
+    this->send_requests(2, bulk_at_most_once);
+    const auto third = this->send(bulk_at_most_once, std::chrono::seconds(10));
     CHECK_FALSE(this->is_running(third));
-    base::request_spec other = bulk_dossier;
-    other.workspace = base::workspace_id("counter");
-    CHECK(this->is_running(this->send(other)));
+    base::request_spec other_workspace = bulk_at_most_once;
+    other_workspace.workspace = base::workspace_id("counter");
+    CHECK(this->is_running(this->send(other_workspace)));
     // The running requests make progress, so only the third runs out of time.
     while (this->now < base::instant{std::chrono::seconds(9)}) {
         for (const std::uint64_t id : {1, 2, 4}) {
