--- a/src/greengagedrum/delivery/test/joined_entries_test.cpp
+++ b/src/greengagedrum/delivery/test/joined_entries_test.cpp
@@ -144,7 +144,7 @@
 // every order of events, the request is dispatched at most once, each request
 // ends once, a not_run verdict is true, and a replayed answer equals the
 // original answer.
-TEST_CASE("joined_entries_under_faults_at_most_once")
+TEST_CASE("simulated_cluster_with_faults_at_most_once")
 {
     constexpr int run_length = 3000;
     const std::uint64_t fixed_seed = environment_number("GGD_RANDOM_SEED", 0);
@@ -173,11 +173,11 @@
     CHECK(total.may_have_run > 0);
     MESSAGE("subjects ",
             subject_count,
-            ", handed over ",
+            ", dispatched ",
             total.dispatch_count,
-            ", recalled ",
+            ", replayed ",
             total.replayed,
-            ", told not_run ",
+            ", not_run ",
             total.not_run,
             ", may_have_run ",
             total.may_have_run);
--- a/src/greengagedrum/delivery/test/peer_tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/peer_tiers_test.cpp
@@ -142,7 +142,7 @@
 // requests reaches another entry. The urgent requests must not be shed at their
 // deadlines while the bulk requests run on: their entry has no lower-tier
 // requests of its own and must count those of its peer.
-TEST_CASE_FIXTURE(two_entries_fixture, "lower_runs_at_peer_urgent_not_shed")
+TEST_CASE_FIXTURE(two_entries_fixture, "lower_tier_at_peer_urgent_not_shed")
 {
     for (int i = 0; i < 4; ++i)
         this->send(this->b, base::tier::bulk, 10min);
@@ -158,7 +158,7 @@
 // The same burst, but the peer's last load digest is too old. The lower-tier
 // requests in the digest no longer count, and the upstream is not overloaded
 // beyond its slots because of them.
-TEST_CASE_FIXTURE(two_entries_fixture, "peer_silent_its_lower_work_forgotten")
+TEST_CASE_FIXTURE(two_entries_fixture, "peer_silent_lower_tier_load_ignored")
 {
     for (int i = 0; i < 4; ++i)
         this->send(this->b, base::tier::bulk, 10min);
--- a/src/greengagedrum/delivery/test/policy_run_test.cpp
+++ b/src/greengagedrum/delivery/test/policy_run_test.cpp
@@ -58,7 +58,7 @@
             char line[160];
             std::snprintf(line,
                           sizeof(line),
-                          "\n  %-12s asked %5lu in time %5lu late %5lu "
+                          "\n  %-12s arrived %5lu in time %5lu late %5lu "
                           "not run %5lu wait p50 %6.2f p99 %6.2f s",
                           std::string(to_string(base::all_tiers[tier])).c_str(),
                           total.arrivals,
@@ -74,9 +74,10 @@
         };
         return out + "\n  prefill wasted " +
                number(this->counters.prefill_wasted) +
-               ", shed while lower ran " + number(this->shed_before_lower) +
-               ", overdrafts " + number(this->counters.overdrafts) +
-               ", forced " + number(this->counters.forced) + ", preempted " +
+               ", shed while a lower tier ran " +
+               number(this->shed_before_lower) + ", overdrafts " +
+               number(this->counters.overdrafts) + ", forced " +
+               number(this->counters.forced) + ", preempted " +
                number(this->counters.preempted);
     }
 };
@@ -92,8 +93,8 @@
           reject_at_deadline(policy::reject_at_deadline, shape),
           first_come(policy::first_come, shape), strict(policy::strict, shape)
     {
-        MESSAGE("ours", this->production.table());
-        MESSAGE("ours, giving up only at deadlines",
+        MESSAGE("production", this->production.table());
+        MESSAGE("production, rejecting only at deadlines",
                 this->reject_at_deadline.table());
         MESSAGE("first come first served", this->first_come.table());
         MESSAGE("strict priority", this->strict.table());
@@ -110,7 +111,7 @@
 // The load is twice the capacity in all tiers. With first come first served,
 // urgent requests wait behind long requests of lower tiers; with strict
 // priority they wait until a long request ends.
-TEST_CASE("burst_of_all_tiers_urgent_at_once")
+TEST_CASE("burst_in_all_tiers_urgent_dispatched_at_once")
 {
     comparison run(burst::all_tiers);
     CHECK(run.production.shed_before_lower == 0);
@@ -124,7 +125,7 @@
 // Urgent requests alone need 1.6 times the capacity for a minute, so some must
 // be shed, and lower tiers must not run meanwhile. If requests were kept in the
 // queue in order until their deadline, most would start too late.
-TEST_CASE("burst_of_urgent_none_shed_before_lower")
+TEST_CASE("burst_of_urgent_not_shed_before_lower_tier")
 {
     comparison run(burst::urgent_over_capacity);
     CHECK(run.production.shed_before_lower == 0);
--- a/src/greengagedrum/delivery/test/random_run_test.cpp
+++ b/src/greengagedrum/delivery/test/random_run_test.cpp
@@ -24,7 +24,7 @@
 // streams, go silent and leave, a peer reports its load, and callers
 // disconnect. For every order of events, each request ends once with a true
 // verdict, and no higher tier is shed while a lower tier runs.
-TEST_CASE("random_run_every_step_promises_hold")
+TEST_CASE("random_events_every_step_invariants_hold")
 {
     constexpr std::uint64_t steps_per_seed = 5000;
     const std::uint64_t steps = environment_number("GGD_RANDOM_STEPS", 200'000);
--- a/src/greengagedrum/delivery/test/recovery_test.cpp
+++ b/src/greengagedrum/delivery/test/recovery_test.cpp
@@ -24,7 +24,7 @@
 // A request runs through one entry and its answer is lost. The caller resends
 // it to a stopping entry that knows nothing of the first run. A not_run verdict
 // there would make the caller run the request a second time.
-TEST_CASE_FIXTURE(scheduler_fixture, "repeat_at_stopping_entry_may_have_run")
+TEST_CASE_FIXTURE(scheduler_fixture, "resend_to_stopping_entry_may_have_run")
 {
     this->step(stop_begun{});
     this->arrive_with_key("receipt-1");
@@ -40,7 +40,7 @@
 
 // The request is resent to an entry that has no upstream for it. The home entry
 // of the key is unreachable, so this entry can't tell whether the request ran.
-TEST_CASE_FIXTURE(scheduler_fixture, "repeat_without_upstream_may_have_run")
+TEST_CASE_FIXTURE(scheduler_fixture, "resend_without_upstream_may_have_run")
 {
     this->list_upstreams({});
     this->arrive_with_key("receipt-1");
@@ -55,7 +55,7 @@
 // The time limit of a graceful stop passes while an idempotent and an
 // at-most-once request run. The idempotent stream is cancelled, since it would
 // use its upstream for no caller; the at-most-once stream must run to its end.
-TEST_CASE_FIXTURE(scheduler_fixture, "forced_stop_cancels_idempotent_only")
+TEST_CASE_FIXTURE(scheduler_fixture, "forced_stop_only_idempotent_cancelled")
 {
     const auto idempotent = this->arrive(repetition::idempotent);
     this->arrive(repetition::at_most_once);
@@ -73,7 +73,7 @@
 // A plain service takes long to answer. It has no stream that could be resumed,
 // so closing the connection as silent would lose the answer for good, and the
 // caller would get may_have_run just before the answer arrives.
-TEST_CASE_FIXTURE(scheduler_fixture, "service_call_slow_not_broken")
+TEST_CASE_FIXTURE(scheduler_fixture, "service_call_slow_connection_kept")
 {
     this->call_service(repetition::at_most_once);
     REQUIRE(this->first_action<start_dispatch>() != nullptr);
@@ -101,7 +101,7 @@
 
 // A call to a plain service stays silent for good. The call is idempotent, so
 // it is retried at the other upstream; the first has no stream to resume.
-TEST_CASE_FIXTURE(scheduler_fixture, "idempotent_service_call_silent_repeated")
+TEST_CASE_FIXTURE(scheduler_fixture, "idempotent_service_call_silent_retried")
 {
     this->call_service(repetition::idempotent);
     REQUIRE(this->first_action<start_dispatch>() != nullptr);
@@ -135,7 +135,7 @@
 // A daemon receives the instance list before its configuration. The names in
 // the list are unknown at that time, so the list must be applied again with the
 // configuration; otherwise every request ends with `no_upstream`.
-TEST_CASE("list_before_fleet_served")
+TEST_CASE("instance_list_before_config_request_dispatched")
 {
     scheduler core(scheduler_fixture::default_options());
     std::vector<action> actions;
@@ -184,7 +184,7 @@
 // at-most-once request. Connects time out. If the entry gave up after a few
 // attempts, within seconds, the caller would lose an answer that the upstream
 // completes.
-TEST_CASE_FIXTURE(scheduler_fixture, "upstream_cut_off_asked_until_back")
+TEST_CASE_FIXTURE(scheduler_fixture, "upstream_unreachable_resume_retried")
 {
     this->arrive(repetition::at_most_once);
     const start_dispatch first = *this->first_action<start_dispatch>();
@@ -207,7 +207,8 @@
 
 // The upstream stays unreachable. The request ends with may_have_run once the
 // time limit for resuming has passed.
-TEST_CASE_FIXTURE(scheduler_fixture, "upstream_cut_off_for_good_may_have_run")
+TEST_CASE_FIXTURE(scheduler_fixture,
+                  "upstream_unreachable_for_good_may_have_run")
 {
     this->arrive(repetition::at_most_once);
     start_resume last;
@@ -257,7 +258,7 @@
 // A connection goes silent in the middle of an answer while the upstream keeps
 // running. Without a timeout the caller would wait for ever. The stream is
 // resumed on a new connection; the late end of the old connection is ignored.
-TEST_CASE_FIXTURE(scheduler_fixture, "stream_silent_resumed_on_fresh")
+TEST_CASE_FIXTURE(scheduler_fixture, "stream_silent_resumed_on_new_connection")
 {
     this->arrive(repetition::at_most_once);
     const start_dispatch first = *this->first_action<start_dispatch>();
@@ -274,7 +275,8 @@
 
 // The time limit of a graceful stop passes with requests running and one in the
 // queue. Running requests end with may_have_run, the queued one with not_run.
-TEST_CASE_FIXTURE(scheduler_fixture, "stop_forced_verdicts_true")
+TEST_CASE_FIXTURE(scheduler_fixture,
+                  "forced_stop_running_and_queued_verdicts_true")
 {
     for (int count = 0; count < 5; ++count)
         this->arrive(repetition::at_most_once);
--- a/src/greengagedrum/delivery/test/tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/tiers_test.cpp
@@ -90,7 +90,7 @@
 // Bulk requests hold every slot when an urgent request arrives. It must not
 // wait until a bulk request ends: it is dispatched in the same step, beyond the
 // allowance, and no bulk request is cancelled.
-TEST_CASE_FIXTURE(tiers_fixture, "bulk_holds_all_urgent_overdraws_at_once")
+TEST_CASE_FIXTURE(tiers_fixture, "bulk_fills_slots_urgent_overdraws_at_once")
 {
     this->send_requests(6, bulk_at_most_once);
     const base::request_id urgent = this->send(urgent_idempotent);
@@ -102,7 +102,7 @@
 
 // After an overdraft one bulk request ends, which only returns the upstream to
 // its allowance. The next bulk request must not take the overdrawn slot.
-TEST_CASE_FIXTURE(tiers_fixture, "overdraft_open_lower_tier_not_filled")
+TEST_CASE_FIXTURE(tiers_fixture, "overdraft_open_lower_tier_not_dispatched")
 {
     this->send_requests(6, bulk_at_most_once); // 1 to 4 run
     const base::request_id urgent = this->send(urgent_idempotent);
@@ -145,7 +145,7 @@
 
 // All bulk requests are at-most-once, so cancelling one would lose it for good.
 // The urgent request waits in the queue and takes the next free slot.
-TEST_CASE_FIXTURE(tiers_fixture, "only_at_most_once_runs_nothing_cancelled")
+TEST_CASE_FIXTURE(tiers_fixture, "only_at_most_once_running_none_preempted")
 {
     base::request_spec preemptible_at_most_once = bulk_at_most_once;
     preemptible_at_most_once.preemptible = true; // configuration error
@@ -176,7 +176,7 @@
 
 // Urgent requests arrive without pause and want every slot. A bulk request
 // still starts within its floor age of 1 s.
-TEST_CASE_FIXTURE(tiers_fixture, "urgent_flood_bulk_starts_by_floor")
+TEST_CASE_FIXTURE(tiers_fixture, "urgent_flood_bulk_starts_within_floor_age")
 {
     this->send_requests(20, urgent_idempotent);
     const base::request_id bulk = this->send(bulk_at_most_once);
@@ -197,7 +197,7 @@
 
 // The queue is full of bulk requests when a standard request arrives. One bulk
 // request ends with not_run and a retry time; the standard request stays.
-TEST_CASE_FIXTURE(short_queue_fixture, "line_full_lowest_tier_shed")
+TEST_CASE_FIXTURE(short_queue_fixture, "queue_full_lowest_tier_shed")
 {
     this->send_requests(4, bulk_at_most_once);
     this->send_requests(2, bulk_preemptible);
@@ -215,7 +215,7 @@
 // Fifty bulk requests wait and another one has a deadline of 10 s, which it
 // can't meet. It ends with not_run at once instead of at its deadline, with the
 // time after which the queue will be short enough.
-TEST_CASE_FIXTURE(tiers_fixture, "deadline_out_of_reach_told_at_once")
+TEST_CASE_FIXTURE(tiers_fixture, "deadline_unreachable_rejected_at_once")
 {
     this->send_requests(54, bulk_at_most_once);
     this->send(bulk_at_most_once, std::chrono::seconds(10));
@@ -230,7 +230,7 @@
 
 // A higher-tier request with too short a deadline stays in the queue: the bulk
 // requests that run would give way to it.
-TEST_CASE_FIXTURE(tiers_fixture, "higher_tier_never_refused_early")
+TEST_CASE_FIXTURE(tiers_fixture, "deadline_unreachable_higher_tier_kept")
 {
     this->send_requests(54, bulk_at_most_once);
     const auto id =
@@ -243,7 +243,8 @@
 // A workspace may have two requests of a kind in flight. Its third waits
 // although slots are free, and ends with limit_reached at its deadline, since
 // the limit and no other tier delayed it.
-TEST_CASE_FIXTURE(tiers_fixture, "workspace_limit_reached_held_then_told")
+TEST_CASE_FIXTURE(tiers_fixture,
+                  "workspace_limit_reached_queued_until_deadline")
 {
     config::snapshot snapshot;
     snapshot.fleet.upstreams = {make_upstream("photo-1"),
