--- a/src/greengagedrum/delivery/test/joined_actions.cpp
+++ b/src/greengagedrum/delivery/test/joined_actions.cpp
@@ -28,7 +28,7 @@
 {
     const auto delay =
         base::duration(static_cast<std::int64_t>(this->random_below(600'000)));
-    if (this->chance(this->faults)) {
+    if (this->chance(this->fault_probability)) {
         this->refused_dispatches.insert(order.dispatch);
         return this->schedule(
             delay / 8,
@@ -42,9 +42,9 @@
     subject.last_dispatch = order.dispatch;
     this->dispatches += 1;
     CHECK_MESSAGE(subject.dispatch_count == 1, this->failure_context());
-    if (this->chance(this->faults))
+    if (this->chance(this->fault_probability))
         return; // the stream stays silent
-    if (this->chance(this->faults))
+    if (this->chance(this->fault_probability))
         return this->schedule(
             delay / 2,
             {&entry,
@@ -65,7 +65,7 @@
 {
     const bool stream_known =
         !this->refused_dispatches.contains(order.dispatch) &&
-        !this->chance(this->faults);
+        !this->chance(this->fault_probability);
     const event end =
         stream_known
             ? event(stream_finished{
--- a/src/greengagedrum/delivery/test/joined_entries.cpp
+++ b/src/greengagedrum/delivery/test/joined_entries.cpp
@@ -43,7 +43,7 @@
     : seed(seed), generator(seed)
 {
     for (const char* name : cluster_slots)
-        this->start(base::slot_id(name));
+        this->start_entry(base::slot_id(name));
 }
 
 // The windows are short so that keys are granted again soon after a restart.
@@ -62,7 +62,7 @@
     return out;
 }
 
-simulated_entry& simulated_cluster::start(base::slot_id slot)
+simulated_entry& simulated_cluster::start_entry(base::slot_id slot)
 {
     auto item = std::make_unique<simulated_entry>();
     item->slot = slot;
@@ -177,7 +177,8 @@
     return this->subjects.size() - 1;
 }
 
-void simulated_cluster::send(simulated_entry& entry, std::size_t subject)
+void simulated_cluster::send_request(simulated_entry& entry,
+                                     std::size_t subject)
 {
     request_arrived arrival;
     arrival.request = base::request_id{++this->last_request};
@@ -202,7 +203,7 @@
 base::duration simulated_cluster::random_latency()
 {
     const std::uint64_t bound =
-        this->chance(this->faults / 4) ? 4'000'000 : 3000;
+        this->chance(this->fault_probability / 4) ? 4'000'000 : 3000;
     return base::duration(static_cast<std::int64_t>(this->random_below(bound)));
 }
 
@@ -210,11 +211,12 @@
                                      simulated_entry& to,
                                      scheduled_event item)
 {
-    if (this->cut_links.contains({&from, &to}) || this->chance(this->faults))
+    if (this->cut_links.contains({&from, &to}) ||
+        this->chance(this->fault_probability))
         return;
     item.to = &to;
     item.from = &from;
-    if (this->chance(this->faults))
+    if (this->chance(this->fault_probability))
         this->schedule(this->random_latency(), item);
     this->schedule(this->random_latency(), std::move(item));
 }
@@ -292,9 +294,9 @@
 void simulated_cluster::send_heartbeats()
 {
     this->next_heartbeat_at = this->now + heartbeat_interval;
-    const auto everyone = this->live_entries();
-    for (simulated_entry* from : everyone) {
-        for (simulated_entry* to : everyone) {
+    const auto live = this->live_entries();
+    for (simulated_entry* from : live) {
+        for (simulated_entry* to : live) {
             if (from == to || from->paused || from->slot == to->slot)
                 continue;
             heartbeat_message out;
@@ -316,7 +318,7 @@
 void simulated_cluster::drain(base::duration span)
 {
     this->heal_links();
-    this->faults = 0;
+    this->fault_probability = 0;
     for (simulated_entry* item : this->live_entries())
         item->paused = false;
     for (base::duration left = span; left > 0ms; left -= 20ms)
--- a/src/greengagedrum/delivery/test/joined_entries.hpp
+++ b/src/greengagedrum/delivery/test/joined_entries.hpp
@@ -67,12 +67,12 @@
 public:
     explicit simulated_cluster(std::uint64_t seed);
 
-    simulated_entry& start(base::slot_id slot);
+    simulated_entry& start_entry(base::slot_id slot);
     void kill(simulated_entry& item);
     void advance(base::duration step);
     void drain(
         base::duration span); // without faults; checks that all requests ended
-    void send(simulated_entry& entry, std::size_t subject);
+    void send_request(simulated_entry& entry, std::size_t subject);
     void step(simulated_entry& entry, const event& input);
     void list_upstreams(simulated_entry& to,
                         bool listed); // an empty list if not `listed`
@@ -87,7 +87,7 @@
     std::string failure_context() const;
 
     base::instant now{1h};
-    double faults = 0; // probability that a message or stream fails
+    double fault_probability = 0; // probability that a message or stream fails
     std::uint64_t dispatches = 0;
     std::vector<subject_record> subjects;
 
--- a/src/greengagedrum/delivery/test/joined_entries_test.cpp
+++ b/src/greengagedrum/delivery/test/joined_entries_test.cpp
@@ -28,7 +28,7 @@
     {
         for (int i = 0; i < 1200; ++i)
             this->cluster.advance(25ms);
-        this->cluster.faults = 0.03;
+        this->cluster.fault_probability = 0.03;
     }
 
     void run_step()
@@ -36,7 +36,7 @@
         if (this->cluster.chance(0.02))
             this->inject_fault();
         if (this->cluster.chance(0.1))
-            this->send_call();
+            this->send_requests();
         this->cluster.advance(base::duration(
             1 + static_cast<std::int64_t>(this->cluster.random_below(40'000))));
     }
@@ -103,35 +103,35 @@
         default:
             break;
         }
-        this->cluster.start(slot);
+        this->cluster.start_entry(slot);
     }
 
     // A ticket or key is resent only within the callers' retry window.
-    void send_call()
+    void send_requests()
     {
         simulated_entry& entry = this->random_entry();
         if (entry.paused)
             return;
         if (this->cluster.subjects.empty() || this->cluster.chance(0.3)) {
-            const std::size_t next_index = this->cluster.subjects.size();
+            const std::size_t key_number = this->cluster.subjects.size();
             if (this->cluster.chance(0.4))
                 this->cluster.add_ticket(entry);
             else if (this->cluster.chance(0.5))
                 this->cluster.add_dated_key();
             else
-                this->cluster.add_key("receipt-" + std::to_string(next_index));
+                this->cluster.add_key("receipt-" + std::to_string(key_number));
         }
         const std::size_t count = this->cluster.subjects.size();
-        const std::size_t chosen =
+        const std::size_t index =
             count - 1 -
             this->cluster.random_below(std::min<std::size_t>(count, 6));
-        const subject_record& subject = this->cluster.subjects[chosen];
+        const subject_record& subject = this->cluster.subjects[index];
         if (this->cluster.now - subject.first_sent_at > 9s)
             return;
-        this->cluster.send(entry, chosen);
+        this->cluster.send_request(entry, index);
         simulated_entry& other = this->random_entry();
         if (!other.paused && this->cluster.chance(0.3))
-            this->cluster.send(other, chosen);
+            this->cluster.send_request(other, index);
     }
 
     base::instant next_replacement_at;
--- a/src/greengagedrum/delivery/test/peer_tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/peer_tiers_test.cpp
@@ -75,17 +75,17 @@
         return std::make_shared<const config::snapshot>(out);
     }
 
-    void step(entry& at, const event& input)
+    void step(entry& receiver, const event& input)
     {
         std::vector<action> actions;
-        at.core.step(input, this->now, actions);
+        receiver.core.step(input, this->now, actions);
         for (const action& one : actions) {
             if (const auto* start = std::get_if<start_dispatch>(&one))
-                at.started.push_back(*start);
+                receiver.started.push_back(*start);
             if (const auto* end = std::get_if<end_failed>(&one))
-                at.failed.push_back(*end);
+                receiver.failed.push_back(*end);
             if (const auto* load = std::get_if<send_load_digest>(&one))
-                at.last_digest = load->digest;
+                receiver.last_digest = load->digest;
         }
     }
 
@@ -119,7 +119,7 @@
         }
     }
 
-    void send(entry& at, base::tier tier, base::duration deadline_after)
+    void send(entry& receiver, base::tier tier, base::duration deadline_after)
     {
         request_arrived arrival;
         arrival.request = base::request_id{++this->last_request};
@@ -132,7 +132,7 @@
         arrival.spec.prompt_tokens = 100;
         arrival.spec.output_tokens = 50;
         arrival.deadline_after = deadline_after;
-        this->step(at, arrival);
+        this->step(receiver, arrival);
     }
 };
 
--- a/src/greengagedrum/delivery/test/policy_run.hpp
+++ b/src/greengagedrum/delivery/test/policy_run.hpp
@@ -74,8 +74,9 @@
 // Runs a scheduler with one policy under a load with a burst. Streams of one
 // upstream share its speed once there are more of them than slots.
 struct policy_run {
-    policy_run(policy which, burst shape, std::uint64_t seed)
-        : which(which), shape(shape), core(options_for(which))
+    policy_run(policy queue_policy, burst burst_kind, std::uint64_t seed)
+        : queue_policy(queue_policy), burst_kind(burst_kind),
+          core(options_for(queue_policy))
     {
         // One generator per tier, so that all policies get the same arrivals.
         for (std::size_t tier = 0; tier < base::tier_count; ++tier)
@@ -104,13 +105,14 @@
         this->step(instances_listed{list});
     }
 
-    static scheduler_options options_for(policy which)
+    static scheduler_options options_for(policy queue_policy)
     {
         scheduler_options out;
         out.data_centre = base::data_centre_id("rabat");
-        if (which == policy::reject_at_deadline)
+        if (queue_policy == policy::reject_at_deadline)
             out.admission.belief = 0;
-        if (which == policy::first_come || which == policy::strict) {
+        if (queue_policy == policy::first_come ||
+            queue_policy == policy::strict) {
             out.admission.belief = 0;
             out.admission.floor_age.fill(10h);
             out.admission.overdraft_share = 0;
@@ -126,11 +128,12 @@
     {
         const bool in_burst = t >= 30 && t < 90;
         double load = 0.8;
-        if (in_burst && this->shape == burst::all_tiers)
+        if (in_burst && this->burst_kind == burst::all_tiers)
             load = 2.0;
-        if (in_burst && this->shape == burst::urgent_over_capacity && tier == 0)
+        if (in_burst && this->burst_kind == burst::urgent_over_capacity &&
+            tier == 0)
             load = 8.0; // 1.6 times the capacity
-        if (in_burst && this->shape == burst::urgent_within_capacity &&
+        if (in_burst && this->burst_kind == burst::urgent_within_capacity &&
             tier == 0)
             load = 4.25; // 0.85 times the capacity
         return load * workloads[tier].share * slots * upstream_count /
@@ -176,7 +179,7 @@
         spec.output_tokens = load.output;
         spec.tier = base::all_tiers[tier];
         arrival.deadline_after = load.deadline;
-        if (this->which == policy::first_come) {
+        if (this->queue_policy == policy::first_come) {
             // The same tier, deadline and size for all requests gives the
             // order of arrival.
             spec.tier = base::tier::standard;
@@ -272,12 +275,13 @@
             this->results[record.tier].not_run += 1;
         // Compares the original tiers, which the first_come policy hides from
         // the scheduler. A lower tier has a longer decode time.
-        bool lower = false;
+        bool lower_tier_runs = false;
         for (const auto& [id, running] : this->streams)
-            lower = lower ||
-                    running.decode_seconds > workloads[record.tier].output /
-                                                 decode_tokens_per_second;
-        if (admission::counts_as_shed(order.verdict) && lower)
+            lower_tier_runs =
+                lower_tier_runs ||
+                running.decode_seconds >
+                    workloads[record.tier].output / decode_tokens_per_second;
+        if (admission::counts_as_shed(order.verdict) && lower_tier_runs)
             this->shed_before_lower += 1;
     }
     void execute(const assign_ticket& order) { static_cast<void>(order); }
@@ -300,8 +304,8 @@
         std::uint32_t reported_tokens = 0;
     };
 
-    policy which;
-    burst shape;
+    policy queue_policy;
+    burst burst_kind;
     scheduler core;
     base::instant now;
     std::uint64_t last_request = 0;
--- a/src/greengagedrum/delivery/test/policy_run_test.cpp
+++ b/src/greengagedrum/delivery/test/policy_run_test.cpp
@@ -20,21 +20,21 @@
     std::uint64_t shed_before_lower = 0; // while a lower tier ran
     scheduler_counters counters;
 
-    run_series(policy which, burst shape)
+    run_series(policy queue_policy, burst burst_kind)
     {
         constexpr std::uint64_t seeds = 8;
         for (std::uint64_t seed = 0; seed < seeds; ++seed) {
-            policy_run one(which, shape, seed);
-            one.run();
-            this->add(one);
+            policy_run run(queue_policy, burst_kind, seed);
+            run.run();
+            this->add(run);
         }
     }
 
-    void add(const policy_run& one)
+    void add(const policy_run& run)
     {
         for (std::size_t tier = 0; tier < base::tier_count; ++tier) {
             tier_result& total = this->results[tier];
-            const tier_result& added = one.results[tier];
+            const tier_result& added = run.results[tier];
             total.arrivals += added.arrivals;
             total.in_time += added.in_time;
             total.late += added.late;
@@ -42,8 +42,8 @@
             total.waits.insert(
                 total.waits.end(), added.waits.begin(), added.waits.end());
         }
-        this->shed_before_lower += one.shed_before_lower;
-        const scheduler_counters& added = one.core.counters();
+        this->shed_before_lower += run.shed_before_lower;
+        const scheduler_counters& added = run.core.counters();
         this->counters.prefill_wasted += added.prefill_wasted;
         this->counters.overdrafts += added.overdrafts;
         this->counters.forced += added.forced;
@@ -88,10 +88,11 @@
     run_series first_come;
     run_series strict;
 
-    explicit comparison(burst shape)
-        : production(policy::production, shape),
-          reject_at_deadline(policy::reject_at_deadline, shape),
-          first_come(policy::first_come, shape), strict(policy::strict, shape)
+    explicit comparison(burst burst_kind)
+        : production(policy::production, burst_kind),
+          reject_at_deadline(policy::reject_at_deadline, burst_kind),
+          first_come(policy::first_come, burst_kind),
+          strict(policy::strict, burst_kind)
     {
         MESSAGE("production", this->production.table());
         MESSAGE("production, rejecting only at deadlines",
@@ -100,9 +101,9 @@
         MESSAGE("strict priority", this->strict.table());
     }
 
-    std::uint64_t urgent(const run_series& which) const
+    std::uint64_t urgent_in_time(const run_series& series) const
     {
-        return which.results[0].in_time;
+        return series.results[0].in_time;
     }
 };
 
@@ -115,8 +116,9 @@
 {
     comparison run(burst::all_tiers);
     CHECK(run.production.shed_before_lower == 0);
-    CHECK(run.urgent(run.production) >= run.urgent(run.strict));
-    CHECK(run.urgent(run.production) > run.urgent(run.first_come));
+    CHECK(run.urgent_in_time(run.production) >= run.urgent_in_time(run.strict));
+    CHECK(run.urgent_in_time(run.production) >
+          run.urgent_in_time(run.first_come));
     CHECK(run.production.results[0].wait_quantile(0.5) < 0.1);
     CHECK(run.production.results[3].in_time ==
           run.production.results[3].arrivals);
@@ -129,7 +131,8 @@
 {
     comparison run(burst::urgent_over_capacity);
     CHECK(run.production.shed_before_lower == 0);
-    CHECK(run.urgent(run.production) > 2 * run.urgent(run.strict));
+    CHECK(run.urgent_in_time(run.production) >
+          2 * run.urgent_in_time(run.strict));
     CHECK(run.production.results[3].in_time ==
           run.production.results[3].arrivals);
 }
@@ -140,7 +143,7 @@
 {
     comparison run(burst::urgent_within_capacity);
     CHECK(run.production.shed_before_lower == 0);
-    CHECK(run.urgent(run.production) >= run.urgent(run.strict));
+    CHECK(run.urgent_in_time(run.production) >= run.urgent_in_time(run.strict));
     CHECK(run.production.results[3].in_time ==
           run.production.results[3].arrivals);
 }
