--- a/src/greengagedrum/delivery/test/peer_tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/peer_tiers_test.cpp
@@ -75,17 +75,17 @@
         return std::make_shared<const config::snapshot>(out);
     }
 
-    void step(entry& at, const event& input)
+    void step(entry& receiver, const event& input)
     {
         std::vector<action> actions;
-        at.core.step(input, this->now, actions);
+        receiver.core.step(input, this->now, actions);
         for (const action& one : actions) {
             if (const auto* start = std::get_if<start_dispatch>(&one))
-                at.started.push_back(*start);
+                receiver.started.push_back(*start);
             if (const auto* end = std::get_if<end_failed>(&one))
-                at.failed.push_back(*end);
+                receiver.failed.push_back(*end);
             if (const auto* load = std::get_if<send_load_digest>(&one))
-                at.last_digest = load->digest;
+                receiver.last_digest = load->digest;
         }
     }
 
@@ -119,7 +119,7 @@
         }
     }
 
-    void send(entry& at, base::tier tier, base::duration deadline_after)
+    void send(entry& receiver, base::tier tier, base::duration deadline_after)
     {
         request_arrived arrival;
         arrival.request = base::request_id{++this->last_request};
@@ -132,7 +132,7 @@
         arrival.spec.prompt_tokens = 100;
         arrival.spec.output_tokens = 50;
         arrival.deadline_after = deadline_after;
-        this->step(at, arrival);
+        this->step(receiver, arrival);
     }
 };
 
@@ -141,7 +141,7 @@
 // Dossiers of one entry run on the only engine when a burst of pings reaches
 // another entry. The pings were shed at their deadlines, for their own entry
 // had no lower work to give way, while the dossiers ran on.
-TEST_CASE_FIXTURE(two_entries_fixture, "lower_runs_at_peer_urgent_not_shed")
+TEST_CASE_FIXTURE(two_entries_fixture, "lower_tier_at_peer_urgent_not_shed")
 {
     for (int i = 0; i < 4; ++i)
         this->send(this->b, base::tier::bulk, 10min);
@@ -157,7 +157,7 @@
 // The same burst, but the peer has not been heard for long: what it said of
 // its lower work is worth nothing now, and the engine is not driven past its
 // places for it.
-TEST_CASE_FIXTURE(two_entries_fixture, "peer_silent_its_lower_work_forgotten")
+TEST_CASE_FIXTURE(two_entries_fixture, "peer_silent_lower_tier_load_ignored")
 {
     for (int i = 0; i < 4; ++i)
         this->send(this->b, base::tier::bulk, 10min);
--- a/src/greengagedrum/delivery/test/policy_run.hpp
+++ b/src/greengagedrum/delivery/test/policy_run.hpp
@@ -67,8 +67,9 @@
 };
 
 struct policy_run {
-    policy_run(policy which, burst shape, std::uint64_t seed)
-        : which(which), shape(shape), core(options_for(which))
+    policy_run(policy queue_policy, burst burst_kind, std::uint64_t seed)
+        : queue_policy(queue_policy), burst_kind(burst_kind),
+          core(options_for(queue_policy))
     {
         // One for each kind, so that all policies meet the same arrivals.
         for (std::size_t tier = 0; tier < base::tier_count; ++tier)
@@ -97,13 +98,14 @@
         this->step(instances_listed{list});
     }
 
-    static scheduler_options options_for(policy which)
+    static scheduler_options options_for(policy queue_policy)
     {
         scheduler_options out;
         out.data_centre = base::data_centre_id("rabat");
-        if (which == policy::reject_at_deadline)
+        if (queue_policy == policy::reject_at_deadline)
             out.admission.shed_estimate_factor = 0;
-        if (which == policy::first_come || which == policy::strict) {
+        if (queue_policy == policy::first_come ||
+            queue_policy == policy::strict) {
             out.admission.shed_estimate_factor = 0;
             out.admission.floor_age.fill(10h);
             out.admission.overdraft_share = 0;
@@ -119,11 +121,12 @@
     {
         const bool in_burst = t >= 30 && t < 90;
         double load = 0.8;
-        if (in_burst && this->shape == burst::all_tiers)
+        if (in_burst && this->burst_kind == burst::all_tiers)
             load = 2.0;
-        if (in_burst && this->shape == burst::urgent_over_capacity && tier == 0)
+        if (in_burst && this->burst_kind == burst::urgent_over_capacity &&
+            tier == 0)
             load = 8.0; // 1.6 of the capacity
-        if (in_burst && this->shape == burst::urgent_within_capacity &&
+        if (in_burst && this->burst_kind == burst::urgent_within_capacity &&
             tier == 0)
             load = 4.25; // 0.85 of it
         return load * workloads[tier].share * slots * upstream_count /
@@ -169,7 +172,7 @@
         spec.output_tokens = load.output;
         spec.tier = base::all_tiers[tier];
         arrival.deadline_after = load.deadline;
-        if (this->which == policy::first_come) {
+        if (this->queue_policy == policy::first_come) {
             // One tier and one deadline: the order of arrival.
             spec.tier = base::tier::standard;
             arrival.deadline_after = 180s;
@@ -187,8 +190,8 @@
         std::map<base::upstream_id, int> loads;
         for (const auto& [id, record] : this->streams)
             loads[record.upstream] += 1;
-        std::vector<base::dispatch_id> done;
-        std::vector<base::dispatch_id> alive;
+        std::vector<base::dispatch_id> finished;
+        std::vector<base::dispatch_id> running;
         for (auto& [id, record] : this->streams) {
             const double relative_speed = std::min(
                 1.0, static_cast<double>(slots) / loads[record.upstream]);
@@ -196,11 +199,11 @@
                 relative_speed *
                 std::chrono::duration<double>(tick_length).count();
             if (record.remaining_seconds <= 0)
-                done.push_back(id);
+                finished.push_back(id);
             else
-                alive.push_back(id);
+                running.push_back(id);
         }
-        for (const base::dispatch_id id : alive) {
+        for (const base::dispatch_id id : running) {
             const auto found = this->streams.find(id);
             if (found == this->streams.end())
                 continue;
@@ -213,7 +216,7 @@
                 this->step(
                     stream_progressed{id, record.reported_tokens = tokens});
         }
-        for (const base::dispatch_id id : done)
+        for (const base::dispatch_id id : finished)
             if (this->streams.erase(id) > 0)
                 this->step(stream_finished{
                     id, std::make_shared<const base::answer>()});
@@ -263,12 +266,13 @@
         if (order.verdict.run == base::run_state::not_run)
             this->results[record.tier].not_run += 1;
         // By what the caller's kind is, also where the policy does not know.
-        bool lower = false;
+        bool lower_tier_runs = false;
         for (const auto& [id, running] : this->streams)
-            lower = lower ||
-                    running.decode_seconds > workloads[record.tier].output /
-                                                 decode_tokens_per_second;
-        if (admission::counts_as_shed(order.verdict) && lower)
+            lower_tier_runs =
+                lower_tier_runs ||
+                running.decode_seconds >
+                    workloads[record.tier].output / decode_tokens_per_second;
+        if (admission::counts_as_shed(order.verdict) && lower_tier_runs)
             this->shed_before_lower += 1;
     }
     void execute(const assign_ticket& order) { static_cast<void>(order); }
@@ -291,8 +295,8 @@
         std::uint32_t reported_tokens = 0;
     };
 
-    policy which;
-    burst shape;
+    policy queue_policy;
+    burst burst_kind;
     scheduler core;
     base::instant now;
     std::uint64_t last_request = 0;
--- a/src/greengagedrum/delivery/test/policy_run_test.cpp
+++ b/src/greengagedrum/delivery/test/policy_run_test.cpp
@@ -18,21 +18,21 @@
     std::uint64_t shed_before_lower = 0; // shed while lower work ran
     scheduler_counters counters;
 
-    run_series(policy which, burst shape)
+    run_series(policy queue_policy, burst burst_kind)
     {
         constexpr std::uint64_t seeds = 8;
         for (std::uint64_t seed = 0; seed < seeds; ++seed) {
-            policy_run one(which, shape, seed);
-            one.run();
-            this->add(one);
+            policy_run run(queue_policy, burst_kind, seed);
+            run.run();
+            this->add(run);
         }
     }
 
-    void add(const policy_run& one)
+    void add(const policy_run& run)
     {
         for (std::size_t tier = 0; tier < base::tier_count; ++tier) {
             tier_result& total = this->results[tier];
-            const tier_result& added = one.results[tier];
+            const tier_result& added = run.results[tier];
             total.arrivals += added.arrivals;
             total.in_time += added.in_time;
             total.late += added.late;
@@ -40,8 +40,8 @@
             total.waits.insert(
                 total.waits.end(), added.waits.begin(), added.waits.end());
         }
-        this->shed_before_lower += one.shed_before_lower;
-        const scheduler_counters& added = one.core.counters();
+        this->shed_before_lower += run.shed_before_lower;
+        const scheduler_counters& added = run.core.counters();
         this->counters.prefill_wasted += added.prefill_wasted;
         this->counters.overdrafts += added.overdrafts;
         this->counters.forced += added.forced;
@@ -56,7 +56,7 @@
             char line[160];
             std::snprintf(line,
                           sizeof(line),
-                          "\n  %-12s asked %5lu in time %5lu late %5lu "
+                          "\n  %-12s arrived %5lu in time %5lu late %5lu "
                           "not run %5lu wait p50 %6.2f p99 %6.2f s",
                           std::string(to_string(base::all_tiers[tier])).c_str(),
                           total.arrivals,
@@ -72,9 +72,10 @@
         };
         return out + "\n  prefill wasted " +
                number(this->counters.prefill_wasted) +
-               ", shed while lower ran " + number(this->shed_before_lower) +
-               ", overdrafts " + number(this->counters.overdrafts) +
-               ", forced " + number(this->counters.forced) + ", preempted " +
+               ", shed while a lower tier ran " +
+               number(this->shed_before_lower) + ", overdrafts " +
+               number(this->counters.overdrafts) + ", forced " +
+               number(this->counters.forced) + ", preempted " +
                number(this->counters.preempted);
     }
 };
@@ -85,21 +86,22 @@
     run_series first_come;
     run_series strict;
 
-    explicit comparison(burst shape)
-        : production(policy::production, shape),
-          reject_at_deadline(policy::reject_at_deadline, shape),
-          first_come(policy::first_come, shape), strict(policy::strict, shape)
+    explicit comparison(burst burst_kind)
+        : production(policy::production, burst_kind),
+          reject_at_deadline(policy::reject_at_deadline, burst_kind),
+          first_come(policy::first_come, burst_kind),
+          strict(policy::strict, burst_kind)
     {
-        MESSAGE("ours", this->production.table());
-        MESSAGE("ours, giving up only at deadlines",
+        MESSAGE("production", this->production.table());
+        MESSAGE("production, rejecting only at deadlines",
                 this->reject_at_deadline.table());
         MESSAGE("first come first served", this->first_come.table());
         MESSAGE("strict priority", this->strict.table());
     }
 
-    std::uint64_t urgent(const run_series& which) const
+    std::uint64_t urgent_in_time(const run_series& series) const
     {
-        return which.results[0].in_time;
+        return series.results[0].in_time;
     }
 };
 
@@ -108,12 +110,13 @@
 // Twice the capacity is asked for in all tiers. With first come first served
 // the gate's pings wait behind dossiers; with strict priority they wait for a
 // dossier's end.
-TEST_CASE("burst_of_all_tiers_urgent_at_once")
+TEST_CASE("burst_in_all_tiers_urgent_dispatched_at_once")
 {
     comparison run(burst::all_tiers);
     CHECK(run.production.shed_before_lower == 0);
-    CHECK(run.urgent(run.production) >= run.urgent(run.strict));
-    CHECK(run.urgent(run.production) > run.urgent(run.first_come));
+    CHECK(run.urgent_in_time(run.production) >= run.urgent_in_time(run.strict));
+    CHECK(run.urgent_in_time(run.production) >
+          run.urgent_in_time(run.first_come));
     CHECK(run.production.results[0].wait_quantile(0.5) < 0.1);
     CHECK(run.production.results[3].in_time ==
           run.production.results[3].arrivals);
@@ -122,11 +125,12 @@
 // Pings alone ask for 1.6 of the capacity for a minute, so some of them must be
 // shed, and lower work must not run meanwhile. Served in line until the last
 // moment, most would start too late.
-TEST_CASE("burst_of_urgent_none_shed_before_lower")
+TEST_CASE("burst_of_urgent_not_shed_before_lower_tier")
 {
     comparison run(burst::urgent_over_capacity);
     CHECK(run.production.shed_before_lower == 0);
-    CHECK(run.urgent(run.production) > 2 * run.urgent(run.strict));
+    CHECK(run.urgent_in_time(run.production) >
+          2 * run.urgent_in_time(run.strict));
     CHECK(run.production.results[3].in_time ==
           run.production.results[3].arrivals);
 }
@@ -137,7 +141,7 @@
 {
     comparison run(burst::urgent_within_capacity);
     CHECK(run.production.shed_before_lower == 0);
-    CHECK(run.urgent(run.production) >= run.urgent(run.strict));
+    CHECK(run.urgent_in_time(run.production) >= run.urgent_in_time(run.strict));
     CHECK(run.production.results[3].in_time ==
           run.production.results[3].arrivals);
 }
--- a/src/greengagedrum/delivery/test/recovery_test.cpp
+++ b/src/greengagedrum/delivery/test/recovery_test.cpp
@@ -23,7 +23,7 @@
 // A clerk's receipt runs through one entry and its answer is lost. The repeat
 // reaches an entry that is stopping, which was told of neither: "not_run"
 // would have the receipt printed and charged again.
-TEST_CASE_FIXTURE(scheduler_fixture, "repeat_at_stopping_entry_may_have_run")
+TEST_CASE_FIXTURE(scheduler_fixture, "resend_to_stopping_entry_may_have_run")
 {
     this->step(stop_begun{});
     this->arrive_with_key("receipt-1");
@@ -39,7 +39,7 @@
 
 // The same repeat reaches an entry that knows of no server that takes it. Its
 // key's home is away, so nobody there can tell whether it ran before.
-TEST_CASE_FIXTURE(scheduler_fixture, "repeat_without_upstream_may_have_run")
+TEST_CASE_FIXTURE(scheduler_fixture, "resend_without_upstream_may_have_run")
 {
     this->list_upstreams({});
     this->arrive_with_key("receipt-1");
@@ -54,7 +54,7 @@
 // The bound of a graceful stop passes while servers work for a ping and for a
 // receipt. The ping's stream would go on for nobody and waste its engine; the
 // receipt's must run to its end.
-TEST_CASE_FIXTURE(scheduler_fixture, "forced_stop_cancels_idempotent_only")
+TEST_CASE_FIXTURE(scheduler_fixture, "forced_stop_only_idempotent_cancelled")
 {
     const auto idempotent = this->arrive(repetition::idempotent);
     this->arrive(repetition::at_most_once);
@@ -72,7 +72,7 @@
 // A counter server takes long over a receipt. A plain service has no stream
 // that could be read on, so a broken connection loses the answer for good: the
 // clerk would be told may_have_run of a receipt that is about to come.
-TEST_CASE_FIXTURE(scheduler_fixture, "service_call_slow_not_broken")
+TEST_CASE_FIXTURE(scheduler_fixture, "service_call_slow_connection_kept")
 {
     this->call_service(repetition::at_most_once);
     REQUIRE(this->first_action<start_dispatch>() != nullptr);
@@ -101,7 +101,7 @@
 // A template is pulled through a connection that went silent for good. It may
 // be asked for again, and is, at the other server; there is no stream to read
 // on at the first.
-TEST_CASE_FIXTURE(scheduler_fixture, "idempotent_service_call_silent_repeated")
+TEST_CASE_FIXTURE(scheduler_fixture, "idempotent_service_call_silent_retried")
 {
     this->call_service(repetition::idempotent);
     REQUIRE(this->first_action<start_dispatch>() != nullptr);
@@ -135,7 +135,7 @@
 // A daemon starts and hears the instance list before its configuration: every
 // request was told `no_upstream`, for the list's names meant nothing yet and
 // the list was not read again.
-TEST_CASE("list_before_fleet_served")
+TEST_CASE("instance_list_before_config_request_dispatched")
 {
     scheduler core(scheduler_fixture::default_options());
     std::vector<action> actions;
@@ -183,7 +183,7 @@
 // A cut between entry and server lasts twenty seconds while a dossier is being
 // written. Connects time out; a few tries would give up within seconds and the
 // planner would lose an answer that the server finished all the same.
-TEST_CASE_FIXTURE(scheduler_fixture, "upstream_cut_off_asked_until_back")
+TEST_CASE_FIXTURE(scheduler_fixture, "upstream_unreachable_resume_retried")
 {
     this->arrive(repetition::at_most_once);
     const start_dispatch first = *this->first_action<start_dispatch>();
@@ -205,7 +205,8 @@
 }
 
 // The same cut never heals. After its bound the planner is told the truth.
-TEST_CASE_FIXTURE(scheduler_fixture, "upstream_cut_off_for_good_may_have_run")
+TEST_CASE_FIXTURE(scheduler_fixture,
+                  "upstream_unreachable_for_good_may_have_run")
 {
     this->arrive(repetition::at_most_once);
     start_resume last;
@@ -255,7 +256,7 @@
 // A connection goes silent for good in mid-answer while the server works on.
 // Without a bound on silence the caller waits for ever; the stream is read on
 // over a fresh connection, and the broken one's late end changes nothing.
-TEST_CASE_FIXTURE(scheduler_fixture, "stream_silent_resumed_on_fresh")
+TEST_CASE_FIXTURE(scheduler_fixture, "stream_silent_resumed_on_new_connection")
 {
     this->arrive(repetition::at_most_once);
     const start_dispatch first = *this->first_action<start_dispatch>();
@@ -272,7 +273,8 @@
 
 // The bound of a graceful stop passes with one request in flight and one in
 // line: the first may have run, the second did not, and each is told so.
-TEST_CASE_FIXTURE(scheduler_fixture, "stop_forced_verdicts_true")
+TEST_CASE_FIXTURE(scheduler_fixture,
+                  "forced_stop_running_and_queued_verdicts_true")
 {
     for (int count = 0; count < 5; ++count)
         this->arrive(repetition::at_most_once);
--- a/src/greengagedrum/delivery/test/simulated_cluster.hpp
+++ b/src/greengagedrum/delivery/test/simulated_cluster.hpp
@@ -49,7 +49,7 @@
 // What the world knows of one ticket or key.
 struct subject_record {
     idempotency::claim_subject claim;
-    base::instant first_sent;
+    base::instant first_sent_at;
     base::dispatch_id last_dispatch; // the last dispatch
     int dispatch_count = 0;          // dispatches of which bytes left
     int not_run = 0;
@@ -63,11 +63,11 @@
 public:
     explicit simulated_cluster(std::uint64_t seed);
 
-    simulated_entry& start(base::slot_id slot);
+    simulated_entry& start_entry(base::slot_id slot);
     void kill(simulated_entry& item);
     void advance(base::duration step);
     void drain(base::duration span); // no faults, until all has ended
-    void send(simulated_entry& entry, std::size_t subject);
+    void send_request(simulated_entry& entry, std::size_t subject);
     void step(simulated_entry& entry, const event& input);
     void list_upstreams(simulated_entry& to,
                         bool listed); // the upstreams, or none
@@ -82,7 +82,7 @@
     std::string failure_context() const;
 
     base::instant now{1h};
-    double faults = 0; // part of messages and streams that go wrong
+    double fault_probability = 0; // part of messages and streams that go wrong
     std::uint64_t dispatches = 0;
     std::vector<subject_record> subjects;
 
--- a/src/greengagedrum/delivery/test/simulated_cluster_actions.cpp
+++ b/src/greengagedrum/delivery/test/simulated_cluster_actions.cpp
@@ -25,12 +25,12 @@
 void simulated_cluster::execute(simulated_entry& entry,
                                 const start_dispatch& order)
 {
-    const auto wait =
+    const auto delay =
         base::duration(static_cast<std::int64_t>(this->random_below(600'000)));
-    if (this->chance(this->faults)) {
+    if (this->chance(this->fault_probability)) {
         this->refused_dispatches.insert(order.dispatch);
         return this->schedule(
-            wait / 8,
+            delay / 8,
             {&entry,
              nullptr,
              event(connect_refused{order.dispatch, order.connection})});
@@ -41,18 +41,18 @@
     subject.last_dispatch = order.dispatch;
     this->dispatches += 1;
     CHECK_MESSAGE(subject.dispatch_count == 1, this->failure_context());
-    if (this->chance(this->faults))
+    if (this->chance(this->fault_probability))
         return; // silent for good
-    if (this->chance(this->faults))
+    if (this->chance(this->fault_probability))
         return this->schedule(
-            wait / 2,
+            delay / 2,
             {&entry,
              nullptr,
              event(stream_broken{order.dispatch,
                                  order.connection,
                                  break_cause::connection_lost})});
     this->schedule(
-        wait,
+        delay,
         {&entry,
          nullptr,
          event(stream_finished{
@@ -62,14 +62,16 @@
 void simulated_cluster::execute(simulated_entry& entry,
                                 const start_resume& order)
 {
-    const bool known = !this->refused_dispatches.contains(order.dispatch) &&
-                       !this->chance(this->faults);
+    const bool stream_known =
+        !this->refused_dispatches.contains(order.dispatch) &&
+        !this->chance(this->fault_probability);
     const event end =
-        known ? event(stream_finished{
-                    order.dispatch, this->make_answer(order.dispatch), 0})
-              : event(stream_broken{order.dispatch,
-                                    order.connection,
-                                    break_cause::unknown_stream});
+        stream_known
+            ? event(stream_finished{
+                  order.dispatch, this->make_answer(order.dispatch), 0})
+            : event(stream_broken{order.dispatch,
+                                  order.connection,
+                                  break_cause::unknown_stream});
     this->schedule(50ms, {&entry, nullptr, end});
 }
 
@@ -129,15 +131,15 @@
                                 const send_claim_message& order)
 {
     // A link leads to one process of the slot, the former or its successor.
-    std::vector<simulated_entry*> reached;
+    std::vector<simulated_entry*> receivers;
     for (simulated_entry* to : this->live_entries())
         if (to->slot == order.to && to != &entry)
-            reached.push_back(to);
-    if (reached.empty())
+            receivers.push_back(to);
+    if (receivers.empty())
         return;
     this->send_message(
         entry,
-        *reached[this->random_below(reached.size())],
+        *receivers[this->random_below(receivers.size())],
         {nullptr,
          nullptr,
          event(claim_message{entry.slot, entry.incarnation, order.body})});
--- a/src/greengagedrum/delivery/test/simulated_cluster_test.cpp
+++ b/src/greengagedrum/delivery/test/simulated_cluster_test.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-std::uint64_t environment_number(const char* name, std::uint64_t otherwise)
+std::uint64_t environment_number(const char* name, std::uint64_t fallback)
 {
     const char* text = std::getenv(name);
-    return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+    return text == nullptr ? fallback : std::strtoull(text, nullptr, 10);
 }
 
 // Callers repeat tickets and keys at any entry while processes pause, stop,
@@ -27,7 +27,7 @@
     {
         for (int i = 0; i < 1200; ++i)
             this->cluster.advance(25ms);
-        this->cluster.faults = 0.03;
+        this->cluster.fault_probability = 0.03;
     }
 
     void run_step()
@@ -35,7 +35,7 @@
         if (this->cluster.chance(0.02))
             this->inject_fault();
         if (this->cluster.chance(0.1))
-            this->send_call();
+            this->send_requests();
         this->cluster.advance(base::duration(
             1 + static_cast<std::int64_t>(this->cluster.random_below(40'000))));
     }
@@ -102,35 +102,35 @@
         default:
             break;
         }
-        this->cluster.start(slot);
+        this->cluster.start_entry(slot);
     }
 
     // A key or ticket is repeated within the callers' retry window only.
-    void send_call()
+    void send_requests()
     {
         simulated_entry& entry = this->random_entry();
         if (entry.paused)
             return;
         if (this->cluster.subjects.empty() || this->cluster.chance(0.3)) {
-            const std::size_t next_index = this->cluster.subjects.size();
+            const std::size_t key_number = this->cluster.subjects.size();
             if (this->cluster.chance(0.4))
                 this->cluster.add_ticket(entry);
             else if (this->cluster.chance(0.5))
                 this->cluster.add_dated_key();
             else
-                this->cluster.add_key("receipt-" + std::to_string(next_index));
+                this->cluster.add_key("receipt-" + std::to_string(key_number));
         }
         const std::size_t count = this->cluster.subjects.size();
-        const std::size_t chosen =
+        const std::size_t index =
             count - 1 -
             this->cluster.random_below(std::min<std::size_t>(count, 6));
-        const subject_record& subject = this->cluster.subjects[chosen];
-        if (this->cluster.now - subject.first_sent > 9s)
+        const subject_record& subject = this->cluster.subjects[index];
+        if (this->cluster.now - subject.first_sent_at > 9s)
             return;
-        this->cluster.send(entry, chosen);
+        this->cluster.send_request(entry, index);
         simulated_entry& other = this->random_entry();
         if (!other.paused && this->cluster.chance(0.3))
-            this->cluster.send(other, chosen);
+            this->cluster.send_request(other, index);
     }
 
     base::instant next_replacement_at;
@@ -142,7 +142,7 @@
 // another entry; meanwhile entries pause, are cut off, stop or are replaced.
 // Whatever the order, the receipt is handed over once at most, each request
 // ends once, not_run is true, and a repeated answer is the one that was made.
-TEST_CASE("joined_entries_under_faults_at_most_once")
+TEST_CASE("simulated_cluster_with_faults_at_most_once")
 {
     constexpr int run_length = 3000;
     const std::uint64_t fixed_seed = environment_number("GGD_RANDOM_SEED", 0);
@@ -171,11 +171,11 @@
     CHECK(total.may_have_run > 0);
     MESSAGE("subjects ",
             subject_count,
-            ", handed over ",
+            ", dispatched ",
             total.dispatch_count,
-            ", recalled ",
+            ", replayed ",
             total.replayed,
-            ", told not_run ",
+            ", not_run ",
             total.not_run,
             ", may_have_run ",
             total.may_have_run);
--- a/src/greengagedrum/delivery/test/tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/tiers_test.cpp
@@ -66,11 +66,11 @@
     }
 };
 
-const base::request_spec bulk_dossier =
+const base::request_spec bulk_at_most_once =
     tiers_fixture::make_spec(tier::bulk, repetition::at_most_once);
-const base::request_spec bulk_caption =
+const base::request_spec bulk_preemptible =
     tiers_fixture::make_spec(tier::bulk, repetition::idempotent, true);
-const base::request_spec ping =
+const base::request_spec urgent_idempotent =
     tiers_fixture::make_spec(tier::urgent, repetition::idempotent);
 
 struct short_queue_fixture : tiers_fixture {
@@ -89,10 +89,10 @@
 // Weekend dossiers hold every place when a gate asks for a status. The gate
 // waited for a dossier's end; now its ping goes out in the same step, beyond
 // the allowance, and no dossier is touched.
-TEST_CASE_FIXTURE(tiers_fixture, "bulk_holds_all_urgent_overdraws_at_once")
+TEST_CASE_FIXTURE(tiers_fixture, "bulk_fills_slots_urgent_overdraws_at_once")
 {
-    this->send_requests(6, bulk_dossier);
-    const base::request_id urgent = this->send(ping);
+    this->send_requests(6, bulk_at_most_once);
+    const base::request_id urgent = this->send(urgent_idempotent);
     REQUIRE(this->first_action<start_dispatch>() != nullptr);
     CHECK(this->first_action<start_dispatch>()->request == urgent);
     CHECK(this->first_action<stop_stream>() == nullptr);
@@ -101,10 +101,10 @@
 
 // After an overdraft one dossier ends, and the engine is only back at its
 // allowance: the next dossier must not take the place that was lent.
-TEST_CASE_FIXTURE(tiers_fixture, "overdraft_open_lower_tier_not_filled")
+TEST_CASE_FIXTURE(tiers_fixture, "overdraft_open_lower_tier_not_dispatched")
 {
-    this->send_requests(6, bulk_dossier); // 1 to 4 run
-    const base::request_id urgent = this->send(ping);
+    this->send_requests(6, bulk_at_most_once); // 1 to 4 run
+    const base::request_id urgent = this->send(urgent_idempotent);
     const base::upstream_id overdrawn = this->core.find(urgent)->upstream;
     std::vector<base::request_id> running_there;
     for (std::uint64_t id = 1; id <= 4; ++id)
@@ -121,34 +121,35 @@
 // runs again, and its tries are intact.
 TEST_CASE_FIXTURE(tiers_fixture, "last_chance_least_prefill_preempted")
 {
-    this->send_requests(4, bulk_caption);
+    this->send_requests(4, bulk_preemptible);
     for (const std::uint64_t id : {1, 2, 4}) {
         const request* item = this->core.find(base::request_id{id});
         this->step(stream_progressed{item->dispatch, 5});
     }
-    this->send_requests(2, ping);
-    const base::request_id urgent = this->send(ping, std::chrono::seconds(3));
+    this->send_requests(2, urgent_idempotent);
+    const base::request_id urgent =
+        this->send(urgent_idempotent, std::chrono::seconds(3));
     CHECK(this->core.counters().preempted == 0);
     REQUIRE(this->run_until<stop_stream>(std::chrono::seconds(3)));
     CHECK(this->first_action<stop_stream>()->request == base::request_id{3});
     CHECK(this->first_action<stop_stream>()->cancel);
     CHECK(this->is_running(urgent));
-    const request* caption = this->core.find(base::request_id{3});
-    REQUIRE(caption != nullptr);
-    CHECK(caption->phase == phase::queued);
-    CHECK(caption->dispatches == 0);
-    CHECK(caption->run_state() == base::run_state::may_have_run);
+    const request* preempted = this->core.find(base::request_id{3});
+    REQUIRE(preempted != nullptr);
+    CHECK(preempted->phase == phase::queued);
+    CHECK(preempted->dispatches == 0);
+    CHECK(preempted->run_state() == base::run_state::may_have_run);
 }
 
 // The same with work dispatched at most once: a dossier cut off would be lost
 // for good, so the ping waits in line and takes the next place.
-TEST_CASE_FIXTURE(tiers_fixture, "only_at_most_once_runs_nothing_cancelled")
+TEST_CASE_FIXTURE(tiers_fixture, "only_at_most_once_running_none_preempted")
 {
-    base::request_spec dossier = bulk_dossier;
-    dossier.preemptible = true; // an operator's mistake
-    this->send_requests(4, dossier);
-    this->send_requests(2, ping);
-    const base::request_id urgent = this->send(ping);
+    base::request_spec preemptible_at_most_once = bulk_at_most_once;
+    preemptible_at_most_once.preemptible = true; // an operator's mistake
+    this->send_requests(4, preemptible_at_most_once);
+    this->send_requests(2, urgent_idempotent);
+    const base::request_id urgent = this->send(urgent_idempotent);
     CHECK(this->first_action<stop_stream>() == nullptr);
     CHECK_FALSE(this->is_running(urgent));
     this->finish(base::request_id{1});
@@ -159,9 +160,10 @@
 // the overdraft rather than being told not_run while dossiers run.
 TEST_CASE_FIXTURE(tiers_fixture, "last_chance_urgent_forced_not_shed")
 {
-    this->send_requests(4, bulk_dossier);
-    this->send_requests(2, ping);
-    const base::request_id urgent = this->send(ping, std::chrono::seconds(3));
+    this->send_requests(4, bulk_at_most_once);
+    this->send_requests(2, urgent_idempotent);
+    const base::request_id urgent =
+        this->send(urgent_idempotent, std::chrono::seconds(3));
     CHECK_FALSE(this->is_running(urgent));
     REQUIRE(this->run_until<start_dispatch>(std::chrono::seconds(3)));
     CHECK(this->first_action<start_dispatch>()->request == urgent);
@@ -171,49 +173,49 @@
 
 // Pings never end for a minute. One summary was asked for before: it starts
 // within its floor's age of a second, though every place is wanted by pings.
-TEST_CASE_FIXTURE(tiers_fixture, "urgent_flood_bulk_starts_by_floor")
+TEST_CASE_FIXTURE(tiers_fixture, "urgent_flood_bulk_starts_within_floor_age")
 {
-    this->send_requests(20, ping);
-    const base::request_id summary = this->send(bulk_dossier);
+    this->send_requests(20, urgent_idempotent);
+    const base::request_id bulk = this->send(bulk_at_most_once);
     base::instant queued_at = this->now;
-    while (!this->is_running(summary) && this->now - queued_at < 2s) {
+    while (!this->is_running(bulk) && this->now - queued_at < 2s) {
         this->now += 10ms;
-        std::optional<base::request_id> done;
-        for (std::uint64_t id = 1; id <= this->last_request && !done; ++id)
+        std::optional<base::request_id> finished;
+        for (std::uint64_t id = 1; id <= this->last_request && !finished; ++id)
             if (this->is_running(base::request_id{id}))
-                done = base::request_id{id};
-        REQUIRE(done);
-        this->finish(*done);
-        this->send(ping);
+                finished = base::request_id{id};
+        REQUIRE(finished);
+        this->finish(*finished);
+        this->send(urgent_idempotent);
     }
-    CHECK(this->is_running(summary));
+    CHECK(this->is_running(bulk));
     CHECK(this->now - queued_at <= 1010ms);
 }
 
 // The line is full of captions when a crop check comes: one caption is told
 // not_run with a time to come back, the crop check stays.
-TEST_CASE_FIXTURE(short_queue_fixture, "line_full_lowest_tier_shed")
+TEST_CASE_FIXTURE(short_queue_fixture, "queue_full_lowest_tier_shed")
 {
-    this->send_requests(4, bulk_dossier);
-    this->send_requests(2, bulk_caption);
-    const base::request_id check =
+    this->send_requests(4, bulk_at_most_once);
+    this->send_requests(2, bulk_preemptible);
+    const base::request_id standard =
         this->send(make_spec(tier::standard, repetition::idempotent));
     const auto* end = this->first_action<end_failed>();
     REQUIRE(end != nullptr);
-    CHECK(end->request != check);
+    CHECK(end->request != standard);
     CHECK(end->verdict.why == base::reason::overloaded);
     CHECK(end->verdict.run == base::run_state::not_run);
     CHECK(end->verdict.retry_after.has_value());
-    CHECK(this->core.find(check) != nullptr);
+    CHECK(this->core.find(standard) != nullptr);
 }
 
 // Fifty dossiers wait and a fifty-first asks for an answer within ten seconds.
 // It would hear not_run after ten seconds; it hears so at once, and when the
 // line will have become short enough.
-TEST_CASE_FIXTURE(tiers_fixture, "deadline_out_of_reach_told_at_once")
+TEST_CASE_FIXTURE(tiers_fixture, "deadline_unreachable_rejected_at_once")
 {
-    this->send_requests(54, bulk_dossier);
-    this->send(bulk_dossier, std::chrono::seconds(10));
+    this->send_requests(54, bulk_at_most_once);
+    this->send(bulk_at_most_once, std::chrono::seconds(10));
     const auto* end = this->first_action<end_failed>();
     REQUIRE(end != nullptr);
     CHECK(end->verdict.why == base::reason::deadline);
@@ -224,9 +226,9 @@
 }
 
 // The same request in a higher tier stays: bulk work runs and would give way.
-TEST_CASE_FIXTURE(tiers_fixture, "higher_tier_never_refused_early")
+TEST_CASE_FIXTURE(tiers_fixture, "deadline_unreachable_higher_tier_kept")
 {
-    this->send_requests(54, bulk_dossier);
+    this->send_requests(54, bulk_at_most_once);
     const auto id =
         this->send(make_spec(tier::standard, repetition::idempotent),
                    std::chrono::milliseconds(1));
@@ -237,26 +239,27 @@
 // A workspace may have two reviews at once. Its third waits though places are
 // free, and is told limit_reached when its time is over: that is the limit's
 // doing, no tier's.
-TEST_CASE_FIXTURE(tiers_fixture, "workspace_limit_reached_held_then_told")
+TEST_CASE_FIXTURE(tiers_fixture,
+                  "workspace_limit_reached_queued_until_deadline")
 {
     config::snapshot snapshot;
     snapshot.fleet.upstreams = {make_upstream("photo-1"),
                                 make_upstream("photo-2")};
-    config::workspace_rules mall;
-    mall.id = base::workspace_id("mall");
-    config::kind_rules review;
-    review.id = base::kind_id("review");
-    review.max_in_flight = 2;
-    mall.kinds = {review};
-    snapshot.workspaces.emplace("mall", mall);
+    config::workspace_rules workspace;
+    workspace.id = base::workspace_id("mall");
+    config::kind_rules kind;
+    kind.id = base::kind_id("review");
+    kind.max_in_flight = 2;
+    workspace.kinds = {kind};
+    snapshot.workspaces.emplace("mall", workspace);
     this->step(
         config_changed{std::make_shared<const config::snapshot>(snapshot)});
-    this->send_requests(2, bulk_dossier);
-    const auto third = this->send(bulk_dossier, std::chrono::seconds(10));
+    this->send_requests(2, bulk_at_most_once);
+    const auto third = this->send(bulk_at_most_once, std::chrono::seconds(10));
     CHECK_FALSE(this->is_running(third));
-    base::request_spec other = bulk_dossier;
-    other.workspace = base::workspace_id("counter");
-    CHECK(this->is_running(this->send(other)));
+    base::request_spec other_workspace = bulk_at_most_once;
+    other_workspace.workspace = base::workspace_id("counter");
+    CHECK(this->is_running(this->send(other_workspace)));
     // The two that run make progress; only the third's time passes.
     while (this->now < base::instant{std::chrono::seconds(9)}) {
         for (const std::uint64_t id : {1, 2, 4}) {
