--- a/src/greengagedrum/delivery/test/peer_tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/peer_tiers_test.cpp
@@ -1,4 +1,4 @@
-// The promise about tiers when the lower work runs at another entry.
+// Tier priority when the lower-tier requests were dispatched by another entry.
 #include <greengagedrum/delivery/scheduler.hpp>
 
 #include <doctest/doctest.h>
@@ -15,14 +15,14 @@
 
 using namespace std::chrono_literals;
 
-// Two entries that tell each other their load, and one engine for both.
+// Two entries that exchange load digests and share one upstream.
 struct two_entries_fixture {
     struct entry {
         explicit entry(const char* name) : core(options_for(name)) {}
         scheduler core;
         std::vector<start_dispatch> started;
         std::vector<end_failed> failed;
-        capacity::load_digest last_digest; // as last composed
+        capacity::load_digest last_digest; // last digest this entry sent
     };
 
     entry a{"a"};
@@ -105,7 +105,7 @@
         this->send_load(this->b, this->a, "b");
     }
 
-    // What runs makes progress all the time and never ends.
+    // Advances time while all running streams make progress and never end.
     void advance(base::duration span)
     {
         for (base::duration elapsed{0}; elapsed < span; elapsed += 250ms) {
@@ -138,9 +138,10 @@
 
 } // namespace
 
-// Dossiers of one entry run on the only engine when a burst of pings reaches
-// another entry. The pings were shed at their deadlines, for their own entry
-// had no lower work to give way, while the dossiers ran on.
+// Bulk requests of one entry fill the only upstream when a burst of urgent
+// requests reaches another entry. The urgent requests must not be shed at their
+// deadlines while the bulk requests run on: their entry has no lower-tier
+// requests of its own and must count those of its peer.
 TEST_CASE_FIXTURE(two_entries_fixture, "lower_tier_at_peer_urgent_not_shed")
 {
     for (int i = 0; i < 4; ++i)
@@ -154,9 +155,9 @@
     CHECK(this->a.started.size() == 7);
 }
 
-// The same burst, but the peer has not been heard for long: what it said of
-// its lower work is worth nothing now, and the engine is not driven past its
-// places for it.
+// The same burst, but the peer's last load digest is too old. The lower-tier
+// requests in the digest no longer count, and the upstream is not overloaded
+// beyond its slots because of them.
 TEST_CASE_FIXTURE(two_entries_fixture, "peer_silent_lower_tier_load_ignored")
 {
     for (int i = 0; i < 4; ++i)
--- a/src/greengagedrum/delivery/test/policy_run.hpp
+++ b/src/greengagedrum/delivery/test/policy_run.hpp
@@ -1,4 +1,4 @@
-// Two engines and a load in virtual time, under one policy of the line.
+// A simulation of one queue policy on two upstreams in virtual time.
 #pragma once
 
 #include <greengagedrum/admission/invariant.hpp>
@@ -20,22 +20,27 @@
 
 constexpr std::uint32_t slots = 4;
 constexpr int upstream_count = 2;
-constexpr double prefill_tokens_per_second = 4000; // tokens a second
+constexpr double prefill_tokens_per_second = 4000;
 constexpr double decode_tokens_per_second = 40;
 constexpr base::duration tick_length = 10ms;
 
+// `production` uses the default options; `reject_at_deadline` is the same but
+// gives up on a request only at its deadline. `first_come` and `strict` (strict
+// priority) also turn off floors, overdrafts, preemption and the hold of lower
+// tiers during distress.
 enum class policy { production, reject_at_deadline, first_come, strict };
 enum class burst { all_tiers, urgent_over_capacity, urgent_within_capacity };
 
 struct workload {
-    double share; // of the capacity, at load 1
+    double share; // of the total capacity, at load 1
     std::uint32_t prompt;
     std::uint32_t output;
     base::duration deadline;
     base::repetition repetition;
 };
 
-// Run times alone: 0.5 s, 1.1 s, 5.5 s and 21 s.
+// One workload per tier. Run times on an idle upstream: 0.5 s, 1.1 s, 5.5 s and
+// 21 s.
 constexpr std::array<workload, base::tier_count> workloads = {{
     {0.2, 100, 20, 5s, base::repetition::idempotent},
     {0.1, 400, 40, 10s, base::repetition::idempotent},
@@ -66,12 +71,14 @@
     }
 };
 
+// Runs a scheduler with one policy under a load with a burst. Streams of one
+// upstream share its speed once there are more of them than slots.
 struct policy_run {
     policy_run(policy queue_policy, burst burst_kind, std::uint64_t seed)
         : queue_policy(queue_policy), burst_kind(burst_kind),
           core(options_for(queue_policy))
     {
-        // One for each kind, so that all policies meet the same arrivals.
+        // One generator per tier, so that all policies get the same arrivals.
         for (std::size_t tier = 0; tier < base::tier_count; ++tier)
             this->generators[tier].seed(seed * base::tier_count + tier + 1);
         config::snapshot snapshot;
@@ -116,7 +123,7 @@
         return out;
     }
 
-    // Arrivals of a kind per second at time `t` of the run.
+    // Arrivals of a tier per second at time `t` (seconds) of the run.
     double rate(std::size_t tier, double t) const
     {
         const bool in_burst = t >= 30 && t < 90;
@@ -125,10 +132,10 @@
             load = 2.0;
         if (in_burst && this->burst_kind == burst::urgent_over_capacity &&
             tier == 0)
-            load = 8.0; // 1.6 of the capacity
+            load = 8.0; // 1.6 times the capacity
         if (in_burst && this->burst_kind == burst::urgent_within_capacity &&
             tier == 0)
-            load = 4.25; // 0.85 of it
+            load = 4.25; // 0.85 times the capacity
         return load * workloads[tier].share * slots * upstream_count /
                run_seconds(workloads[tier]);
     }
@@ -173,7 +180,8 @@
         spec.tier = base::all_tiers[tier];
         arrival.deadline_after = load.deadline;
         if (this->queue_policy == policy::first_come) {
-            // One tier and one deadline: the order of arrival.
+            // The same tier, deadline and size for all requests gives the
+            // order of arrival.
             spec.tier = base::tier::standard;
             arrival.deadline_after = 180s;
             spec.output_tokens = 1;
@@ -265,7 +273,8 @@
         request_record& record = this->requests.at(order.request);
         if (order.verdict.run == base::run_state::not_run)
             this->results[record.tier].not_run += 1;
-        // By what the caller's kind is, also where the policy does not know.
+        // Compares the original tiers, which the first_come policy hides from
+        // the scheduler. A lower tier has a longer decode time.
         bool lower_tier_runs = false;
         for (const auto& [id, running] : this->streams)
             lower_tier_runs =
@@ -290,7 +299,7 @@
     };
     struct stream {
         base::upstream_id upstream;
-        double remaining_seconds = 0; // seconds at full speed
+        double remaining_seconds = 0; // at full speed
         double decode_seconds = 0;
         std::uint32_t reported_tokens = 0;
     };
--- a/src/greengagedrum/delivery/test/policy_run_test.cpp
+++ b/src/greengagedrum/delivery/test/policy_run_test.cpp
@@ -1,9 +1,10 @@
-// Measures the line's policy in virtual time, against first come first served
-// and strict priority.
+// Compares the production queue policy with first come first served and strict
+// priority in virtual time.
 //
-// Two engines of four places; past four streams an engine shares its speed
-// among them. A mixed load of 0.8 of their capacity for 30 s, a burst for 60 s,
-// 0.8 again for 60 s, then nothing until all have ended.
+// Two upstreams with four slots each; with more than four streams an upstream
+// divides its speed among them. The load is mixed: 0.8 of the capacity for 30
+// s, a burst for 60 s, 0.8 again for 60 s, then no arrivals until all requests
+// have ended.
 #include <greengagedrum/delivery/test/policy_run.hpp>
 
 namespace greengagedrum::delivery
@@ -12,10 +13,11 @@
 namespace
 {
 
-// Several runs of one policy over the same arrivals as another's.
+// The summed results of one policy over several seeds. A seed gives every
+// policy the same arrivals.
 struct run_series {
     std::array<tier_result, base::tier_count> results;
-    std::uint64_t shed_before_lower = 0; // shed while lower work ran
+    std::uint64_t shed_before_lower = 0; // while a lower tier ran
     scheduler_counters counters;
 
     run_series(policy queue_policy, burst burst_kind)
@@ -107,9 +109,9 @@
 
 } // namespace
 
-// Twice the capacity is asked for in all tiers. With first come first served
-// the gate's pings wait behind dossiers; with strict priority they wait for a
-// dossier's end.
+// The load is twice the capacity in all tiers. With first come first served,
+// urgent requests wait behind long requests of lower tiers; with strict
+// priority they wait until a long request ends.
 TEST_CASE("burst_in_all_tiers_urgent_dispatched_at_once")
 {
     comparison run(burst::all_tiers);
@@ -122,9 +124,9 @@
           run.production.results[3].arrivals);
 }
 
-// Pings alone ask for 1.6 of the capacity for a minute, so some of them must be
-// shed, and lower work must not run meanwhile. Served in line until the last
-// moment, most would start too late.
+// Urgent requests alone need 1.6 times the capacity for a minute, so some must
+// be shed, and lower tiers must not run meanwhile. If requests were kept in the
+// queue in order until their deadline, most would start too late.
 TEST_CASE("burst_of_urgent_not_shed_before_lower_tier")
 {
     comparison run(burst::urgent_over_capacity);
@@ -135,8 +137,8 @@
           run.production.results[3].arrivals);
 }
 
-// Pings ask for 0.85 of the capacity for a minute and the rest for more than
-// what is left.
+// Urgent requests need 0.85 of the capacity for a minute, and the other tiers
+// need more than the remainder.
 TEST_CASE("urgent_within_capacity_all_in_time")
 {
     comparison run(burst::urgent_within_capacity);
--- a/src/greengagedrum/delivery/test/random_run.hpp
+++ b/src/greengagedrum/delivery/test/random_run.hpp
@@ -1,4 +1,5 @@
-// A scheduler under random events, and what must hold after each of them.
+// A scheduler under random events, with its invariants checked after each
+// event.
 #pragma once
 
 #include <greengagedrum/admission/invariant.hpp>
@@ -14,6 +15,8 @@
 namespace greengagedrum::delivery
 {
 
+// Feeds one scheduler random events from a seed and plays its callers,
+// upstreams and one peer. step() checks all invariants after every event.
 struct random_run {
     explicit random_run(std::uint64_t seed)
         : seed(seed), generator(seed), core(options_for(seed))
@@ -90,8 +93,6 @@
         this->step(instances_listed{list});
     }
 
-    // ---- One random event ----
-
     void send_request()
     {
         request_arrived arrival;
@@ -147,7 +148,7 @@
             record.has_started = true;
             this->step(stream_broken{id, record.connection, cause});
         }
-        // else: silent
+        // Otherwise the stream stays silent.
     }
 
     void step_peer_load()
@@ -195,8 +196,6 @@
         this->step_stream();
     }
 
-    // ---- What must hold ----
-
     void step(const event& input)
     {
         std::map<base::request_id, phase> before;
@@ -221,7 +220,8 @@
     void check(const start_dispatch& order)
     {
         request_record& record = this->requests.at(order.request);
-        // A dispatch whose connect was refused did not happen.
+        // A dispatch whose connect was refused is not counted: no byte was
+        // written.
         if (this->refused.contains(record.last_dispatch))
             record.dispatches -= 1;
         this->streams.erase(record.last_dispatch);
@@ -229,7 +229,8 @@
         record.dispatches += 1;
         if (record.spec.repetition == base::repetition::at_most_once)
             CHECK_MESSAGE(record.dispatches == 1, this->failure_context());
-        // Dispatched by its timer, and its caller left in the same step.
+        // The request may be unknown if its timer dispatched it in the step in
+        // which its caller left.
         CHECK_MESSAGE(
             (record.caller_left || this->core.find(order.request) != nullptr),
             this->failure_context());
@@ -290,7 +291,7 @@
         const phase to = item == nullptr ? phase::ended : item->phase;
         if (from == to)
             return;
-        // One step may take a request through two transitions.
+        // One step may make two transitions of a request.
         bool legal = is_transition_allowed(from, to);
         for (int middle = 0; middle < phase_count && !legal; ++middle)
             legal = is_transition_allowed(from, static_cast<phase>(middle)) &&
@@ -327,7 +328,7 @@
                std::to_string(this->steps);
     }
 
-    // All that is left ends, with streams that finish.
+    // Finishes all streams until no request is left.
     void drain()
     {
         for (int turn = 0; turn < 100'000 && !this->requests.empty(); ++turn) {
@@ -374,12 +375,12 @@
     std::uint64_t shed_count = 0;
     bool short_intervals = false;
     std::vector<action> actions;
-    std::map<base::request_id, request_record> requests; // not ended
+    std::map<base::request_id, request_record> requests; // in flight
     std::map<base::dispatch_id, stream> streams;
     std::set<base::dispatch_id> refused;
     std::set<std::uint64_t> tickets;
-    std::set<base::request_id> ended;           // in this step
-    std::vector<base::request_spec> shed_specs; // in this step
+    std::set<base::request_id> ended;           // during this step
+    std::vector<base::request_spec> shed_specs; // during this step
 };
 
 } // namespace greengagedrum::delivery
--- a/src/greengagedrum/delivery/test/recovery_test.cpp
+++ b/src/greengagedrum/delivery/test/recovery_test.cpp
@@ -1,4 +1,5 @@
-// What becomes of a request whose upstream fails at each point of its life.
+// Recovery of a request whose upstream or entry fails, for each phase of the
+// request.
 #include <greengagedrum/delivery/test/scheduler_fixture.hpp>
 
 namespace greengagedrum::delivery
@@ -6,8 +7,8 @@
 
 using base::repetition;
 
-// A planner's clash check reaches a dead server: the connect is refused, no
-// byte left. It must go to the other server, and may still be told not_run.
+// The connect is refused, so no byte of the request was written. The request
+// must be dispatched to the other upstream, and may still end with not_run.
 TEST_CASE_FIXTURE(scheduler_fixture,
                   "at_most_once_connect_refused_dispatched_elsewhere")
 {
@@ -20,9 +21,9 @@
     CHECK(this->first_action<start_dispatch>()->upstream != first.upstream);
 }
 
-// A clerk's receipt runs through one entry and its answer is lost. The repeat
-// reaches an entry that is stopping, which was told of neither: "not_run"
-// would have the receipt printed and charged again.
+// A request runs through one entry and its answer is lost. The caller resends
+// it to a stopping entry that knows nothing of the first run. A not_run verdict
+// there would make the caller run the request a second time.
 TEST_CASE_FIXTURE(scheduler_fixture, "resend_to_stopping_entry_may_have_run")
 {
     this->step(stop_begun{});
@@ -32,13 +33,13 @@
     CHECK(verdict.run == base::run_state::may_have_run);
     CHECK(verdict.why == base::reason::stopping);
     CHECK(verdict.retry_after);
-    this->arrive(repetition::at_most_once); // bears neither ticket nor key
+    this->arrive(repetition::at_most_once); // without ticket or key
     CHECK(this->first_action<end_failed>()->verdict.run ==
           base::run_state::not_run);
 }
 
-// The same repeat reaches an entry that knows of no server that takes it. Its
-// key's home is away, so nobody there can tell whether it ran before.
+// The request is resent to an entry that has no upstream for it. The home entry
+// of the key is unreachable, so this entry can't tell whether the request ran.
 TEST_CASE_FIXTURE(scheduler_fixture, "resend_without_upstream_may_have_run")
 {
     this->list_upstreams({});
@@ -46,14 +47,14 @@
     REQUIRE(this->first_action<end_failed>() != nullptr);
     CHECK(this->first_action<end_failed>()->verdict.run ==
           base::run_state::may_have_run);
-    this->arrive(repetition::at_most_once); // bears neither ticket nor key
+    this->arrive(repetition::at_most_once); // without ticket or key
     CHECK(this->first_action<end_failed>()->verdict.run ==
           base::run_state::not_run);
 }
 
-// The bound of a graceful stop passes while servers work for a ping and for a
-// receipt. The ping's stream would go on for nobody and waste its engine; the
-// receipt's must run to its end.
+// The time limit of a graceful stop passes while an idempotent and an
+// at-most-once request run. The idempotent stream is cancelled, since it would
+// use its upstream for no caller; the at-most-once stream must run to its end.
 TEST_CASE_FIXTURE(scheduler_fixture, "forced_stop_only_idempotent_cancelled")
 {
     const auto idempotent = this->arrive(repetition::idempotent);
@@ -69,9 +70,9 @@
     CHECK(stopped_streams == 2);
 }
 
-// A counter server takes long over a receipt. A plain service has no stream
-// that could be read on, so a broken connection loses the answer for good: the
-// clerk would be told may_have_run of a receipt that is about to come.
+// A plain service takes long to answer. It has no stream that could be resumed,
+// so closing the connection as silent would lose the answer for good, and the
+// caller would get may_have_run just before the answer arrives.
 TEST_CASE_FIXTURE(scheduler_fixture, "service_call_slow_connection_kept")
 {
     this->call_service(repetition::at_most_once);
@@ -83,8 +84,8 @@
     CHECK(this->first_action<end_answered>() != nullptr);
 }
 
-// The same server never answers: at the deadline the clerk is told so, and the
-// connection is let go.
+// A plain service never answers: the request ends at its deadline and the
+// connection is closed.
 TEST_CASE_FIXTURE(scheduler_fixture, "service_call_silent_ended_at_deadline")
 {
     this->call_service(repetition::at_most_once);
@@ -98,9 +99,8 @@
     CHECK(this->core.in_flight() == 0);
 }
 
-// A template is pulled through a connection that went silent for good. It may
-// be asked for again, and is, at the other server; there is no stream to read
-// on at the first.
+// A call to a plain service stays silent for good. The call is idempotent, so
+// it is retried at the other upstream; the first has no stream to resume.
 TEST_CASE_FIXTURE(scheduler_fixture, "idempotent_service_call_silent_retried")
 {
     this->call_service(repetition::idempotent);
@@ -111,8 +111,8 @@
     CHECK(this->first_action<start_dispatch>()->upstream != first);
 }
 
-// Both servers are down for a minute: the caller is told not_run at its
-// deadline, which is true, for no connect ever succeeded.
+// Both upstreams are down until the deadline. The verdict is not_run, which is
+// true because no connect succeeded.
 TEST_CASE_FIXTURE(scheduler_fixture, "every_connect_refused_not_run")
 {
     this->arrive(repetition::at_most_once);
@@ -132,9 +132,9 @@
     CHECK(dispatch_count < 200);
 }
 
-// A daemon starts and hears the instance list before its configuration: every
-// request was told `no_upstream`, for the list's names meant nothing yet and
-// the list was not read again.
+// A daemon receives the instance list before its configuration. The names in
+// the list are unknown at that time, so the list must be applied again with the
+// configuration; otherwise every request ends with `no_upstream`.
 TEST_CASE("instance_list_before_config_request_dispatched")
 {
     scheduler core(scheduler_fixture::default_options());
@@ -162,9 +162,9 @@
     CHECK(std::holds_alternative<start_dispatch>(actions.back()));
 }
 
-// A dossier's connection breaks after ten tokens: the caller sees the rest of
-// the same answer. The stream is read on at the same server; a second dispatch
-// would be a second dossier.
+// The connection of an at-most-once request breaks after ten tokens. The stream
+// is resumed at the same upstream, so that the caller gets the rest of the same
+// answer; a second dispatch would run the request twice.
 TEST_CASE_FIXTURE(scheduler_fixture, "at_most_once_connection_lost_resumed")
 {
     this->arrive(repetition::at_most_once);
@@ -180,9 +180,10 @@
     CHECK(this->first_action<end_answered>() != nullptr);
 }
 
-// A cut between entry and server lasts twenty seconds while a dossier is being
-// written. Connects time out; a few tries would give up within seconds and the
-// planner would lose an answer that the server finished all the same.
+// The network between entry and upstream is down for 20 s during an
+// at-most-once request. Connects time out. If the entry gave up after a few
+// attempts, within seconds, the caller would lose an answer that the upstream
+// completes.
 TEST_CASE_FIXTURE(scheduler_fixture, "upstream_unreachable_resume_retried")
 {
     this->arrive(repetition::at_most_once);
@@ -204,7 +205,8 @@
     CHECK(this->first_action<end_answered>() != nullptr);
 }
 
-// The same cut never heals. After its bound the planner is told the truth.
+// The upstream stays unreachable. The request ends with may_have_run once the
+// time limit for resuming has passed.
 TEST_CASE_FIXTURE(scheduler_fixture,
                   "upstream_unreachable_for_good_may_have_run")
 {
@@ -227,8 +229,8 @@
           base::run_state::may_have_run);
 }
 
-// The server restarts in mid-answer and knows nothing of the stream. The
-// caller is told that the request may have run: it did, in part.
+// The upstream restarts in the middle of an answer and no longer knows the
+// stream. The verdict is may_have_run, since the request ran in part.
 TEST_CASE_FIXTURE(scheduler_fixture, "at_most_once_stream_unknown_may_have_run")
 {
     this->arrive(repetition::at_most_once);
@@ -241,8 +243,8 @@
     CHECK(this->core.counters().dispatched == 1);
 }
 
-// The same failure with a ping: it may run twice, so its caller is answered by
-// the other server.
+// An upstream no longer knows the stream of an idempotent request, which may
+// run twice and is retried at the other upstream.
 TEST_CASE_FIXTURE(scheduler_fixture, "idempotent_stream_unknown_retried")
 {
     this->arrive(repetition::idempotent);
@@ -253,9 +255,9 @@
     CHECK(this->first_action<start_dispatch>()->upstream != first.upstream);
 }
 
-// A connection goes silent for good in mid-answer while the server works on.
-// Without a bound on silence the caller waits for ever; the stream is read on
-// over a fresh connection, and the broken one's late end changes nothing.
+// A connection goes silent in the middle of an answer while the upstream keeps
+// running. Without a timeout the caller would wait for ever. The stream is
+// resumed on a new connection; the late end of the old connection is ignored.
 TEST_CASE_FIXTURE(scheduler_fixture, "stream_silent_resumed_on_new_connection")
 {
     this->arrive(repetition::at_most_once);
@@ -271,8 +273,8 @@
     CHECK(this->first_action<end_answered>() != nullptr);
 }
 
-// The bound of a graceful stop passes with one request in flight and one in
-// line: the first may have run, the second did not, and each is told so.
+// The time limit of a graceful stop passes with requests running and one in the
+// queue. Running requests end with may_have_run, the queued one with not_run.
 TEST_CASE_FIXTURE(scheduler_fixture,
                   "forced_stop_running_and_queued_verdicts_true")
 {
@@ -290,7 +292,7 @@
         else
             may_have_run += 1;
     }
-    CHECK(may_have_run == 4); // two engines with two places each
+    CHECK(may_have_run == 4); // two upstreams with two slots each
     CHECK(not_run == 1);
     CHECK(this->core.in_flight() == 0);
 }
--- a/src/greengagedrum/delivery/test/scheduler_fixture.hpp
+++ b/src/greengagedrum/delivery/test/scheduler_fixture.hpp
@@ -1,5 +1,4 @@
-// A scheduler in virtual time, with two engines of one class, and the few
-// steps that tests repeat.
+// A test fixture for the scheduler.
 #pragma once
 
 #include <greengagedrum/delivery/scheduler.hpp>
@@ -12,10 +11,12 @@
 namespace greengagedrum::delivery
 {
 
+// A scheduler in virtual time with two upstreams of one class, two slots each,
+// and helpers that send requests and advance time.
 struct scheduler_fixture {
     scheduler core;
     base::instant now;
-    std::vector<action> actions; // of the last step
+    std::vector<action> actions; // of the latest step
     std::uint64_t last_request = 0;
 
     explicit scheduler_fixture(
@@ -75,7 +76,8 @@
         this->step(tick{});
     }
 
-    // Steps through virtual time, timer by timer, until `found` or the bound.
+    // Advances time from timer to timer until a step has an action of type
+    // Wanted; false if none has within `bound`.
     template <class Wanted>
     bool run_until(base::duration bound)
     {
@@ -95,7 +97,7 @@
         return this->arrive(repetition, tier, {});
     }
 
-    // At most once, under a key of its caller's.
+    // Sends an at-most-once request with an idempotency key of the caller.
     base::request_id arrive_with_key(const std::string& key)
     {
         return this->arrive(
@@ -122,7 +124,7 @@
         return arrival.request;
     }
 
-    // A call to a plain service: it names no model.
+    // Sends a request to a plain service, which has no model.
     base::request_id call_service(base::repetition repetition)
     {
         request_arrived arrival;
@@ -134,7 +136,7 @@
         return arrival.request;
     }
 
-    // The first action of this type in the last step, or null.
+    // The first action of this type in the latest step, or null.
     template <class Wanted>
     const Wanted* first_action() const
     {
--- a/src/greengagedrum/delivery/test/simulated_cluster.cpp
+++ b/src/greengagedrum/delivery/test/simulated_cluster.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr base::duration heartbeat_interval = 500ms;
-constexpr base::duration longest_sleep = 100ms; // the longest sleep of a daemon
+constexpr base::duration longest_sleep = 100ms; // of the decision thread
 
 config::upstream_entry make_upstream(const std::string& name)
 {
@@ -46,7 +46,7 @@
         this->start_entry(base::slot_id(name));
 }
 
-// Short spans, so that keys are granted again soon after a restart.
+// The windows are short so that keys are granted again soon after a restart.
 scheduler_options simulated_cluster::options_for(base::slot_id slot,
                                                  base::incarnation incarnation,
                                                  std::uint64_t seed)
@@ -139,8 +139,6 @@
            std::to_string(this->now.time_since_epoch().count());
 }
 
-// ---- Callers ----------------------------------------------------------------
-
 std::size_t simulated_cluster::add_key(const std::string& text)
 {
     subject_record added;
@@ -150,7 +148,7 @@
     return this->subjects.size() - 1;
 }
 
-// A key that carries its issue time (UUIDv7).
+// Adds a key in UUIDv7 format, which contains the time of issue.
 std::size_t simulated_cluster::add_dated_key()
 {
     const auto stamp = static_cast<unsigned long long>(
@@ -197,8 +195,6 @@
     this->step(entry, arrival);
 }
 
-// ---- Time and messages ------------------------------------------------------
-
 void simulated_cluster::schedule(base::duration delay, scheduled_event item)
 {
     this->scheduled.emplace(this->now + delay, std::move(item));
@@ -246,7 +242,8 @@
             this->run_once(*item);
 }
 
-// As the decision thread does: of a pause it hears before anything else.
+// One iteration of the decision thread, which reports a pause of the process
+// before any other event.
 void simulated_cluster::run_once(simulated_entry& entry)
 {
     const bool was_paused =
@@ -271,7 +268,7 @@
 {
     if (const auto* message = std::get_if<heartbeat_message>(&item.payload))
         return this->on_heartbeat(*item.to, *message);
-    // A pause is noticed before whatever woke the thread.
+    // A pause is reported before the event that woke the thread.
     if (this->now - item.to->last_run_at > idempotency::desk_options{}.lease) {
         item.to->last_run_at = this->now;
         this->step(*item.to, process_paused{});
--- a/src/greengagedrum/delivery/test/simulated_cluster.hpp
+++ b/src/greengagedrum/delivery/test/simulated_cluster.hpp
@@ -1,7 +1,4 @@
-// Three schedulers of one data centre, joined by a queue in virtual time that
-// loses, repeats and delays, for tests. It has no decisions of its own: it
-// passes messages, counts what upstreams were handed, and keeps what callers
-// were told.
+// A simulated cluster of entries for tests.
 #pragma once
 
 #include <greengagedrum/delivery/scheduler.hpp>
@@ -23,7 +20,8 @@
 
 inline constexpr std::array<const char*, 3> cluster_slots = {"a", "b", "d"};
 
-// A process in a slot, with what its peer link and its sessions would keep.
+// A process in a slot, with the state that its peer links and sessions hold in
+// production.
 struct simulated_entry {
     struct caller_request {
         std::size_t subject = 0;
@@ -31,7 +29,7 @@
     };
     struct received_heartbeat {
         base::incarnation incarnation;
-        base::instant sent_at; // by the peer, echoed to it
+        base::instant sent_at; // clock of the peer, echoed to it
     };
 
     base::slot_id slot;
@@ -40,24 +38,30 @@
     base::instant last_run_at;
     bool paused = false;
     bool dead = false;
-    base::instant forced_stop_at = base::instant::max(); // of a graceful stop
+    // When the time limit of a graceful stop passes.
+    base::instant forced_stop_at = base::instant::max();
     std::map<base::request_id, caller_request> requests;
     std::map<base::slot_id, received_heartbeat> received_heartbeats;
     std::map<base::slot_id, base::incarnation> known_incarnations;
 };
 
-// What the world knows of one ticket or key.
+// The dispatches and results of one ticket or idempotency key in the whole
+// cluster.
 struct subject_record {
     idempotency::claim_subject claim;
     base::instant first_sent_at;
-    base::dispatch_id last_dispatch; // the last dispatch
-    int dispatch_count = 0;          // dispatches of which bytes left
+    base::dispatch_id last_dispatch;
+    int dispatch_count = 0; // without dispatches whose connect was refused
     int not_run = 0;
     int replayed = 0;
     int answered = 0;
     int may_have_run = 0;
 };
 
+// Runs three entries of one data centre in virtual time. Messages between them
+// go through a queue that loses, duplicates and delays them. The class makes no
+// scheduling decisions: it delivers messages, counts the dispatches that
+// reached upstreams, and records the results that callers received.
 class simulated_cluster
 {
 public:
@@ -66,11 +70,12 @@
     simulated_entry& start_entry(base::slot_id slot);
     void kill(simulated_entry& item);
     void advance(base::duration step);
-    void drain(base::duration span); // no faults, until all has ended
+    // Advances by `span` without faults and checks that all requests ended.
+    void drain(base::duration span);
     void send_request(simulated_entry& entry, std::size_t subject);
     void step(simulated_entry& entry, const event& input);
-    void list_upstreams(simulated_entry& to,
-                        bool listed); // the upstreams, or none
+    // Sends the instance list, which is empty if not `listed`.
+    void list_upstreams(simulated_entry& to, bool listed);
     void cut_link(const simulated_entry& left, const simulated_entry& right);
     void heal_links() { this->cut_links.clear(); }
     std::size_t add_key(const std::string& text);
@@ -82,7 +87,7 @@
     std::string failure_context() const;
 
     base::instant now{1h};
-    double fault_probability = 0; // part of messages and streams that go wrong
+    double fault_probability = 0; // of each message and stream
     std::uint64_t dispatches = 0;
     std::vector<subject_record> subjects;
 
@@ -93,7 +98,8 @@
         base::incarnation echo_incarnation;
         base::instant echoed_sent_at;
     };
-    // What happens to an entry later; for a message also from whom it comes.
+    // An event or heartbeat that an entry receives later. `from` is null unless
+    // another entry sent it.
     struct scheduled_event {
         simulated_entry* to = nullptr;
         simulated_entry* from = nullptr;
@@ -129,11 +135,11 @@
     std::mt19937_64 generator;
     std::vector<std::unique_ptr<simulated_entry>> entries;
     std::multimap<base::instant, scheduled_event> scheduled;
-    std::map<simulated_entry*, std::vector<scheduled_event>>
-        undelivered; // while paused
+    // Events received by paused entries.
+    std::map<simulated_entry*, std::vector<scheduled_event>> undelivered;
     std::set<std::pair<const simulated_entry*, const simulated_entry*>>
         cut_links;
-    std::set<base::dispatch_id> refused_dispatches; // of which no byte left
+    std::set<base::dispatch_id> refused_dispatches; // no byte was written
     base::instant next_heartbeat_at;
     std::uint64_t last_incarnation = 0;
     std::uint64_t last_request = 0;
--- a/src/greengagedrum/delivery/test/simulated_cluster_actions.cpp
+++ b/src/greengagedrum/delivery/test/simulated_cluster_actions.cpp
@@ -1,4 +1,5 @@
-// What the schedulers of a joined run order, carried out and checked.
+// Executes the actions of the schedulers of a simulated cluster and checks
+// them.
 #include <greengagedrum/delivery/test/simulated_cluster.hpp>
 
 namespace greengagedrum::delivery
@@ -42,7 +43,7 @@
     this->dispatches += 1;
     CHECK_MESSAGE(subject.dispatch_count == 1, this->failure_context());
     if (this->chance(this->fault_probability))
-        return; // silent for good
+        return; // the stream stays silent
     if (this->chance(this->fault_probability))
         return this->schedule(
             delay / 2,
@@ -80,7 +81,7 @@
 {
     static_cast<void>(entry);
     CHECK_MESSAGE(!order.cancel,
-                  this->failure_context()); // all is at most once
+                  this->failure_context()); // every request is at most once
 }
 
 subject_record& simulated_cluster::end_request(simulated_entry& entry,
@@ -130,7 +131,8 @@
 void simulated_cluster::execute(simulated_entry& entry,
                                 const send_claim_message& order)
 {
-    // A link leads to one process of the slot, the former or its successor.
+    // After a replacement two processes may run in the slot; the link leads to
+    // one of them.
     std::vector<simulated_entry*> receivers;
     for (simulated_entry* to : this->live_entries())
         if (to->slot == order.to && to != &entry)
@@ -145,7 +147,7 @@
          event(claim_message{entry.slot, entry.incarnation, order.body})});
 }
 
-// Loads are not part of these runs.
+// Load exchange between peers is not simulated.
 void simulated_cluster::execute(simulated_entry& entry,
                                 const send_load_digest& order)
 {
--- a/src/greengagedrum/delivery/test/simulated_cluster_test.cpp
+++ b/src/greengagedrum/delivery/test/simulated_cluster_test.cpp
@@ -1,7 +1,8 @@
-// Several entries in one: whole schedulers, with their desks, joined by links
-// that lose, repeat, delay and are cut.
+// Several complete schedulers, including their idempotency desks, connected by
+// simulated links that lose, duplicate and delay messages and can be cut.
 //
-// GGD_JOINED_SEEDS says how many seeds run (50), GGD_RANDOM_SEED picks one.
+// GGD_JOINED_SEEDS sets the number of seeds (default 50); GGD_RANDOM_SEED runs
+// that seed alone.
 #include <greengagedrum/delivery/test/simulated_cluster.hpp>
 
 #include <cstdlib>
@@ -18,8 +19,8 @@
     return text == nullptr ? fallback : std::strtoull(text, nullptr, 10);
 }
 
-// Callers repeat tickets and keys at any entry while processes pause, stop,
-// die and are replaced.
+// Callers resend requests with the same ticket or key to any entry while
+// processes pause, stop, crash and are replaced.
 class faulty_run
 {
 public:
@@ -81,8 +82,8 @@
         }
     }
 
-    // Not two within a lease. The former process dies, stops gracefully, or
-    // goes on beside its successor, cut off from it.
+    // At most one replacement per lease. The replaced process crashes, stops
+    // gracefully, or keeps running beside its successor without a link to it.
     void replace_entry()
     {
         if (this->cluster.now < this->next_replacement_at ||
@@ -105,7 +106,7 @@
         this->cluster.start_entry(slot);
     }
 
-    // A key or ticket is repeated within the callers' retry window only.
+    // A ticket or key is resent only within the callers' retry window.
     void send_requests()
     {
         simulated_entry& entry = this->random_entry();
@@ -138,10 +139,11 @@
 
 } // namespace
 
-// A booth sends a receipt, hears nothing for too long, and sends it again to
-// another entry; meanwhile entries pause, are cut off, stop or are replaced.
-// Whatever the order, the receipt is handed over once at most, each request
-// ends once, not_run is true, and a repeated answer is the one that was made.
+// A caller gets no answer in time and resends an at-most-once request to
+// another entry, while entries pause, lose links, stop or are replaced. For
+// every order of events, the request is dispatched at most once, each request
+// ends once, a not_run verdict is true, and a replayed answer equals the
+// original answer.
 TEST_CASE("simulated_cluster_with_faults_at_most_once")
 {
     constexpr int run_length = 3000;
@@ -164,7 +166,7 @@
             total.may_have_run += subject.may_have_run;
         }
     }
-    // The run must have met what it is about.
+    // Each outcome must have occurred at least once for the test to cover it.
     CHECK(total.dispatch_count > 0);
     CHECK(total.not_run > 0);
     CHECK(total.replayed > 0);
--- a/src/greengagedrum/delivery/test/tiers_test.cpp
+++ b/src/greengagedrum/delivery/test/tiers_test.cpp
@@ -1,4 +1,5 @@
-// Who gives way to whom when there is not enough for all.
+// Priority between tiers when capacity is short: overdrafts, preemption, floors
+// and shedding.
 #include <greengagedrum/delivery/test/scheduler_fixture.hpp>
 
 namespace greengagedrum::delivery
@@ -11,7 +12,7 @@
 namespace
 {
 
-// Two engines with two places each.
+// Two upstreams with two slots each.
 struct tiers_fixture : scheduler_fixture {
     explicit tiers_fixture(const scheduler_options& options = default_options())
         : scheduler_fixture(options)
@@ -46,7 +47,7 @@
         return arrival.request;
     }
 
-    // `count` requests, asked one by one.
+    // Sends `count` requests in separate steps.
     void send_requests(std::size_t count, const base::request_spec& spec)
     {
         for (std::size_t i = 0; i < count; ++i)
@@ -86,9 +87,9 @@
 
 } // namespace
 
-// Weekend dossiers hold every place when a gate asks for a status. The gate
-// waited for a dossier's end; now its ping goes out in the same step, beyond
-// the allowance, and no dossier is touched.
+// Bulk requests hold every slot when an urgent request arrives. It must not
+// wait until a bulk request ends: it is dispatched in the same step, beyond the
+// allowance, and no bulk request is cancelled.
 TEST_CASE_FIXTURE(tiers_fixture, "bulk_fills_slots_urgent_overdraws_at_once")
 {
     this->send_requests(6, bulk_at_most_once);
@@ -99,8 +100,8 @@
     CHECK(this->core.counters().overdrafts == 1);
 }
 
-// After an overdraft one dossier ends, and the engine is only back at its
-// allowance: the next dossier must not take the place that was lent.
+// After an overdraft one bulk request ends, which only returns the upstream to
+// its allowance. The next bulk request must not take the overdrawn slot.
 TEST_CASE_FIXTURE(tiers_fixture, "overdraft_open_lower_tier_not_dispatched")
 {
     this->send_requests(6, bulk_at_most_once); // 1 to 4 run
@@ -116,9 +117,10 @@
     CHECK(this->is_running(base::request_id{5}));
 }
 
-// Pings fill the overdraft too, and the next one's last chance comes. Then one
-// caption is cancelled, the one whose prompt is not read yet; it waits and
-// runs again, and its tries are intact.
+// Urgent requests fill the overdraft too, and the next urgent request reaches
+// the last time at which it can meet its deadline. One preemptible bulk request
+// is cancelled, the one whose prefill is not complete. It returns to the queue,
+// and the preemption does not count against its dispatches.
 TEST_CASE_FIXTURE(tiers_fixture, "last_chance_least_prefill_preempted")
 {
     this->send_requests(4, bulk_preemptible);
@@ -141,12 +143,12 @@
     CHECK(preempted->run_state() == base::run_state::may_have_run);
 }
 
-// The same with work dispatched at most once: a dossier cut off would be lost
-// for good, so the ping waits in line and takes the next place.
+// All bulk requests are at-most-once, so cancelling one would lose it for good.
+// The urgent request waits in the queue and takes the next free slot.
 TEST_CASE_FIXTURE(tiers_fixture, "only_at_most_once_running_none_preempted")
 {
     base::request_spec preemptible_at_most_once = bulk_at_most_once;
-    preemptible_at_most_once.preemptible = true; // an operator's mistake
+    preemptible_at_most_once.preemptible = true; // configuration error
     this->send_requests(4, preemptible_at_most_once);
     this->send_requests(2, urgent_idempotent);
     const base::request_id urgent = this->send(urgent_idempotent);
@@ -156,8 +158,9 @@
     CHECK(this->is_running(urgent));
 }
 
-// And when no dossier ends before the ping's time is over: it goes out beyond
-// the overdraft rather than being told not_run while dossiers run.
+// No at-most-once bulk request ends before the urgent request runs out of time.
+// The urgent request is dispatched beyond the overdraft instead of ending with
+// not_run while a lower tier runs.
 TEST_CASE_FIXTURE(tiers_fixture, "last_chance_urgent_forced_not_shed")
 {
     this->send_requests(4, bulk_at_most_once);
@@ -171,8 +174,8 @@
     CHECK(this->core.counters().forced == 1);
 }
 
-// Pings never end for a minute. One summary was asked for before: it starts
-// within its floor's age of a second, though every place is wanted by pings.
+// Urgent requests arrive without pause and want every slot. A bulk request
+// still starts within its floor age of 1 s.
 TEST_CASE_FIXTURE(tiers_fixture, "urgent_flood_bulk_starts_within_floor_age")
 {
     this->send_requests(20, urgent_idempotent);
@@ -192,8 +195,8 @@
     CHECK(this->now - queued_at <= 1010ms);
 }
 
-// The line is full of captions when a crop check comes: one caption is told
-// not_run with a time to come back, the crop check stays.
+// The queue is full of bulk requests when a standard request arrives. One bulk
+// request ends with not_run and a retry time; the standard request stays.
 TEST_CASE_FIXTURE(short_queue_fixture, "queue_full_lowest_tier_shed")
 {
     this->send_requests(4, bulk_at_most_once);
@@ -209,9 +212,9 @@
     CHECK(this->core.find(standard) != nullptr);
 }
 
-// Fifty dossiers wait and a fifty-first asks for an answer within ten seconds.
-// It would hear not_run after ten seconds; it hears so at once, and when the
-// line will have become short enough.
+// Fifty bulk requests wait and another one has a deadline of 10 s, which it
+// can't meet. It ends with not_run at once instead of at its deadline, with the
+// time after which the queue will be short enough.
 TEST_CASE_FIXTURE(tiers_fixture, "deadline_unreachable_rejected_at_once")
 {
     this->send_requests(54, bulk_at_most_once);
@@ -220,12 +223,13 @@
     REQUIRE(end != nullptr);
     CHECK(end->verdict.why == base::reason::deadline);
     REQUIRE(end->verdict.retry_after.has_value());
-    // 50 x 2.56 s expected, by 4 places: 32 s to drain, 2.6 s to run.
+    // 50 x 2.56 s estimated, on 4 slots: 32 s to drain, 2.6 s to run.
     CHECK(*end->verdict.retry_after > std::chrono::seconds(20));
     CHECK(*end->verdict.retry_after < std::chrono::seconds(30));
 }
 
-// The same request in a higher tier stays: bulk work runs and would give way.
+// A higher-tier request with too short a deadline stays in the queue: the bulk
+// requests that run would give way to it.
 TEST_CASE_FIXTURE(tiers_fixture, "deadline_unreachable_higher_tier_kept")
 {
     this->send_requests(54, bulk_at_most_once);
@@ -236,9 +240,9 @@
     CHECK(this->core.find(id) != nullptr);
 }
 
-// A workspace may have two reviews at once. Its third waits though places are
-// free, and is told limit_reached when its time is over: that is the limit's
-// doing, no tier's.
+// A workspace may have two requests of a kind in flight. Its third waits
+// although slots are free, and ends with limit_reached at its deadline, since
+// the limit and no other tier delayed it.
 TEST_CASE_FIXTURE(tiers_fixture,
                   "workspace_limit_reached_queued_until_deadline")
 {
@@ -260,7 +264,7 @@
     base::request_spec other_workspace = bulk_at_most_once;
     other_workspace.workspace = base::workspace_id("counter");
     CHECK(this->is_running(this->send(other_workspace)));
-    // The two that run make progress; only the third's time passes.
+    // The running requests make progress, so only the third runs out of time.
     while (this->now < base::instant{std::chrono::seconds(9)}) {
         for (const std::uint64_t id : {1, 2, 4}) {
             const request* item = this->core.find(base::request_id{id});
--- a/src/greengagedrum/entry/entry.cpp
+++ b/src/greengagedrum/entry/entry.cpp
@@ -16,10 +16,11 @@
 {
 
 // Start value of the loop's clock, so that a default time stamp ("never") lies
+// well before every time.
 constexpr base::duration loop_clock_start = std::chrono::hours(1);
 
-// well before every time.
 // Combinations of workspace, tier and route that have their own histograms;
+// each takes about 5.5 KiB.
 constexpr std::size_t max_metric_series = 256;
 
 base::incarnation new_incarnation()
--- a/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/limited_fleet.cpp
@@ -13,10 +13,10 @@
 const base::workspace_id busy_workspace("busy");
 constexpr base::duration window = 8s;
 constexpr double mean_cost = 1000;
-constexpr double roles_settled = 1; // seconds from the start of all entries
-// Of the limit, and in tokens, that lag may exceed it by.
+constexpr double roles_settled = 1; // seconds after the start
+// Tolerated excess due to lag: a share of the limit, and a number of tokens.
 constexpr double overshoot = 0.25;
-constexpr double slack_seconds = 0.6; // of the limit's rate
+constexpr double slack_seconds = 0.6; // times the limit's rate
 
 } // namespace
 
@@ -141,8 +141,6 @@
     return out;
 }
 
-// ---- Requests ---------------------------------------------------------------
-
 void limited_fleet::admit(double cost)
 {
     this->admitted.emplace_back(this->fleet.time(), cost);
@@ -268,8 +266,6 @@
     }
 }
 
-// ---- The run ----------------------------------------------------------------
-
 void limited_fleet::count_changes(const node& one)
 {
     process_state& own = this->state_of(one);
--- a/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
+++ b/src/greengagedrum/entry/fleet_test/poison_request_fleet.cpp
@@ -18,8 +18,11 @@
 constexpr base::duration answer_after = 300ms;
 constexpr base::duration upstream_back_after = 4s;
 constexpr base::duration lease = 3600ms;
-constexpr base::duration min_age = 3s;     // of a process, and of a count
-constexpr double role_assignment_time = 1; // seconds from the start
+// Minimum age of a process, and of a body's third crash, for a run to count as
+// late.
+constexpr base::duration min_age = 3s;
+// Seconds from the start until roles are assigned.
+constexpr double role_assignment_time = 1;
 constexpr std::uint64_t shared_body = 999'999;
 
 } // namespace
@@ -116,8 +119,6 @@
     return out;
 }
 
-// ---- Requests ---------------------------------------------------------------
-
 base::request_digest
 poison_request_fleet::body_digest(std::uint64_t number) const
 {
@@ -256,8 +257,6 @@
                        traffic::connect_failed{action.request, action.send});
 }
 
-// ---- Upstreams --------------------------------------------------------------
-
 void poison_request_fleet::report_broken_run(const run& one)
 {
     node* at = this->fleet.at(one.entry);
--- a/src/greengagedrum/entry/limit_counting.cpp
+++ b/src/greengagedrum/entry/limit_counting.cpp
@@ -1,12 +1,13 @@
-// How requests count against the limits of their workspaces.
+// Accounting of requests against the limits of their workspaces.
 #include <greengagedrum/entry/request_handler.hpp>
 #include <greengagedrum/entry/to_milliseconds.hpp>
 
 namespace greengagedrum::entry
 {
 
-// Requests that wait were to be counted by the entry that placed them. All are
-// counted before the first is ended, for then others may be sent.
+// When this entry dispatches again, it charges its waiting requests to their
+// limits; until then the dispatcher had to. All are charged before the first is
+// refused, because a refusal may let others be sent.
 void request_handler::charge_queued_requests()
 {
     std::vector<std::pair<base::request_id, base::duration>> over_limit;
@@ -49,8 +50,9 @@
         limiter.refund_unsent(request.workspace, request.cost, now);
 }
 
-// The entry that counts says what it went by; where it placed for another one,
-// that one's log bears the request's own id and only the verdict.
+// The entry that charges the limit logs the values behind the refusal. If it
+// dispatched for a member, the member's log holds the request's own id and only
+// the verdict.
 void request_handler::log_over_limit(base::workspace_id workspace,
                                      double cost,
                                      std::uint32_t priority,
--- a/src/greengagedrum/entry/peer_protocol.cpp
+++ b/src/greengagedrum/entry/peer_protocol.cpp
@@ -10,19 +10,20 @@
 namespace
 {
 
-// Of the bound within which a change has to be in force, an entry rests for six
-// tenths at most: the rest is for two calls of the store, one of them lost.
+// An entry that does not read the store itself may rely on a peer for at most
+// 6/10 of the bound within which a change must be in force. The rest is
+// reserved for two calls of the store, one of which may be lost.
 constexpr std::int64_t peer_reliance_parts = 6;
 constexpr std::int64_t all_parts = 10;
 
-// A reader's watch takes up to 500 ms, its message up to 200 ms more.
+// A watch call of the entry that reads the store takes up to 500 ms, and its
+// message up to 200 ms more.
 constexpr base::duration max_watch_delay = std::chrono::milliseconds(800);
 
 constexpr base::duration fetch_interval = std::chrono::milliseconds(250);
 constexpr base::duration fetch_timeout = std::chrono::milliseconds(400);
 
-// Who is alive is looked at so often; nothing that follows from it is due
-// sooner.
+// Interval of the liveness check; nothing that depends on it is needed sooner.
 constexpr base::duration check_interval = std::chrono::milliseconds(20);
 
 constexpr std::string_view since_path = "/items?since=";
@@ -111,8 +112,6 @@
     return this->table.recently_live_count(this->state.clock());
 }
 
-// ---- Hearing --------------------------------------------------------------
-
 void peer_protocol::on_message(std::string_view bytes, const std::string& from)
 {
     const base::instant now = this->state.clock();
@@ -172,7 +171,8 @@
         this->fetch_if_outdated(now);
 }
 
-// When the newest answer that any peer had is older, nobody may be reading.
+// Maximum age of the newest store answer of any peer. If it is older, possibly
+// no entry reads the store.
 base::duration peer_protocol::store_answer_max_age() const
 {
     return store_reader::poll_interval_for(
@@ -180,11 +180,12 @@
            max_watch_delay;
 }
 
-// Failures guarded against: the reader of a data centre dies, is frozen or is
-// turned away by the store (its last answer grows old, and whoever notices
-// reads for itself); a store that lost its history tells a reader of a change
-// after later ones, which the newest change's revision does not show (each
-// entry reads for itself well within the bounds all the same).
+// Failures guarded against: the entry that reads the store for a data centre
+// dies, is frozen or is rejected by the store (its last answer grows old, and
+// whichever entry notices reads for itself); a store that lost its history
+// reports a change to the reader after later changes, which the revision of the
+// newest change does not show (each entry still reads for itself well within
+// the bounds).
 bool peer_protocol::peer_reads_store() const
 {
     const base::instant now = this->state.clock();
@@ -198,8 +199,6 @@
            this->table.has_store_reader_in_data_centre(now);
 }
 
-// ---- Telling --------------------------------------------------------------
-
 void peer_protocol::schedule_gossip()
 {
     this->schedule.on_change();
@@ -209,8 +208,7 @@
     this->set_timer();
 }
 
-// A message that is owed sooner than the one that the timer is set for moves
-// it.
+// Restarts the timer if a message is due before its current expiry.
 void peer_protocol::set_timer()
 {
     const auto next = this->schedule.next_due();
@@ -298,8 +296,6 @@
         this->transport.send(bytes, address);
 }
 
-// ---- Time -----------------------------------------------------------------
-
 void peer_protocol::tick(bool store_fails)
 {
     const base::instant now = this->state.clock();
--- a/src/greengagedrum/entry/peer_roles.cpp
+++ b/src/greengagedrum/entry/peer_roles.cpp
@@ -1,5 +1,5 @@
-// Among many entries: which of them places requests, and what is made of what
-// the others tell.
+// Roles in a large fleet: which entry dispatches requests, and the handling of
+// messages received from the others.
 #include <greengagedrum/entry/crash_suspect_log.hpp>
 #include <greengagedrum/entry/peer_protocol.hpp>
 
@@ -12,48 +12,52 @@
 namespace
 {
 
-// Without a dispatcher a member waits for the next one to answer, and then
-// places by itself: what each knows alone fills upstreams that others filled.
+// A member that loses its dispatcher waits this long for the next one to answer
+// before it dispatches by itself: with only its own knowledge it would fill
+// upstreams that other entries have filled already.
 constexpr base::duration dispatcher_wait = std::chrono::milliseconds(500);
 
-// A greeting is answered once in this time; a start of all entries at once
-// brings hundreds to each seed.
+// A dispatcher query of the same entry is answered at most once in this time; a
+// start of all entries at once brings hundreds of queries to each seed.
 constexpr base::duration query_answer_interval = std::chrono::milliseconds(150);
 
-// Between two questions of a member for what changed.
+// Minimum interval of a member's queries for changed items.
 constexpr base::duration sync_interval = std::chrono::milliseconds(100);
 
-// Entries that read the store as soon as their dispatcher may not.
+// Number of standby entries that read the store as soon as their dispatcher
+// possibly does not.
 constexpr std::size_t standby_entries_reading_store = 3;
 
-// What a dispatcher told of limits holds until its successor has noticed that
-// it is silent, and has asked those before it in line.
+// Limit state received from a dispatcher stays valid until a standby entry has
+// detected the dispatcher's silence and has probed the candidates that rank
+// before itself.
 constexpr base::duration limits_max_age = std::chrono::milliseconds(1000);
 
-// Of messages to other data centres one in a hundred may be lost.
+// Repeats cover datagram loss between data centres, which may reach 1 %.
 constexpr std::uint32_t role_notices = 3;
 
-// A process that has been awake for less may not have heard of all others.
+// A process that has run for less time may not have received messages of all
+// peers yet.
 constexpr base::duration peer_discovery_time = std::chrono::seconds(3);
 
-// One that was started behind a cut may have heard few of those on its side.
-// Whoever was named and not heard for so long is not there.
+// A process that was started during a network partition may have received
+// messages of few peers on its side. A peer that was named by others and stayed
+// silent for this time is treated as gone.
 constexpr base::duration never_heard_peer_timeout = std::chrono::seconds(30);
 
-// Entries are counted many times a second; after a longer pause the process was
-// frozen.
+// Entries are counted many times a second; a longer gap between two counts
+// means that the process was frozen.
 constexpr base::duration freeze_threshold = std::chrono::milliseconds(400);
 
 // A member reports ten times a second.
 constexpr base::duration report_max_age = std::chrono::milliseconds(500);
 
-// Of a dispatcher that is followed: the window in which its sends count.
+// After a change of dispatchers, the time in which the former one's sends still
+// count.
 constexpr base::duration former_sends_window = std::chrono::seconds(1);
 
 } // namespace
 
-// ---- Hearing --------------------------------------------------------------
-
 void peer_protocol::merge_suspects(const gossip::message& received,
                                    base::instant now)
 {
@@ -92,7 +96,8 @@
         this->events.peer_load_changed();
 }
 
-// Its limits are counted here from now on, and its load is what it shows.
+// The dispatcher counts the member's usage from now on; the load that the
+// member reports is taken as it is.
 void peer_protocol::on_report(const gossip::message& received,
                               base::instant now)
 {
@@ -100,7 +105,7 @@
         return;
     const base::slot_id slot(received.instance);
     if (this->state.delegating) {
-        // It is to look for another one.
+        // The answer makes the sender look for another dispatcher.
         this->answer_dispatcher_query(received, now);
         return;
     }
@@ -121,8 +126,8 @@
     this->events.reply_received(received.reply);
 }
 
-// Of a dispatcher, to an entry next in line; and of one that stops, or that
-// this one has taken over from.
+// Limit state is sent by a dispatcher to its standby entries, and by a
+// dispatcher that stops or that this entry has replaced.
 void peer_protocol::on_limits(const gossip::message& received,
                               base::instant now)
 {
@@ -162,10 +167,8 @@
     this->transport.send(gossip::encode(out), received.address);
 }
 
-// ---- The store --------------------------------------------------------------
-
-// Its dispatcher reads the store for a member, which is passed all that
-// changes.
+// A dispatcher reads the store for its members and passes every change on to
+// them.
 void peer_protocol::sync_with_dispatcher(const gossip::message& received,
                                          base::instant now)
 {
@@ -186,9 +189,10 @@
     this->fetch_items(received.address, {known, received.incarnation}, now);
 }
 
-// Failure guarded against: the store turns the dispatcher away, or it hangs. A
-// few of those next in line read then, and all others once a change may be due.
-// With all of them reading now and then, 295 entries made 6,500 calls in 48 s.
+// Failure guarded against: the store rejects the dispatcher, or hangs. Then a
+// few standby entries read it at once, and all other entries only when a change
+// may be due. With all entries reading from time to time, 295 entries made
+// 6,500 calls in 48 s.
 bool peer_protocol::dispatcher_reads_store(base::duration bound,
                                            base::instant now) const
 {
@@ -202,8 +206,6 @@
     return age <= (is_standby ? max_age : std::max(bound, max_age));
 }
 
-// ---- Roles ----------------------------------------------------------------
-
 bool peer_protocol::is_serving_members() const
 {
     return this->uses_dispatchers && !this->state.delegating &&
@@ -246,7 +248,8 @@
     if (this->state.delegating)
         return this->schedule.set_member_intervals();
     this->schedule.set_dispatcher_intervals();
-    // It would ask this entry again in two seconds only, and place meanwhile.
+    // Without the query the former dispatcher would probe this entry only after
+    // two seconds, and dispatch in the meantime.
     if (former)
         this->send_dispatcher_query({*former}, now);
 }
@@ -276,9 +279,9 @@
     this->received_limits.reset();
 }
 
-// Failure guarded against: all entries start, or wake, at once before cold
-// upstreams, and each sends them the whole of what they bear, until it has
-// heard of the others.
+// Failure guarded against: all entries start or resume at once before cold
+// upstreams, and each sends them the whole rate that they can take until it has
+// received messages of the others.
 void peer_protocol::track_uptime(base::instant now)
 {
     if (now - this->counted_at > freeze_threshold)
@@ -288,7 +291,7 @@
         this->half_dispatched_since = now;
 }
 
-// At most two entries of a data centre can place for half of it at a time.
+// At most two entries of a data centre can dispatch for half of it at a time.
 bool peer_protocol::dispatches_for_half(base::instant now) const
 {
     if (this->state.delegating)
@@ -305,8 +308,9 @@
         }));
 }
 
-// Of the requests that cold upstreams of the own data centre get. Among many
-// entries they are the dispatcher's, once the one before it has sent its last.
+// This entry's share of the requests to cold upstreams of its data centre. In a
+// large fleet the dispatcher has all of them, once the sends of the former
+// dispatcher no longer count.
 traffic::slow_start_share
 peer_protocol::compute_slow_start_share(base::instant now) const
 {
--- a/src/greengagedrum/entry/peer_sending.cpp
+++ b/src/greengagedrum/entry/peer_sending.cpp
@@ -1,4 +1,4 @@
-// Among many entries: who tells whom, and when.
+// Sending in a large fleet: who sends which message to whom, and when.
 #include <greengagedrum/entry/peer_protocol.hpp>
 
 #include <algorithm>
@@ -9,24 +9,24 @@
 namespace
 {
 
-// To all that are told without having something to tell.
+// Interval of messages that are sent although nothing has changed.
 constexpr base::duration heartbeat_interval = std::chrono::milliseconds(100);
 
-// Entries that may be back are greeted a few at a time: a restarted one may
-// know of seeds only that are down.
+// Entries that may have restarted are sent a dispatcher query, a few at a time:
+// a restarted entry may know only seeds that are down.
 constexpr base::duration query_interval = std::chrono::milliseconds(500);
 constexpr std::size_t queries_at_once = 4;
 
-// Between two messages that also tell of suspects what is not new.
+// Interval of messages that repeat unchanged crash suspects.
 constexpr base::duration suspects_interval = std::chrono::milliseconds(250);
 
-// A member that reported so lately is told of signs of life.
+// Heartbeats are sent to members whose last report is at most this old.
 constexpr base::duration member_max_silence = std::chrono::milliseconds(1500);
 
 } // namespace
 
-// What is not new is told by turns, so that an entry that has just started, or
-// was cut off, learns of it within a second.
+// Unchanged suspects are repeated at intervals, so that an entry that has just
+// started, or was partitioned, learns of them within a second.
 std::vector<quarantine::suspect_report>
 peer_protocol::suspects_to_send(base::instant& sent_all_at, base::instant now)
 {
@@ -40,8 +40,9 @@
     return suspects.collect_reports(now, all);
 }
 
-// Its members leave at the first sign of it, so those next in line are told of
-// limits by that very message.
+// The members switch to another dispatcher as soon as they learn of the
+// shutdown, so the same message already carries the limit state to the standby
+// entries.
 void peer_protocol::begin_stop()
 {
     if (this->uses_dispatchers && !this->state.delegating)
@@ -49,9 +50,10 @@
     this->schedule_gossip();
 }
 
-// Failure guarded against: a dispatcher stands still for some seconds, and goes
-// on in place of the one that had followed it. What that one let through
-// meanwhile was told to other data centres only, and was given out once more.
+// Failure guarded against: a dispatcher is frozen for some seconds, resumes,
+// and replaces the entry that had taken over. The usage that the latter
+// admitted meanwhile was sent to other data centres only, so the resumed
+// dispatcher granted the same part of the limit again.
 void peer_protocol::hand_over_limits(base::instant now)
 {
     if (!this->dispatcher)
@@ -92,8 +94,8 @@
         this->schedule.on_sent(recipient_group::other_data_centres, now);
 }
 
-// Failure guarded against: a report is lost, and with it a request that asks,
-// or the end of one, whose place then stands idle until the next beat.
+// Failure guarded against: a report is lost, and with it a new request, or the
+// end of a request, whose slot then stays idle until the next heartbeat.
 bool peer_protocol::is_report_overdue(base::instant now) const
 {
     return this->unanswered_report > 0 &&
@@ -114,8 +116,8 @@
     this->transport.send(gossip::encode(out), *this->dispatcher);
 }
 
-// Those that would place in place of the present one are asked with a whole
-// report, so that the first of them to answer can begin.
+// Candidates that rank before the present dispatcher are sent a complete
+// report, so that the first of them to answer can start to dispatch.
 void peer_protocol::probe_silent(base::instant now)
 {
     const std::vector<gossip::ipv4_address> targets =
--- a/src/greengagedrum/entry/test/limit_test.cpp
+++ b/src/greengagedrum/entry/test/limit_test.cpp
@@ -1,4 +1,5 @@
-// What an entry tells its peers of a workspace's limit, request by request.
+// The usage of a workspace's limit that an entry sends to its peers, request by
+// request.
 #include <greengagedrum/entry/test/entry_fixture.hpp>
 #include <greengagedrum/gossip/message.hpp>
 
@@ -12,7 +13,7 @@
 
 constexpr std::uint64_t request_cost = 200; // tokens
 
-// The place of another entry: the same port, at another address of loopback.
+// A fake peer: the same port at another loopback address.
 class fake_peer
 {
 public:
@@ -25,7 +26,7 @@
 
     std::uint16_t port() const { return this->socket.local_endpoint().port(); }
 
-    // Until a message of the entry says so, for three seconds at most.
+    // Waits up to three seconds for a message with a matching usage.
     bool receives_use(
         const std::function<bool(const quota::workspace_usage&)>& matches)
     {
@@ -63,8 +64,8 @@
 
 } // namespace
 
-// An entry's peers count what it lets through. A request counts as waiting
-// until it is sent, and as used from then on.
+// Peers count the usage that an entry admits. A request counts as waiting until
+// it is sent, and as used from then on.
 TEST_CASE_FIXTURE(limit_fixture, "request_once_sent_is_reported_as_used")
 {
     auto asked = this->client();
@@ -75,9 +76,9 @@
     }));
 }
 
-// Callers leave while their requests wait for a slot. Nothing of these was
-// sent: the workspace may use their cost for others, or an impatient burst
-// would take its whole limit and get nothing for it.
+// Callers disconnect while their requests wait for a slot. These requests were
+// never sent, so their cost is refunded to the workspace. Otherwise a burst of
+// impatient callers would use up its whole limit without any response.
 TEST_CASE_FIXTURE(limit_fixture, "request_of_disconnected_caller_is_refunded")
 {
     constexpr std::uint64_t slots = 5;
--- a/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
+++ b/src/greengagedrum/entry/test/replaced_dispatcher_test.cpp
@@ -1,5 +1,5 @@
-// An entry that places among many, and what it counts against limits while the
-// dispatcher of another data centre is replaced: the test plays both of those.
+// A dispatcher's accounting of limits while the dispatcher of another data
+// centre is replaced. The test sends the messages of the two others.
 #include <greengagedrum/entry/test/entry_fixture.hpp>
 #include <greengagedrum/gossip/message.hpp>
 
@@ -17,7 +17,8 @@
 constexpr gossip::ipv4_address others = 40;
 constexpr double limit_per_second = 12'000;
 
-// Any address of loopback but the entry's; its port is the fleet's.
+// Fake peers. They share one socket at another loopback address, with the
+// fleet's port.
 class fake_peers
 {
 public:
@@ -68,11 +69,11 @@
 
 } // namespace
 
-// A dispatcher stops as planned, after a third of a workspace's window went
-// through it. Another one of its data centre takes over at once, and it is
-// heard for another second, until its own requests have ended. What it let
-// through counts once: the workspace's next request is within its limit and is
-// answered.
+// A dispatcher stops as planned, after a third of a workspace's window was
+// admitted through it. Another one of its data centre takes over at once, while
+// the former one sends for another second, until its own requests have ended.
+// Its usage counts once, so the workspace's next request is within the limit
+// and is answered.
 TEST_CASE_FIXTURE(replaced_dispatcher_fixture,
                   "dispatcher_stopping_with_successor_is_counted_once")
 {
