--- a/src/programs/ggd_bench_daemon.cpp
+++ b/src/programs/ggd_bench_daemon.cpp
@@ -173,7 +173,7 @@
     one_entry_settings settings;
     settings.engine = fast_engine();
     const auto all = start(chosen, settings);
-    run(*all, plan_of(50, to_milliseconds(1000), tokens));
+    run(*all, plan_of(50, milliseconds(1000), tokens));
     series rates("entry: processor, 16 tokens each", "requests", "ms");
     for (const double rate : {40.0, 80.0, 160.0, 320.0}) {
         std::vector<double> parts;
@@ -214,13 +214,13 @@
         running.emplace_back([&all, streams, at] {
             load::plan planned =
                 plan_of(2 * static_cast<double>(streams) / loads / arrivals,
-                        to_milliseconds(static_cast<int>(arrivals * thousand)),
+                        milliseconds(static_cast<int>(arrivals * thousand)),
                         24);
             planned.max_requests = streams / loads;
             planned.seed = at + 1;
             run(all, planned);
         });
-    std::this_thread::sleep_for(to_milliseconds(4000));
+    std::this_thread::sleep_for(milliseconds(4000));
     return all.entry().resident_mib();
 }
 
