--- a/src/greengagedrum/traffic/test/burst_run.cpp
+++ b/src/greengagedrum/traffic/test/burst_run.cpp
@@ -12,21 +12,21 @@
 
 using namespace std::chrono_literals;
 
-constexpr double calm_load = 0.7;
-constexpr base::duration turn = 2ms;
+constexpr double warmup_load = 0.7;
+constexpr base::duration time_step = 2ms;
 constexpr base::duration message_delay = 2ms;
 constexpr double prompt_tokens_per_ms = 50;
-constexpr base::duration fixed_first = 45ms;
-constexpr base::duration event_gap = 16ms;
+constexpr base::duration first_event_overhead = 45ms;
+constexpr base::duration event_interval = 16ms;
 
-constexpr double engines_of_the_usual_load = 8;
+constexpr double usual_engine_count = 8;
 
-// The total time a caller waits. After a refusal it may retry within a third of
-// what is left.
-constexpr base::duration caller_time = 15s;
-constexpr int honoured_part = 3;
+// A caller gives up this long after its first attempt. After a refusal it
+// retries after at most a third of the time it has left.
+constexpr base::duration caller_timeout = 15s;
+constexpr int retry_delay_divisor = 3;
 
-std::string place_of(std::size_t number, const burst_settings& settings)
+std::string data_centre_of(std::size_t number, const burst_settings& settings)
 {
     return "place-" + std::to_string(number % settings.data_centres);
 }
@@ -35,139 +35,148 @@
                                          burst_kind{13, 2900, 17, 1200ms},
                                          burst_kind{25, 1100, 57, 1200ms}};
 
-// One request that runs on an engine.
-struct run {
+// A request that is queued or runs on an engine.
+struct engine_request {
     std::size_t entry = 0;
     base::request_id request;
     std::uint32_t send = 0;
     std::size_t kind = 0;
-    base::instant first_at;
+    base::instant first_event_at;
     base::instant ends_at;
-    bool first_told = false;
+    bool first_event_sent = false;
 };
 
 // An engine that admits requests in order of arrival and processes prompts one
 // after another.
 struct engine {
-    std::deque<run> waiting;
-    std::vector<run> running;
-    base::instant read_until;
-    double slowness = 1;
+    std::deque<engine_request> waiting;
+    std::vector<engine_request> running;
+    base::instant prefill_until;
+    double slowdown = 1;
 
-    base::duration times(base::duration usual) const
+    base::duration scaled(base::duration usual) const
     {
         return std::chrono::duration_cast<base::duration>(usual *
-                                                          this->slowness);
+                                                          this->slowdown);
     }
 
     void admit(base::instant now, std::uint32_t slots)
     {
         while (!this->waiting.empty() && this->running.size() < slots) {
-            run next = this->waiting.front();
+            engine_request next = this->waiting.front();
             this->waiting.pop_front();
             const burst_kind& kind = kinds.at(next.kind);
-            const auto reading = std::chrono::duration_cast<base::duration>(
-                std::chrono::duration<double, std::milli>(
-                    this->slowness * kind.prompt_tokens /
-                    prompt_tokens_per_ms));
-            this->read_until = std::max(this->read_until, now) + reading;
-            next.first_at = this->read_until + this->times(fixed_first);
-            next.ends_at = next.first_at + this->times(event_gap * kind.events);
+            const auto prefill_time =
+                std::chrono::duration_cast<base::duration>(
+                    std::chrono::duration<double, std::milli>(
+                        this->slowdown * kind.prompt_tokens /
+                        prompt_tokens_per_ms));
+            this->prefill_until =
+                std::max(this->prefill_until, now) + prefill_time;
+            next.first_event_at =
+                this->prefill_until + this->scaled(first_event_overhead);
+            next.ends_at = next.first_event_at +
+                           this->scaled(event_interval * kind.events);
             this->running.push_back(next);
         }
     }
 };
 
-struct message_under_way {
+struct report_in_transit {
     base::instant at;
     std::size_t from = 0;
-    bool to_near = true; // to its own data centre, else to the others
-    std::vector<upstream_load> uses;
-    std::vector<queue_report> waiting;
+    bool to_local = true; // to its own data centre, else to the others
+    std::vector<upstream_load> loads;
+    std::vector<queue_report> queues;
 };
 
-// The state of an entry's messages to its own data centre or to the others.
-struct message_state {
-    bool due = false; // there is a change to report
-    base::instant told_at;
+// The state of an entry's load reports to its own data centre or to the
+// others.
+struct report_state {
+    bool pending = false; // there is a change to report
+    base::instant sent_at;
 };
 
-struct asked_request {
+struct caller_request {
     std::size_t kind = 0;
-    base::instant arrived;
+    base::instant arrived_at;
     bool in_time = false;
     bool counted = false;
-    bool second_try = false;
+    bool is_retry = false;
 };
 
-class burst
+class burst_simulation
 {
 public:
-    explicit burst(const burst_settings& given)
-        : settings(given), dice(given.seed), engines_there(given.engines),
-          near_messages(given.entries), far_messages(given.entries)
+    explicit burst_simulation(const burst_settings& given)
+        : settings(given), random(given.seed), simulated_engines(given.engines),
+          local_reports(given.entries), remote_reports(given.entries)
     {
         for (std::size_t entry = 0; entry < given.entries; ++entry) {
             this->entries.push_back(std::make_unique<scheduler>(
                 retry_budget_settings{},
-                entry_identity{place_of(entry, given), 1000 + entry}));
+                entry_identity{data_centre_of(entry, given), 1000 + entry}));
             this->entries.back()->set_entry_count(given.entries);
-            this->entries.back()->set_gossip_interval(given.near_gap);
-            for (std::size_t one = 0; one < given.engines; ++one) {
-                auto engine = upstream_named(std::to_string(one), given.slots);
-                engine.data_centre = place_of(one, given);
+            this->entries.back()->set_gossip_interval(
+                given.local_report_interval);
+            for (std::size_t number = 0; number < given.engines; ++number) {
+                auto engine =
+                    upstream_named(std::to_string(number), given.slots);
+                engine.data_centre = data_centre_of(number, given);
                 this->entries.back()->upstream_joined(engine, this->now);
             }
         }
-        for (std::size_t one = 2; one < given.engines; one += 3)
-            this->engines_there[one].slowness = given.slow;
-        for (std::size_t one = 0; one < given.engines; ++one)
-            this->by_id[base::upstream_id(std::to_string(one))] = one;
+        for (std::size_t number = 2; number < given.engines; number += 3)
+            this->simulated_engines[number].slowdown = given.slowdown;
+        for (std::size_t number = 0; number < given.engines; ++number)
+            this->engine_by_upstream[base::upstream_id(
+                std::to_string(number))] = number;
     }
 
-    burst_result play()
+    burst_result run()
     {
-        this->counted_from = this->now + this->settings.calm;
+        this->counted_from = this->now + this->settings.warmup;
         const base::instant end = this->counted_from + this->settings.length;
         while (this->now < end + 15s) {
-            this->now += turn;
+            this->now += time_step;
             if (this->now < end)
-                this->let_arrive();
-            this->let_return();
+                this->generate_arrivals();
+            this->submit_due_retries();
             this->run_engines();
-            this->pass_messages();
+            this->exchange_reports();
             for (std::size_t entry = 0; entry < this->entries.size(); ++entry) {
                 actions out;
                 this->entries[entry]->tick(this->now, out);
-                this->carry_out(entry, out);
+                this->apply_actions(entry, out);
             }
         }
         return this->result;
     }
 
 private:
-    void let_arrive()
+    void generate_arrivals()
     {
         for (std::size_t kind = 0; kind < kinds.size(); ++kind) {
             const double usual = kinds.at(kind).per_second *
                                  static_cast<double>(this->settings.engines) /
-                                 engines_of_the_usual_load;
+                                 usual_engine_count;
             std::poisson_distribution<int> arrivals(
-                usual * (this->counted() ? this->settings.load : calm_load) *
-                static_cast<double>(turn.count()) / 1e6);
-            for (int count = arrivals(this->dice); count > 0; --count)
-                this->let_one_arrive(kind);
+                usual *
+                (this->counted() ? this->settings.load_factor : warmup_load) *
+                static_cast<double>(time_step.count()) / 1e6);
+            for (int count = arrivals(this->random); count > 0; --count)
+                this->add_arrival(kind);
         }
     }
 
-    void let_one_arrive(std::size_t kind)
+    void add_arrival(std::size_t kind)
     {
         if (this->counted())
-            this->result.asked.at(kind) += 1;
-        this->ask({kind, this->now, false, this->counted(), false});
+            this->result.arrived.at(kind) += 1;
+        this->submit({kind, this->now, false, this->counted(), false});
     }
 
-    void ask(const asked_request& what)
+    void submit(const caller_request& what)
     {
         request_facts facts = stream_facts(
             this->settings.priorities ? static_cast<std::uint32_t>(what.kind)
@@ -176,35 +185,39 @@
         facts.prompt_tokens = kinds.at(what.kind).prompt_tokens;
         facts.output_tokens = 3 * kinds.at(what.kind).events;
         facts.latency_objective = kinds.at(what.kind).objective;
-        facts.time_left = caller_time;
-        if (this->settings.tells_time_left)
-            facts.time_left -= this->now - what.arrived;
-        const base::request_id id{this->next++};
-        this->asked[id] = what;
-        this->step(this->dice() % this->entries.size(),
+        facts.time_left = caller_timeout;
+        if (this->settings.callers_send_time_left)
+            facts.time_left -= this->now - what.arrived_at;
+        const base::request_id id{this->next_request_id++};
+        this->requests[id] = what;
+        this->step(this->random() % this->entries.size(),
                    request_arrived{id, facts});
     }
 
-    void let_return()
+    void submit_due_retries()
     {
-        while (!this->returning.empty() &&
-               this->returning.begin()->first <= this->now) {
-            const asked_request what = this->returning.begin()->second;
-            this->returning.erase(this->returning.begin());
-            this->ask(what);
+        while (!this->scheduled_retries.empty() &&
+               this->scheduled_retries.begin()->first <= this->now) {
+            const caller_request what = this->scheduled_retries.begin()->second;
+            this->scheduled_retries.erase(this->scheduled_retries.begin());
+            this->submit(what);
         }
     }
 
-    // Returns false when the caller does not retry.
-    bool comes_back(const asked_request& what, const base::verdict& told)
+    // Returns false if the caller does not retry.
+    bool schedule_retry(const caller_request& what,
+                        const base::verdict& verdict)
     {
-        if (!this->settings.come_back || what.second_try || !told.retry_after)
+        if (!this->settings.callers_retry || what.is_retry ||
+            !verdict.retry_after)
             return false;
-        const base::duration left = caller_time - (this->now - what.arrived);
-        asked_request again = what;
-        again.second_try = true;
-        this->returning.emplace(
-            this->now + std::min(*told.retry_after, left / honoured_part),
+        const base::duration left =
+            caller_timeout - (this->now - what.arrived_at);
+        caller_request again = what;
+        again.is_retry = true;
+        this->scheduled_retries.emplace(
+            this->now +
+                std::min(*verdict.retry_after, left / retry_delay_divisor),
             again);
         return true;
     }
@@ -215,45 +228,46 @@
     {
         actions out;
         this->entries[entry]->step(what, this->now, out);
-        this->carry_out(entry, out);
+        this->apply_actions(entry, out);
     }
 
-    void carry_out(std::size_t entry, const actions& orders)
+    void apply_actions(std::size_t entry, const actions& taken)
     {
-        for (const action& one : orders) {
+        for (const action& one : taken) {
             if (const auto* send = std::get_if<send_request>(&one)) {
-                const std::size_t number = this->by_id[send->upstream];
-                engine& to = this->engines_there[number];
+                const std::size_t number =
+                    this->engine_by_upstream[send->upstream];
+                engine& to = this->simulated_engines[number];
                 this->result.sent += 1;
-                if (place_of(number, this->settings) !=
-                    place_of(entry, this->settings))
-                    this->result.sent_far += 1;
-                run started;
+                if (data_centre_of(number, this->settings) !=
+                    data_centre_of(entry, this->settings))
+                    this->result.sent_remote += 1;
+                engine_request started;
                 started.entry = entry;
                 started.request = send->request;
                 started.send = send->send;
-                started.kind = this->asked[send->request].kind;
+                started.kind = this->requests[send->request].kind;
                 to.waiting.push_back(started);
-                const auto there = static_cast<std::uint32_t>(
+                const auto on_engine = static_cast<std::uint32_t>(
                     to.waiting.size() + to.running.size());
-                this->result.most_on_one =
-                    std::max(this->result.most_on_one, there);
+                this->result.max_requests_per_engine =
+                    std::max(this->result.max_requests_per_engine, on_engine);
             }
             if (const auto* ended = std::get_if<end_request>(&one))
                 this->count_refusal(*ended);
         }
-        if (!orders.empty()) {
-            this->near_messages[entry].due = true;
-            this->far_messages[entry].due = true;
+        if (!taken.empty()) {
+            this->local_reports[entry].pending = true;
+            this->remote_reports[entry].pending = true;
         }
     }
 
     void count_refusal(const end_request& ended)
     {
-        const asked_request& what = this->asked[ended.request];
-        if (this->comes_back(what, ended.verdict) || !what.counted)
+        const caller_request& what = this->requests[ended.request];
+        if (this->schedule_retry(what, ended.verdict) || !what.counted)
             return;
-        if (this->now - what.arrived < 1s)
+        if (this->now - what.arrived_at < 1s)
             this->result.refused_early.at(what.kind) += 1;
         else
             this->result.refused_late.at(what.kind) += 1;
@@ -261,13 +275,14 @@
 
     void run_engines()
     {
-        for (engine& one : this->engines_there) {
-            std::vector<run> ended;
-            for (run& each : one.running) {
-                if (!each.first_told && each.first_at <= this->now) {
-                    each.first_told = true;
-                    asked_request& what = this->asked[each.request];
-                    what.in_time = this->now - what.arrived <=
+        for (engine& one : this->simulated_engines) {
+            std::vector<engine_request> ended;
+            for (engine_request& each : one.running) {
+                if (!each.first_event_sent &&
+                    each.first_event_at <= this->now) {
+                    each.first_event_sent = true;
+                    caller_request& what = this->requests[each.request];
+                    what.in_time = this->now - what.arrived_at <=
                                    kinds.at(what.kind).objective;
                     this->step(each.entry,
                                events_received{each.request, each.send, 1});
@@ -275,91 +290,93 @@
                 if (each.ends_at <= this->now)
                     ended.push_back(each);
             }
-            std::erase_if(one.running, [&](const run& each) {
+            std::erase_if(one.running, [&](const engine_request& each) {
                 return each.ends_at <= this->now;
             });
             one.admit(this->now, this->settings.slots);
-            for (const run& each : ended)
+            for (const engine_request& each : ended)
                 this->finish(each);
         }
     }
 
-    void finish(const run& what)
+    void finish(const engine_request& what)
     {
         this->step(what.entry,
                    events_received{
                        what.request, what.send, kinds.at(what.kind).events});
         this->step(what.entry, answer_received{what.request, what.send, true});
-        const asked_request& asked_one = this->asked[what.request];
-        if (!asked_one.counted)
+        const caller_request& request = this->requests[what.request];
+        if (!request.counted)
             return;
         this->result.served.at(what.kind) += 1;
-        this->result.in_time.at(what.kind) += asked_one.in_time ? 1 : 0;
+        this->result.in_time.at(what.kind) += request.in_time ? 1 : 0;
     }
 
-    void pass_messages()
+    void exchange_reports()
     {
-        if (!this->settings.entries_talk)
+        if (!this->settings.load_reports)
             return;
         for (std::size_t from = 0; from < this->entries.size(); ++from) {
-            this->tell(from, true);
-            this->tell(from, false);
+            this->send_report(from, true);
+            this->send_report(from, false);
         }
-        while (!this->find_active_send.empty() &&
-               this->find_active_send.front().at <= this->now) {
-            const message_under_way message = this->find_active_send.front();
-            this->find_active_send.pop_front();
+        while (!this->reports_in_transit.empty() &&
+               this->reports_in_transit.front().at <= this->now) {
+            const report_in_transit report = this->reports_in_transit.front();
+            this->reports_in_transit.pop_front();
             for (std::size_t to = 0; to < this->entries.size(); ++to) {
-                const bool is_near = place_of(to, this->settings) ==
-                                     place_of(message.from, this->settings);
-                if (to != message.from && is_near == message.to_near)
+                const bool is_local =
+                    data_centre_of(to, this->settings) ==
+                    data_centre_of(report.from, this->settings);
+                if (to != report.from && is_local == report.to_local)
                     this->entries[to]->on_peer_report(
-                        base::slot_id(std::to_string(message.from)),
-                        message.uses,
-                        message.waiting,
+                        base::slot_id(std::to_string(report.from)),
+                        report.loads,
+                        report.queues,
                         this->now);
             }
         }
     }
 
-    void tell(std::size_t from, bool to_near)
+    void send_report(std::size_t from, bool to_local)
     {
-        message_state& state =
-            to_near ? this->near_messages[from] : this->far_messages[from];
-        const base::duration gap =
-            to_near ? this->settings.near_gap : this->settings.far_gap;
-        if (!state.due || this->now < state.told_at + gap)
+        report_state& state =
+            to_local ? this->local_reports[from] : this->remote_reports[from];
+        const base::duration interval =
+            to_local ? this->settings.local_report_interval
+                     : this->settings.remote_report_interval;
+        if (!state.pending || this->now < state.sent_at + interval)
             return;
         state = {false, this->now};
-        this->find_active_send.push_back(
+        this->reports_in_transit.push_back(
             {this->now + message_delay,
              from,
-             to_near,
+             to_local,
              this->entries[from]->own_load(this->now),
              this->entries[from]->own_queue_reports(this->now)});
     }
 
     burst_settings settings;
-    std::mt19937_64 dice;
+    std::mt19937_64 random;
     base::instant now{1h};
     base::instant counted_from;
     std::vector<std::unique_ptr<scheduler>> entries;
-    std::vector<engine> engines_there;
-    std::map<base::upstream_id, std::size_t> by_id;
-    std::map<base::request_id, asked_request> asked;
-    std::deque<message_under_way> find_active_send;
-    std::multimap<base::instant, asked_request> returning;
-    std::uint64_t next = 1;
-    std::vector<message_state> near_messages;
-    std::vector<message_state> far_messages;
+    std::vector<engine> simulated_engines;
+    std::map<base::upstream_id, std::size_t> engine_by_upstream;
+    std::map<base::request_id, caller_request> requests;
+    std::deque<report_in_transit> reports_in_transit;
+    std::multimap<base::instant, caller_request> scheduled_retries;
+    std::uint64_t next_request_id = 1;
+    std::vector<report_state> local_reports;
+    std::vector<report_state> remote_reports;
     burst_result result;
 };
 
 } // namespace
 
-burst_result play_burst(const burst_settings& settings)
+burst_result simulate_burst(const burst_settings& settings)
 {
-    return burst(settings).play();
+    return burst_simulation(settings).run();
 }
 
 } // namespace greengagedrum::traffic
--- a/src/greengagedrum/traffic/test/burst_run.hpp
+++ b/src/greengagedrum/traffic/test/burst_run.hpp
@@ -29,50 +29,52 @@
     std::size_t entries = 6;
     std::size_t engines = 8;
     std::uint32_t slots = 5;
-    double load = 1; // factor on the usual load
-    double slow = 1; // slowdown of every third engine
-    // Before this time, the entries run at 0.7 of the usual load. Only requests
-    // that arrive later are counted.
-    base::duration calm = std::chrono::seconds(10);
+    double load_factor = 1; // relative to the usual load
+    double slowdown = 1;    // factor on the times of every third engine
+    // During the warm-up, requests arrive at 0.7 of the usual load and are not
+    // counted.
+    base::duration warmup = std::chrono::seconds(10);
     base::duration length = std::chrono::seconds(6);
-    bool entries_talk = true;
+    bool load_reports = true;
     // Entries and engines are assigned to this many data centres in turn.
     std::size_t data_centres = 1;
-    // Interval between an entry's messages to its own data centre, and to the
-    // others.
-    base::duration near_gap = std::chrono::milliseconds(10);
-    base::duration far_gap = std::chrono::milliseconds(10);
+    // Intervals between the load reports that an entry sends to its own data
+    // centre, and to the others.
+    base::duration local_report_interval = std::chrono::milliseconds(10);
+    base::duration remote_report_interval = std::chrono::milliseconds(10);
     bool priorities = true; // else all requests have the same priority
-    // Callers that are refused retry once at the suggested time, for what is
-    // left of their 15 s.
-    bool come_back = false;
-    bool tells_time_left = true; // else each retry looks like a first attempt
+    // A refused caller retries once at the suggested time. Its deadline stays
+    // 15 s after its first attempt.
+    bool callers_retry = false;
+    bool callers_send_time_left =
+        true; // else a retry looks like a first attempt
     std::uint64_t seed = 7;
 };
 
 struct burst_result {
-    std::array<std::uint32_t, 3> asked{};
+    std::array<std::uint32_t, 3> arrived{};
     std::array<std::uint32_t, 3> in_time{};
     std::array<std::uint32_t, 3> served{};
     std::array<std::uint32_t, 3>
         refused_early{}; // within a second of their arrival
     std::array<std::uint32_t, 3> refused_late{};
-    std::uint32_t most_on_one = 0; // most requests on one engine at once
+    std::uint32_t max_requests_per_engine =
+        0; // running and queued there at once
     std::uint32_t sent = 0;
-    std::uint32_t sent_far = 0; // of these, sent to another data centre
+    std::uint32_t sent_remote = 0; // of these, sent to another data centre
 
     double in_time_share(std::size_t kind) const
     {
         return static_cast<double>(this->in_time.at(kind)) /
-               this->asked.at(kind);
+               this->arrived.at(kind);
     }
     double served_share(std::size_t kind) const
     {
         return static_cast<double>(this->served.at(kind)) /
-               this->asked.at(kind);
+               this->arrived.at(kind);
     }
 };
 
-burst_result play_burst(const burst_settings& settings);
+burst_result simulate_burst(const burst_settings& settings);
 
 } // namespace greengagedrum::traffic
--- a/src/greengagedrum/traffic/test/data_centre_constraint_test.cpp
+++ b/src/greengagedrum/traffic/test/data_centre_constraint_test.cpp
@@ -21,9 +21,9 @@
 
     void join(const std::string& name, const char* data_centre)
     {
-        auto entry = upstream_named(name, 1);
-        entry.data_centre = data_centre;
-        this->tested.upstream_joined(entry, this->now);
+        auto upstream = upstream_named(name, 1);
+        upstream.data_centre = data_centre;
+        this->tested.upstream_joined(upstream, this->now);
     }
 
     static request_facts bound_facts()
@@ -52,7 +52,7 @@
         CHECK(is_home(this->sent().upstream));
     }
     this->arrive(bound_facts());
-    CHECK(this->order<send_request>() == nullptr);
+    CHECK(this->last_action<send_request>() == nullptr);
     // The request waits for its allowed data centre and leaves the free slot to
     // others.
     this->arrive(stream_facts());
@@ -71,7 +71,7 @@
     CHECK(is_home(this->sent().upstream));
     CHECK(this->sent().upstream != first.upstream);
     this->step(answer_interrupted{id, this->sent().send});
-    CHECK(this->order<send_request>() == nullptr);
+    CHECK(this->last_action<send_request>() == nullptr);
 }
 
 TEST_CASE_FIXTURE(constraint_fixture,
@@ -84,15 +84,15 @@
     CHECK(this->verdict().why == base::reason::no_upstream);
 }
 
-// The dispatcher's configuration is older and allows the request in any data
-// centre.
+// The dispatcher has an outdated configuration, which allows the request in any
+// data centre, and grants a slot in the wrong one.
 TEST_CASE_FIXTURE(constraint_fixture,
                   "slot_granted_outside_allowed_data_centre_not_used")
 {
     this->tested.set_delegating(true);
     const auto id = this->arrive(bound_facts());
     this->step(slot_granted{id, 1, base::upstream_id("near"), 50ms, 0, 1});
-    CHECK(this->order<send_request>() == nullptr);
+    CHECK(this->last_action<send_request>() == nullptr);
     this->step(slot_granted{id, 2, base::upstream_id("home-1"), 50ms, 0, 1});
     CHECK(this->sent().upstream == base::upstream_id("home-1"));
 }
--- a/src/greengagedrum/traffic/test/first_attempt_estimator_test.cpp
+++ b/src/greengagedrum/traffic/test/first_attempt_estimator_test.cpp
@@ -17,18 +17,18 @@
 struct estimator_fixture {
     base::instant now{1h};
     first_attempt_estimator tested;
-    std::mt19937_64 dice{7};
+    std::mt19937_64 random{7};
 
-    // First attempts while no caller is refused, with times left from `low` to
-    // `high`.
-    void calm(base::duration low, base::duration high)
+    // Records first attempts with times left from `low` to `high`. No caller is
+    // refused meanwhile.
+    void record_first_attempts(base::duration low, base::duration high)
     {
         std::uniform_int_distribution<std::int64_t> left(low.count(),
                                                          high.count());
         for (int count = 0; count < 400; ++count) {
             this->now += 50ms;
             this->tested.record(
-                quote, base::duration(left(this->dice)), this->now);
+                quote, base::duration(left(this->random)), this->now);
         }
     }
 };
@@ -37,7 +37,7 @@
 
 TEST_CASE_FIXTURE(estimator_fixture, "caller_with_less_time_left_is_retry")
 {
-    this->calm(12'500ms, 15s);
+    this->record_first_attempts(12'500ms, 15s);
     CHECK_FALSE(this->tested.is_retry(quote, 13s));
     CHECK(this->tested.is_retry(quote, 10s));
     CHECK_FALSE(this->tested.is_retry(base::kind_id("other"), 10s));
@@ -48,7 +48,7 @@
 TEST_CASE_FIXTURE(estimator_fixture,
                   "callers_of_all_deadlines_are_first_attempts")
 {
-    this->calm(1s, 15s);
+    this->record_first_attempts(1s, 15s);
     CHECK_FALSE(this->tested.is_retry(quote, 4s));
 }
 
@@ -56,7 +56,7 @@
 // change the learned times.
 TEST_CASE_FIXTURE(estimator_fixture, "retries_in_a_burst_not_learned")
 {
-    this->calm(12'500ms, 15s);
+    this->record_first_attempts(12'500ms, 15s);
     for (int count = 0; count < 1'000; ++count) {
         this->now += 50ms;
         this->tested.note_refusals(this->now);
@@ -74,16 +74,16 @@
     this->upstreams(1, 1);
     request_facts first_attempt = stream_facts();
     first_attempt.time_left = 15s;
-    request_facts back = first_attempt;
-    back.time_left = 9s;
+    request_facts retry = first_attempt;
+    retry.time_left = 9s;
     const auto running = this->arrive(first_attempt);
     const auto send = this->sent().send;
-    this->arrive(back);
-    this->pass(20ms);
+    this->arrive(retry);
+    this->advance(20ms);
     const auto second = this->arrive(first_attempt);
     this->answer(running, send);
-    REQUIRE(this->order<send_request>() != nullptr);
-    CHECK(this->order<send_request>()->request == second);
+    REQUIRE(this->last_action<send_request>() != nullptr);
+    CHECK(this->last_action<send_request>()->request == second);
 }
 
 } // namespace greengagedrum::traffic
--- a/src/greengagedrum/traffic/test/scheduler_fixture.hpp
+++ b/src/greengagedrum/traffic/test/scheduler_fixture.hpp
@@ -43,8 +43,8 @@
 struct scheduler_fixture {
     base::instant now{std::chrono::hours(1)};
     scheduler tested{{0.2, 50, std::chrono::seconds(10)}, {"hall", 1}};
-    actions last; // of the latest step
-    std::uint64_t next = 1;
+    actions last_actions; // of the latest step
+    std::uint64_t next_request_id = 1;
 
     void upstreams(int count, std::uint32_t slots)
     {
@@ -56,30 +56,33 @@
 
     void step(const event& what)
     {
-        this->last.clear();
-        this->tested.step(what, this->now, this->last);
+        this->last_actions.clear();
+        this->tested.step(what, this->now, this->last_actions);
     }
 
-    void pass(base::duration time)
+    void advance(base::duration time)
     {
         this->now += time;
-        this->last.clear();
-        this->tested.tick(this->now, this->last);
+        this->last_actions.clear();
+        this->tested.tick(this->now, this->last_actions);
     }
 
     base::request_id arrive(const request_facts& facts)
     {
-        const base::request_id id{this->next++};
+        const base::request_id id{this->next_request_id++};
         this->step(request_arrived{id, facts});
         return id;
     }
 
-    // The latest action of that type; null when there was none.
-    template <class Order>
-    const Order* order() const
+    // The latest action of type `Action` in the latest step; null if there is
+    // none.
+    template <class Action>
+    const Action* last_action() const
     {
-        for (auto one = this->last.rbegin(); one != this->last.rend(); ++one) {
-            if (const auto* found = std::get_if<Order>(&*one))
+        for (auto one = this->last_actions.rbegin();
+             one != this->last_actions.rend();
+             ++one) {
+            if (const auto* found = std::get_if<Action>(&*one))
                 return found;
         }
         return nullptr;
@@ -87,14 +90,14 @@
 
     const send_request& sent() const
     {
-        const auto* found = this->order<send_request>();
+        const auto* found = this->last_action<send_request>();
         REQUIRE(found != nullptr);
         return *found;
     }
 
     const base::verdict& verdict() const
     {
-        const auto* found = this->order<end_request>();
+        const auto* found = this->last_action<end_request>();
         REQUIRE(found != nullptr);
         return found->verdict;
     }
--- a/src/greengagedrum/traffic/test/scheduler_test.cpp
+++ b/src/greengagedrum/traffic/test/scheduler_test.cpp
@@ -1,5 +1,5 @@
-// The course of one request: when it is retried, when it must not be, and what
-// its caller is told.
+// The course of one request: when it is retried, when it must not be, and which
+// verdict its caller gets.
 #include <greengagedrum/traffic/test/scheduler_fixture.hpp>
 
 namespace greengagedrum::traffic
@@ -30,7 +30,7 @@
     const auto id = this->arrive(stream_facts());
     CHECK(this->sent().request == id);
     this->answer(id, this->sent().send);
-    CHECK(this->order<deliver_answer>()->request == id);
+    CHECK(this->last_action<deliver_answer>()->request == id);
     CHECK(this->tested.in_flight() == 0);
 }
 
@@ -42,7 +42,7 @@
     this->upstreams(3, 5);
     const auto id = this->arrive(facts_of(at_most_once, 3));
     this->step(answer_interrupted{id, this->sent().send});
-    CHECK(this->order<send_request>() == nullptr);
+    CHECK(this->last_action<send_request>() == nullptr);
     CHECK(this->verdict().run == base::run_state::may_have_run);
 }
 
@@ -83,7 +83,7 @@
     this->step(connect_failed{id, this->sent().send});
     CHECK(this->sent().upstream != first);
     this->answer(id, this->sent().send);
-    CHECK(this->order<deliver_answer>() != nullptr);
+    CHECK(this->last_action<deliver_answer>() != nullptr);
     for (int count = 0; count < 8; ++count) {
         this->arrive(stream_facts());
         CHECK(this->sent().upstream != first);
@@ -95,25 +95,25 @@
     this->upstreams(1, 5);
     const auto lost = this->arrive(stream_facts());
     this->step(connect_failed{lost, this->sent().send});
-    CHECK(this->order<send_request>() == nullptr);
-    this->pass(260ms);
+    CHECK(this->last_action<send_request>() == nullptr);
+    this->advance(260ms);
     // The first request tried this upstream; another one is the probe.
     const auto probe = this->arrive(stream_facts());
     const auto send = this->sent();
     CHECK(send.request == probe);
     this->arrive(stream_facts());
-    CHECK(this->order<send_request>() == nullptr);
+    CHECK(this->last_action<send_request>() == nullptr);
     this->answer(probe, send.send);
-    CHECK(this->order<suspicion_changed>()->suspected == false);
-    CHECK(this->order<send_request>() != nullptr);
+    CHECK(this->last_action<suspicion_changed>()->suspected == false);
+    CHECK(this->last_action<send_request>() != nullptr);
 }
 
-// A data centre is cut off by a network partition while a stream runs there.
-// The entry still lists nine upstreams of other data centres, whose connects
-// are refused in milliseconds. The stream must reach an upstream of its own
-// data centre instead of ending after five failed connects.
+// A network partition cuts off a data centre, and a stream arrives at its
+// entry. The entry still lists nine upstreams of other data centres, whose
+// connects are refused in milliseconds. The stream must reach an upstream of
+// its own data centre instead of ending after five failed connects.
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "stream_in_a_partition_resumed_in_own_data_centre")
+                  "stream_in_a_partition_sent_in_own_data_centre")
 {
     for (int number = 0; number < 12; ++number) {
         auto entry = upstream_named("i-" + std::to_string(number), 5);
@@ -130,7 +130,7 @@
     this->tested.on_peer_report(base::slot_id("peer"), busy, {}, this->now);
     const auto id = this->arrive(facts_of(resumable, 2));
     int failed = 0;
-    while (this->order<send_request>() != nullptr) {
+    while (this->last_action<send_request>() != nullptr) {
         const auto send = this->sent();
         const bool own = send.upstream == base::upstream_id("i-0") ||
                          send.upstream == base::upstream_id("i-1") ||
@@ -140,7 +140,7 @@
         failed += 1;
         this->step(connect_failed{id, send.send});
     }
-    REQUIRE(this->order<send_request>() != nullptr);
+    REQUIRE(this->last_action<send_request>() != nullptr);
     CHECK(failed <= 6);
 }
 
@@ -152,9 +152,9 @@
     this->upstreams(12, 5);
     int failed = 0;
     for (int count = 0; count < 100; ++count) {
-        this->pass(50ms);
+        this->advance(50ms);
         const auto id = this->arrive(stream_facts());
-        while (this->order<send_request>() != nullptr) {
+        while (this->last_action<send_request>() != nullptr) {
             const auto send = this->sent();
             if (send.upstream == base::upstream_id("i-3")) {
                 this->answer(id, send.send);
@@ -178,7 +178,7 @@
     this->answer(id, first.send, false);
     CHECK(this->sent().upstream != first.upstream);
     this->answer(id, this->sent().send, false);
-    CHECK(this->order<deliver_answer>() != nullptr);
+    CHECK(this->last_action<deliver_answer>() != nullptr);
 }
 
 TEST_CASE_FIXTURE(scheduler_fixture, "events_of_an_earlier_send_ignored")
@@ -188,7 +188,7 @@
     const auto first = this->sent().send;
     this->step(answer_interrupted{id, first});
     this->step(answer_interrupted{id, first});
-    CHECK(this->last.empty());
+    CHECK(this->last_actions.empty());
     CHECK(this->tested.in_flight() == 1);
 }
 
@@ -202,9 +202,9 @@
     for (int count = 0; count < 100; ++count) {
         const auto id = this->arrive(facts_of(idempotent, 2));
         this->answer(id, this->sent().send, false);
-        if (this->order<send_request>() != nullptr)
+        if (this->last_action<send_request>() != nullptr)
             this->answer(id, this->sent().send);
-        this->pass(50ms);
+        this->advance(50ms);
     }
     const auto retries = this->tested.counters().retried;
     CHECK(retries >= 8);
@@ -222,8 +222,8 @@
     const auto send = this->sent().send;
     for (std::uint32_t events = 1; events < 30; ++events) {
         this->step(events_received{other, send, events});
-        this->pass(100ms);
-        REQUIRE(this->order<cancel_send>() == nullptr);
+        this->advance(100ms);
+        REQUIRE(this->last_action<cancel_send>() == nullptr);
     }
     CHECK(this->tested.in_flight() == 2);
     static_cast<void>(waiting);
@@ -238,8 +238,8 @@
     const auto first = this->sent();
     this->step(events_received{id, first.send, 3});
     base::duration passed{0};
-    while (this->order<cancel_send>() == nullptr && passed < 2s) {
-        this->pass(20ms);
+    while (this->last_action<cancel_send>() == nullptr && passed < 2s) {
+        this->advance(20ms);
         passed += 20ms;
     }
     CHECK(passed < 1s);
@@ -247,17 +247,17 @@
 }
 
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "at_most_once_request_silent_keeps_waiting")
+                  "at_most_once_request_silent_waits_until_deadline")
 {
     this->upstreams(2, 5);
     const auto id = this->arrive(facts_of(at_most_once, 2));
     for (int step = 0; step < 590; ++step) {
-        this->pass(20ms);
-        REQUIRE(this->order<cancel_send>() == nullptr);
-        REQUIRE(this->order<end_request>() == nullptr);
+        this->advance(20ms);
+        REQUIRE(this->last_action<cancel_send>() == nullptr);
+        REQUIRE(this->last_action<end_request>() == nullptr);
     }
-    this->pass(250ms);
-    CHECK(this->order<cancel_send>()->request == id);
+    this->advance(250ms);
+    CHECK(this->last_action<cancel_send>()->request == id);
     CHECK(this->verdict().why == base::reason::deadline);
     CHECK(this->verdict().run == base::run_state::may_have_run);
 }
@@ -275,7 +275,7 @@
     this->upstreams(1, 1);
     const auto first = this->arrive(stream_facts());
     const auto second = this->arrive(stream_facts());
-    CHECK(this->order<send_request>() == nullptr);
+    CHECK(this->last_action<send_request>() == nullptr);
     this->step(caller_left{first});
     CHECK(this->sent().request == second);
 }
@@ -288,9 +288,9 @@
     this->upstreams(1, 5);
     this->tested.set_paused(true);
     const auto id = this->arrive(stream_facts());
-    CHECK(this->last.empty());
+    CHECK(this->last_actions.empty());
     this->tested.set_paused(false);
-    this->pass(1ms);
+    this->advance(1ms);
     CHECK(this->sent().request == id);
 }
 
--- a/src/greengagedrum/traffic/test/slow_start_test.cpp
+++ b/src/greengagedrum/traffic/test/slow_start_test.cpp
@@ -40,7 +40,7 @@
         for (const base::instant end = this->now + span; this->now < end;
              this->now += 20ms) {
             const auto id = this->arrive(stream_facts());
-            if (this->order<send_request>() == nullptr) {
+            if (this->last_action<send_request>() == nullptr) {
                 this->step(caller_left{id});
                 continue;
             }
@@ -53,7 +53,9 @@
 
 } // namespace
 
-TEST_CASE("slow_start_rate_within_half_of_the_bound")
+// The limit is at most the published rate and half of the bound, but at
+// least 1. Without a bound of at least 1 there is no limit, which 0 stands for.
+TEST_CASE("slow_start_rate_at_most_half_of_the_bound")
 {
     CHECK(slow_start_rate(7.3, {1.5, 5}) == 7);
     CHECK(slow_start_rate(100, {1, 0}) == 50);
@@ -88,9 +90,10 @@
     CHECK(this->sends_within(1s) > 10);
 }
 
-// When a warm upstream turns cold, recent sends count against the bound.
+// When a warm upstream turns cold, its sends of the last second count against
+// the rate limit.
 TEST_CASE_FIXTURE(cold_upstream_fixture,
-                  "warm_upstream_turned_cold_bound_at_once")
+                  "warm_upstream_turned_cold_limited_at_once")
 {
     this->join(cold_upstream("i-1", "hall", 0s));
     CHECK(this->sends_within(1s) > 10);
@@ -114,7 +117,7 @@
 }
 
 TEST_CASE_FIXTURE(cold_upstream_fixture,
-                  "entry_without_share_cold_upstream_not_sent")
+                  "entry_without_share_sends_nothing_to_cold_upstream")
 {
     this->tested.set_slow_start_share({});
     this->join(cold_upstream("i-1", "hall", 3s));
@@ -123,7 +126,8 @@
     CHECK(this->sends_within(1s) == 1);
 }
 
-TEST_CASE_FIXTURE(cold_upstream_fixture, "service_without_bound_not_limited")
+TEST_CASE_FIXTURE(cold_upstream_fixture,
+                  "service_without_slow_start_rate_not_limited")
 {
     this->tested.set_slow_start_rate(engines, 0);
     this->join(cold_upstream("i-1", "away", 3s));
@@ -131,7 +135,8 @@
 }
 
 // A request queued for a cold upstream is sent as soon as the rate allows.
-TEST_CASE_FIXTURE(cold_upstream_fixture, "queued_request_after_a_second_sent")
+TEST_CASE_FIXTURE(cold_upstream_fixture,
+                  "request_queued_for_cold_upstream_sent_after_a_second")
 {
     this->join(cold_upstream("i-1", "hall", 5s));
     for (std::uint32_t count = 0; count < cold_sends; ++count) {
@@ -139,8 +144,8 @@
         this->answer(id, this->sent().send);
     }
     const auto waiting = this->arrive(stream_facts());
-    CHECK(this->order<send_request>() == nullptr);
-    this->pass(1s);
+    CHECK(this->last_action<send_request>() == nullptr);
+    this->advance(1s);
     CHECK(this->sent().request == waiting);
 }
 
--- a/src/greengagedrum/traffic/test/upstream_choice_test.cpp
+++ b/src/greengagedrum/traffic/test/upstream_choice_test.cpp
@@ -31,45 +31,45 @@
     mixed_speed_fixture()
     {
         this->upstreams(2, 5);
-        this->peer_has(quick, 0, quick_gap);
-        this->peer_has(slow, 4, slow_gap);
+        this->report_peer_load(quick, 0, quick_gap);
+        this->report_peer_load(slow, 4, slow_gap);
         for (int count = 0; count < streams; ++count)
             this->run_quick_stream();
     }
 
     void run_quick_stream()
     {
-        this->peer_tells_anew();
+        this->renew_peer_report();
         const auto id = this->arrive(prompt_of(1000));
-        const send_request order = this->sent();
-        REQUIRE(order.upstream == quick);
+        const send_request latest_send = this->sent();
+        REQUIRE(latest_send.upstream == quick);
         this->now += 70ms;
-        this->step(events_received{id, order.send, 1});
+        this->step(events_received{id, latest_send.send, 1});
         for (std::uint32_t event = 2; event <= 120; ++event) {
             this->now += event % 12 == 0 ? 5 * quick_gap : quick_gap;
-            this->step(events_received{id, order.send, event});
+            this->step(events_received{id, latest_send.send, event});
         }
-        this->answer(id, order.send);
+        this->answer(id, latest_send.send);
     }
 
-    void peer_has(base::upstream_id upstream,
-                  std::uint32_t requests,
-                  base::duration gap)
+    void report_peer_load(base::upstream_id upstream,
+                          std::uint32_t requests,
+                          base::duration gap)
     {
-        const upstream_load uses[] = {{upstream, requests, 0, gap}};
+        const upstream_load loads[] = {{upstream, requests, 0, gap}};
         this->tested.on_peer_report(
             base::slot_id("peer-" + std::to_string(upstream.value)),
-            uses,
+            loads,
             {},
             this->now);
     }
 
-    void peer_tells_anew() { this->peer_has(slow, 4, slow_gap); }
+    void renew_peer_report() { this->report_peer_load(slow, 4, slow_gap); }
 
     // Fills the fast engine.
     void fill_quick_engine()
     {
-        this->peer_tells_anew();
+        this->renew_peer_report();
         for (int count = 0; count < 5; ++count) {
             this->arrive(prompt_of(1000));
             REQUIRE(this->sent().upstream == quick);
@@ -88,7 +88,7 @@
 {
     this->fill_quick_engine();
     this->arrive(prompt_of(long_prompt));
-    CHECK(this->order<send_request>() == nullptr);
+    CHECK(this->last_action<send_request>() == nullptr);
     CHECK(this->tested.waiting() == 1);
 }
 
@@ -98,8 +98,8 @@
 {
     this->fill_quick_engine();
     this->arrive(prompt_of(long_prompt));
-    const auto brief = this->arrive(prompt_of(200));
-    CHECK(this->sent().request == brief);
+    const auto short_request = this->arrive(prompt_of(200));
+    CHECK(this->sent().request == short_request);
     CHECK(this->sent().upstream == slow);
 }
 
@@ -109,14 +109,14 @@
                   "long_prompt_objective_missed_takes_any_slot")
 {
     this->fill_quick_engine();
-    const auto dossier = this->arrive(prompt_of(long_prompt));
+    const auto long_request = this->arrive(prompt_of(long_prompt));
     for (int step = 0; step < 160; ++step) {
-        this->peer_tells_anew();
-        this->pass(5ms);
-        if (this->order<send_request>() != nullptr)
+        this->renew_peer_report();
+        this->advance(5ms);
+        if (this->last_action<send_request>() != nullptr)
             break;
     }
-    CHECK(this->sent().request == dossier);
+    CHECK(this->sent().request == long_request);
     CHECK(this->sent().upstream == slow);
 }
 
@@ -125,7 +125,7 @@
 TEST_CASE_FIXTURE(mixed_speed_fixture,
                   "speed_reported_by_peers_fast_engine_chosen")
 {
-    this->peer_has(slow, 0, slow_gap);
+    this->report_peer_load(slow, 0, slow_gap);
     for (int count = 0; count < 4; ++count) {
         this->arrive(prompt_of(1000));
         CHECK(this->sent().upstream == quick);
@@ -135,11 +135,11 @@
 // An engine turns slow, gets no requests for a while, and recovers. Its last
 // known speed is stale after some seconds, and it gets requests again.
 TEST_CASE_FIXTURE(mixed_speed_fixture,
-                  "slow_engine_after_some_seconds_tried_again")
+                  "slow_engine_without_recent_report_tried_again")
 {
-    this->peer_has(slow, 0, slow_gap);
-    this->pass(2s); // the peer counts as lost
-    this->pass(10s);
+    this->report_peer_load(slow, 0, slow_gap);
+    this->advance(2s); // the peer counts as lost
+    this->advance(10s);
     for (int count = 0; count < 3; ++count)
         this->arrive(prompt_of(1000));
     CHECK(this->tested.upstreams().total_free_slots(engines, this->now) == 7);
--- a/src/greengagedrum/traffic/test/wait_queue_test.cpp
+++ b/src/greengagedrum/traffic/test/wait_queue_test.cpp
@@ -49,7 +49,7 @@
 // A request that has missed its objective is late in any case, while a less
 // urgent one that holds its slot for half the time can still meet its own.
 TEST_CASE_FIXTURE(queue_fixture,
-                  "late_request_yields_to_short_request_of_next_step")
+                  "late_request_yields_to_short_request_of_next_priority")
 {
     this->queue.record_hold(base::kind_id("kind-0"), 800ms);
     this->queue.record_hold(base::kind_id("kind-1"), 400ms);
@@ -94,7 +94,7 @@
     queue_report message{engines, {9, 0, 0, 0}};
     this->tested.on_peer_report(peer, {}, {&message, 1}, this->now);
     this->answer(running, send);
-    CHECK(this->order<send_request>() != nullptr);
+    CHECK(this->last_action<send_request>() != nullptr);
 }
 
 // A slot becomes free while an urgent request is queued at a peer and only less
@@ -108,27 +108,27 @@
     queue_report message{engines, {1, 0, 0, 0}};
     this->tested.on_peer_report(peer, {}, {&message, 1}, this->now);
     this->answer(running, send);
-    CHECK(this->order<send_request>() == nullptr);
+    CHECK(this->last_action<send_request>() == nullptr);
     // The peer's report is valid until the next one is due.
-    this->pass(400ms);
-    CHECK(this->order<send_request>() != nullptr);
+    this->advance(400ms);
+    CHECK(this->last_action<send_request>() != nullptr);
 }
 
 // Failure guarded against: eight entries learn of one freed slot within 10 ms
 // and all send to it. An engine of 5 slots held up to 12 requests, and urgent
 // requests queued there.
-TEST_CASE_FIXTURE(scheduler_fixture, "slot_freed_by_peer_reserved_for_it")
+TEST_CASE_FIXTURE(scheduler_fixture, "slot_freed_by_peer_reserved_for_peer")
 {
     this->upstreams(1, 1);
     const upstream_load taken{base::upstream_id("i-0"), 1, 0};
     this->tested.on_peer_report(peer, {&taken, 1}, {}, this->now);
     this->arrive(stream_facts());
-    CHECK(this->order<send_request>() == nullptr);
+    CHECK(this->last_action<send_request>() == nullptr);
     this->tested.on_peer_report(peer, {}, {}, this->now);
-    this->pass(5ms);
-    CHECK(this->order<send_request>() == nullptr);
-    this->pass(45ms);
-    CHECK(this->order<send_request>() != nullptr);
+    this->advance(5ms);
+    CHECK(this->last_action<send_request>() == nullptr);
+    this->advance(45ms);
+    CHECK(this->last_action<send_request>() != nullptr);
 }
 
 TEST_CASE_FIXTURE(scheduler_fixture, "slots_of_a_silent_peer_free_again")
@@ -137,9 +137,9 @@
     const upstream_load taken{base::upstream_id("i-0"), 1, 0};
     this->tested.on_peer_report(peer, {&taken, 1}, {}, this->now);
     this->arrive(stream_facts());
-    CHECK(this->order<send_request>() == nullptr);
-    this->pass(1600ms);
-    CHECK(this->order<send_request>() != nullptr);
+    CHECK(this->last_action<send_request>() == nullptr);
+    this->advance(1600ms);
+    CHECK(this->last_action<send_request>() != nullptr);
 }
 
 // A burst fills the queue with requests that can't be served before their
@@ -152,7 +152,7 @@
     int refused = 0;
     for (int count = 0; count < 40; ++count) {
         this->arrive(stream_facts());
-        if (this->order<end_request>() == nullptr)
+        if (this->last_action<end_request>() == nullptr)
             continue;
         refused += 1;
         CHECK(this->verdict().run == base::run_state::not_run);
@@ -167,13 +167,13 @@
 {
     this->upstreams(1, 1);
     this->arrive(stream_facts());
-    const auto waiting_one = this->arrive(stream_facts());
+    const auto queued = this->arrive(stream_facts());
     base::duration passed{0};
-    while (this->order<end_request>() == nullptr && passed < 4s) {
-        this->pass(20ms);
+    while (this->last_action<end_request>() == nullptr && passed < 4s) {
+        this->advance(20ms);
         passed += 20ms;
     }
-    CHECK(this->order<end_request>()->request == waiting_one);
+    CHECK(this->last_action<end_request>()->request == queued);
     CHECK(passed < 3200ms); // four times its objective
 }
 
@@ -205,13 +205,14 @@
 // urgent request of the second rank arrives while the least urgent ones of that
 // rank have waited for seconds. It goes before them and must not be refused
 // because of their wait.
-TEST_CASE_FIXTURE(queue_fixture, "urgent_request_wait_not_that_of_less_urgent")
+TEST_CASE_FIXTURE(queue_fixture,
+                  "expected_wait_of_urgent_request_ignores_less_urgent")
 {
-    for (std::uint64_t note = 1; note <= 20; ++note)
-        this->queue.add(waiting(note, 5, this->now), this->now);
+    for (std::uint64_t id = 1; id <= 20; ++id)
+        this->queue.add(waiting(id, 5, this->now), this->now);
     this->now += 2s;
-    const waiting_request dossier = waiting(99, 3, this->now + 500ms);
-    CHECK(this->queue.wait_by_service_rate(dossier, this->now) == 0);
+    const waiting_request urgent = waiting(99, 3, this->now + 500ms);
+    CHECK(this->queue.wait_by_service_rate(urgent, this->now) == 0);
     CHECK(this->queue.wait_by_service_rate(waiting(98, 5, this->now),
                                            this->now) > 5);
 }
@@ -228,7 +229,7 @@
         this->arrive(stream_facts());
     for (int count = 0; count < 20; ++count) {
         this->arrive(stream_facts());
-        CHECK(this->order<end_request>() == nullptr);
+        CHECK(this->last_action<end_request>() == nullptr);
     }
     CHECK(this->tested.waiting() == 20);
 }
@@ -237,7 +238,7 @@
 // peer, and two slots become free. The minimum rate allows one of the two; the
 // other yields.
 TEST_CASE_FIXTURE(scheduler_fixture,
-                  "starvation_floor_met_urgent_request_first")
+                  "minimum_rate_reached_starved_request_yields")
 {
     this->upstreams(1, 2);
     this->arrive(stream_facts(0));
@@ -247,12 +248,12 @@
     const queue_report queue{engines, {9, 0, 0, 0}};
     this->tested.on_peer_report(peer, {}, {&queue, 1}, this->now);
     this->tested.upstream_joined(upstream_named("more", 2), this->now);
-    this->pass(20ms);
+    this->advance(20ms);
     CHECK(this->tested.waiting() == 3);
 }
 
 // A lost peer's queue no longer delays the use of freed slots.
-TEST_CASE_FIXTURE(scheduler_fixture, "lost_peer_queue_not_waited_for")
+TEST_CASE_FIXTURE(scheduler_fixture, "lost_peer_queue_does_not_delay_sends")
 {
     this->upstreams(1, 1);
     this->arrive(stream_facts());
@@ -264,13 +265,13 @@
         this->tested.on_peer_lost(one);
     }
     this->tested.upstream_joined(upstream_named("back", 5), this->now);
-    this->pass(1ms);
+    this->advance(1ms);
     CHECK(this->tested.waiting() == 0);
 }
 
 // Two dozen engines come back at once while all entries have queues. If each
 // entry filled each engine, seven requests would queue for every slot.
-TEST_CASE_FIXTURE(scheduler_fixture, "engine_back_not_filled_by_one_entry")
+TEST_CASE_FIXTURE(scheduler_fixture, "joined_engine_not_filled_by_one_entry")
 {
     constexpr std::uint64_t peers = 20;
     this->upstreams(1, 5);
@@ -282,13 +283,13 @@
             base::slot_id(std::to_string(number)), {}, queued, this->now);
     }
     this->tested.upstream_joined(upstream_named("back", 5), this->now);
-    this->pass(1ms);
+    this->advance(1ms);
     std::size_t sent_now = 0;
-    for (const action& one : this->last)
+    for (const action& one : this->last_actions)
         sent_now += std::holds_alternative<send_request>(one) ? 1 : 0;
     CHECK(sent_now <= 2);
     // No peer uses the slots, so this entry does.
-    this->pass(110ms);
+    this->advance(110ms);
     CHECK(this->tested.waiting() == 0);
 }
 
