--- a/src/greengagedrum/traffic/test/burst_run.cpp
+++ b/src/greengagedrum/traffic/test/burst_run.cpp
@@ -105,6 +105,8 @@
     bool is_retry = false;
 };
 
+// Simulates the callers, the engines and the reports between entries in steps
+// of virtual time.
 class burst_simulation
 {
 public:
--- a/src/greengagedrum/traffic/test/burst_run.hpp
+++ b/src/greengagedrum/traffic/test/burst_run.hpp
@@ -1,7 +1,7 @@
 // A simulation in virtual time of several entries that share a set of engines.
 // Callers arrive at random, engines admit requests in order of arrival, and
-// entries exchange load reports with a delay. It counts the results that
-// callers get.
+// entries exchange load reports with a delay. The simulation counts the results
+// that callers get.
 #pragma once
 
 #include <greengagedrum/traffic/scheduler.hpp>
@@ -46,20 +46,21 @@
     // A refused caller retries once at the suggested time. Its deadline stays
     // 15 s after its first attempt.
     bool callers_retry = false;
-    bool callers_send_time_left =
-        true; // else a retry looks like a first attempt
+    // Without the time left, a retry looks like a first attempt.
+    bool callers_send_time_left = true;
     std::uint64_t seed = 7;
 };
 
+// Counts per kind of request and over all engines.
 struct burst_result {
     std::array<std::uint32_t, 3> arrived{};
     std::array<std::uint32_t, 3> in_time{};
     std::array<std::uint32_t, 3> served{};
-    std::array<std::uint32_t, 3>
-        refused_early{}; // within a second of their arrival
+    // Refused within a second of their arrival.
+    std::array<std::uint32_t, 3> refused_early{};
     std::array<std::uint32_t, 3> refused_late{};
-    std::uint32_t max_requests_per_engine =
-        0; // running and queued there at once
+    // Requests that run or are queued on one engine at the same time.
+    std::uint32_t max_requests_per_engine = 0;
     std::uint32_t sent = 0;
     std::uint32_t sent_remote = 0; // of these, sent to another data centre
 
--- a/src/greengagedrum/traffic/test/burst_test.cpp
+++ b/src/greengagedrum/traffic/test/burst_test.cpp
@@ -35,8 +35,8 @@
     CHECK(result.refused_early[2] > 3 * result.refused_late[2]);
 }
 
-// The same burst without priorities, which shows that the test above depends on
-// them.
+// The same burst without priorities. It shows that the result of the test above
+// comes from the priorities.
 TEST_CASE("burst_without_priorities_urgent_requests_late")
 {
     burst_settings settings;
@@ -63,8 +63,8 @@
 }
 
 // A burst whose callers retry at the suggested time. A retry has already missed
-// its objective; treated as a first attempt it makes other requests late as
-// well. Without the callers' time left, retries can't be told apart. Of the
+// its objective; if it is treated as a first attempt, other requests are late
+// as well. Without the callers' time left, retries can't be told apart. Of the
 // least urgent requests, 0.463 are in time with time left and 0.416 without at
 // 1.3 times the usual load, 0.089 and 0.068 at twice the usual load (eight
 // seeds).
--- a/src/greengagedrum/traffic/test/upstream_choice_test.cpp
+++ b/src/greengagedrum/traffic/test/upstream_choice_test.cpp
@@ -24,9 +24,9 @@
     return out;
 }
 
-// Two engines of five slots. Streams on the fast one have shown how long they
-// pause during prefill. A peer has four streams on the slow one and reports
-// four times the time between events.
+// Two engines of five slots. From earlier streams on the fast one, the entry
+// knows how long streams pause during prefill. A peer has four streams on the
+// slow one and reports more than four times the interval between events.
 struct mixed_speed_fixture : scheduler_fixture {
     mixed_speed_fixture()
     {
--- a/src/greengagedrum/traffic/test/wait_queue_test.cpp
+++ b/src/greengagedrum/traffic/test/wait_queue_test.cpp
@@ -79,9 +79,9 @@
     CHECK(this->order().front() == 2);
 }
 
-// Failure guarded against: every entry had a starved request at the front of
-// its queue that yielded to more urgent ones elsewhere, and no request behind
-// it was dispatched. Engines idled while a thousand requests were refused.
+// Failure guarded against: at every entry, a starved request at the front of
+// the queue yields to more urgent requests at peers and blocks the requests
+// behind it. Engines idle while a thousand requests are refused.
 TEST_CASE_FIXTURE(scheduler_fixture,
                   "starved_request_yielding_does_not_block_queue")
 {
