--- a/src/greengagedrum/traffic/test/burst_test.cpp
+++ b/src/greengagedrum/traffic/test/burst_test.cpp
@@ -1,5 +1,6 @@
-// Results for callers under heavy load: six entries and eight engines of five
-// slots, three kinds of request, in virtual time with seeded arrivals.
+// Results for callers under heavy load: three kinds of request, in virtual time
+// with seeded arrivals. Most tests have six entries and eight engines of five
+// slots.
 #include <greengagedrum/traffic/test/burst_run.hpp>
 
 #include <doctest/doctest.h>
@@ -19,8 +20,9 @@
     }
 }
 
-// A burst of twice the capacity of the engines. The most urgent requests are
-// still served in time; the least urgent ones are refused, and early.
+// A burst at twice the usual load, about twice the capacity of the engines. The
+// most urgent requests are still served in time. Refusals of the least urgent
+// ones come early: more than three within a second for each later one.
 TEST_CASE("burst_at_twice_the_load_urgent_requests_in_time")
 {
     burst_settings settings;
--- a/src/greengagedrum/traffic/test/first_attempt_estimator_test.cpp
+++ b/src/greengagedrum/traffic/test/first_attempt_estimator_test.cpp
@@ -52,7 +52,7 @@
     CHECK_FALSE(this->tested.is_retry(quote, 4s));
 }
 
-// A burst lasts a minute and most of its callers retry. The retries must not
+// Callers are refused for 50 s and all requests are retries. They must not
 // change the learned times.
 TEST_CASE_FIXTURE(estimator_fixture, "retries_in_a_burst_not_learned")
 {
